--- a/pinford/forwarding/attempt_result.cc
+++ b/pinford/forwarding/attempt_result.cc
@@ -4,43 +4,44 @@
 
 namespace pinford {
 
-static constexpr EnumName<Ran> kRanNames[] = {
-    {Ran::kNo, "no"},
-    {Ran::kMaybe, "maybe"},
-    {Ran::kYes, "yes"},
+static constexpr EnumName<Executed> kExecutedNames[] = {
+    {Executed::kNo, "no"},
+    {Executed::kMaybe, "maybe"},
+    {Executed::kYes, "yes"},
 };
 
-std::string_view RanName(Ran r) { return NameIn(kRanNames, r); }
+std::string_view ExecutedName(Executed r) { return NameIn(kExecutedNames, r); }
 
-AttemptResult JudgeAttempt(const AttemptFacts& f) {
+AttemptResult ClassifyAttempt(const AttemptFacts& f) {
   switch (f.end) {
     case UpstreamEnd::kWithdrawn:
-      return {Ran::kNo, AttemptUse::kNone, Lesson::kNone};
+      return {Executed::kNo, ResponseUse::kNone, EndpointFeedback::kNone};
     case UpstreamEnd::kRefused:
-      return {Ran::kNo, AttemptUse::kNone, Lesson::kFailed};
+      return {Executed::kNo, ResponseUse::kNone, EndpointFeedback::kFailed};
     case UpstreamEnd::kBroken:
     case UpstreamEnd::kGarbage:
     case UpstreamEnd::kCut:
-      return {Ran::kMaybe, AttemptUse::kNone, Lesson::kFailed};
+      return {Executed::kMaybe, ResponseUse::kNone, EndpointFeedback::kFailed};
     case UpstreamEnd::kComplete:
       break;
   }
   constexpr int kMisdirected = 421;
-  if (f.says_not_run || f.status == kMisdirected) {
-    return {Ran::kNo, AttemptUse::kNone, Lesson::kTurnedAway};
+  if (f.reported_not_run || f.status == kMisdirected) {
+    return {Executed::kNo, ResponseUse::kNone, EndpointFeedback::kRejected};
   }
   const bool success = f.status >= 200 && f.status < 300;
   // Without its seal, or encoded, it is not the endpoint's answer.
   if (!f.sealed || f.encoded) {
-    return {Ran::kMaybe, AttemptUse::kNone, Lesson::kFailed};
+    return {Executed::kMaybe, ResponseUse::kNone, EndpointFeedback::kFailed};
   }
-  if (success) return {Ran::kYes, AttemptUse::kPassOn, Lesson::kNone};
+  if (success)
+    return {Executed::kYes, ResponseUse::kForward, EndpointFeedback::kNone};
   const bool server_error = f.status >= 500;
   // An error of its own says nothing of its health: some requests have one
   // wherever they run.
-  return {Ran::kYes,
-          server_error ? AttemptUse::kPassError : AttemptUse::kPassOn,
-          Lesson::kNone};
+  return {Executed::kYes,
+          server_error ? ResponseUse::kForwardError : ResponseUse::kForward,
+          EndpointFeedback::kNone};
 }
 
 }  // namespace pinford
--- a/pinford/forwarding/attempt_result.h
+++ b/pinford/forwarding/attempt_result.h
@@ -24,25 +24,25 @@
 // What was seen of an attempt.
 struct AttemptFacts {
   UpstreamEnd end = UpstreamEnd::kRefused;
-  int status = 0;             // of the answer's head; 0 without one
-  bool says_not_run = false;  // the endpoint's word that it did not run it
-  bool sealed = false;        // the answer bears an endpoint's seal
-  bool encoded = false;       // its body is in an encoding nobody asked for
+  int status = 0;                 // of the answer's head; 0 without one
+  bool reported_not_run = false;  // the endpoint's word that it did not run it
+  bool sealed = false;            // the answer bears an endpoint's seal
+  bool encoded = false;           // its body is in an encoding nobody asked for
 };
 
-enum class Ran {
+enum class Executed {
   kNo,     // it has not run there and will not
   kMaybe,  // nothing certain is known
   kYes,    // it ran
 };
 
-enum class AttemptUse {
-  kPassOn,     // the answer is the caller's
-  kPassError,  // a failure of the endpoint's own; another may do better
-  kNone,       // there is nothing to pass on
+enum class ResponseUse {
+  kForward,       // the answer is the caller's
+  kForwardError,  // a failure of the endpoint's own; another may do better
+  kNone,          // there is nothing to pass on
 };
 
-enum class Lesson {
+enum class EndpointFeedback {
   kNone,
   // The endpoint that it was sent to seems at fault. Unsaid by its next
   // success; its own answer to a question says whether it is down.
@@ -50,18 +50,18 @@
   // The endpoint that the answer names, or that gave it, takes nothing now.
   // Holds for EndpointTable::Options::full_rest, unless its answer to a
   // question says that it is down, which lasts until it answers again.
-  kTurnedAway,
+  kRejected,
 };
 
 struct AttemptResult {
-  Ran ran = Ran::kMaybe;
-  AttemptUse use = AttemptUse::kNone;
-  Lesson lesson = Lesson::kNone;
+  Executed executed = Executed::kMaybe;
+  ResponseUse use = ResponseUse::kNone;
+  EndpointFeedback feedback = EndpointFeedback::kNone;
 };
 
-std::string_view RanName(Ran r);
+std::string_view ExecutedName(Executed r);
 
-AttemptResult JudgeAttempt(const AttemptFacts& facts);
+AttemptResult ClassifyAttempt(const AttemptFacts& facts);
 
 }  // namespace pinford
 
--- a/pinford/forwarding/event_stream.cc
+++ b/pinford/forwarding/event_stream.cc
@@ -7,15 +7,15 @@
 
 // Where the first event of `text` ends, just after its empty line.
 static size_t EndOfEvent(std::string_view text) {
-  const size_t bare = text.find("\n\n");
-  const size_t full = text.find("\r\n\r\n");
-  const size_t after_bare = bare == std::string_view::npos ? bare : bare + 2;
-  const size_t after_full = full == std::string_view::npos ? full : full + 4;
-  return std::min(after_bare, after_full);
+  const size_t lf = text.find("\n\n");
+  const size_t crlf = text.find("\r\n\r\n");
+  const size_t after_lf = lf == std::string_view::npos ? lf : lf + 2;
+  const size_t after_crlf = crlf == std::string_view::npos ? crlf : crlf + 4;
+  return std::min(after_lf, after_crlf);
 }
 
 // The number in the event's "id:" line.
-static std::optional<uint64_t> IdOf(std::string_view event) {
+static std::optional<uint64_t> ParseId(std::string_view event) {
   constexpr std::string_view kId = "id:";
   size_t at = 0;
   while (at < event.size()) {
@@ -42,7 +42,7 @@
     if (end == std::string_view::npos) break;
     const std::string_view event = rest.substr(0, end);
     rest.remove_prefix(end);
-    const std::optional<uint64_t> id = IdOf(event);
+    const std::optional<uint64_t> id = ParseId(event);
     if (id && last_id_ && *id <= *last_id_) continue;
     if (id) last_id_ = id;
     events_++;
--- a/pinford/forwarding/forward_target.cc
+++ b/pinford/forwarding/forward_target.cc
@@ -12,11 +12,11 @@
     : table_(table),
       watch_(watch),
       options_(options),
-      timed_(table->off().on(Mechanism::kTimedRecovery)) {}
+      timed_recovery_(table->off().on(Mechanism::kTimedRecovery)) {}
 
 bool ForwardTarget::Pick(Time now, const std::set<std::string>& tried) {
   chain_.clear();
-  picked_ = now;
+  picked_at_ = now;
   const bool found = pool() ? PickChainTarget(now) : PickEndpoint(now, tried);
   if (found) incarnation_ = table_->IncarnationOf(endpoint_);
   return found;
@@ -45,12 +45,14 @@
     return false;
   }
   shortage_.reset();
-  fullest_ = busiest_ = 0;
+  max_memory_use_ = max_prefill_load_ = 0;
   for (const Stage& stage : *chain) {
-    fullest_ = std::max(fullest_, table_->TakenOf(now, stage.endpoint));
-    busiest_ = std::max(busiest_, table_->ReadingOf(now, stage.endpoint));
+    max_memory_use_ =
+        std::max(max_memory_use_, table_->TakenOf(now, stage.endpoint));
+    max_prefill_load_ =
+        std::max(max_prefill_load_, table_->ReadingOf(now, stage.endpoint));
   }
-  Hold(now, *chain);
+  ReserveChain(now, *chain);
   chain_ = std::move(*chain);
   endpoint_ = chain_.front().endpoint;
   table_->OnEntry(endpoint_);
@@ -62,21 +64,21 @@
   return std::max(1, static_cast<int>(std::lround(work)));
 }
 
-int ForwardTarget::CrossingsOf(const Chain& chain) const {
-  int crossings = 0;
+int ForwardTarget::HallTransfers(const Chain& chain) const {
+  int hall_transfers = 0;
   for (size_t i = 1; i < chain.size(); i++) {
     const std::string& before = table_->HallOf(chain[i - 1].endpoint);
-    if (before != table_->HallOf(chain[i].endpoint)) crossings++;
+    if (before != table_->HallOf(chain[i].endpoint)) hall_transfers++;
   }
-  return crossings;
+  return hall_transfers;
 }
 
-void ForwardTarget::Hold(Time now, const Chain& chain) {
+void ForwardTarget::ReserveChain(Time now, const Chain& chain) {
   constexpr double kTokens = 1000;  // layer_work counts in thousands
-  const double crossing = CrossingsOf(chain) * options_.layer_work * kTokens;
+  const double crossing = HallTransfers(chain) * options_.layer_work * kTokens;
   table_->OnCrossing(now, crossing);
   table_->OnCrossingWaiting(crossing);
-  crossing_waiting_ += crossing;
+  pending_transfer_ += crossing;
   for (const Stage& stage : chain) {
     table_->OnSent(stage.endpoint, WorkOf(stage));
     // Stages that stay keep what they have read.
@@ -84,36 +86,36 @@
     const double tokens = options_.prompt * stage.range.size();
     table_->OnPrompt(now, stage.endpoint, tokens);
     table_->OnWaiting(stage.endpoint, tokens);
-    waiting_.emplace_back(stage.endpoint, tokens);
+    pending_prefill_.emplace_back(stage.endpoint, tokens);
   }
 }
 
-void ForwardTarget::NotWaiting() {
-  for (const auto& [endpoint, tokens] : waiting_) {
+void ForwardTarget::ClearPendingLoad() {
+  for (const auto& [endpoint, tokens] : pending_prefill_) {
     table_->OnWaitingDone(endpoint, tokens);
   }
-  waiting_.clear();
-  table_->OnCrossingDone(std::exchange(crossing_waiting_, 0));
+  pending_prefill_.clear();
+  table_->OnCrossingDone(std::exchange(pending_transfer_, 0));
 }
 
-void ForwardTarget::Drop(const Chain& chain) {
+void ForwardTarget::ReleaseChain(const Chain& chain) {
   for (const Stage& stage : chain) {
     table_->OnDone(stage.endpoint, WorkOf(stage));
   }
 }
 
-void ForwardTarget::Release(Time now, Time sent, bool worked) {
+void ForwardTarget::Release(Time now, Time sent, bool succeeded) {
   if (endpoint_.empty()) return;
   if (!pool()) {
     table_->OnDone(endpoint_);
-    if (worked) table_->OnSuccess(endpoint_, 1, now - sent);
+    if (succeeded) table_->OnSuccess(endpoint_, 1, now - sent);
   }
   if (pool()) table_->OnEntryDone(endpoint_);
   if (std::exchange(watched_, false)) watch_->OnEnd(chain_);
-  NotWaiting();
-  Drop(chain_);
+  ClearPendingLoad();
+  ReleaseChain(chain_);
   for (const Stage& stage : chain_) {
-    if (!worked) break;
+    if (!succeeded) break;
     table_->OnSuccess(stage.endpoint, stage.range.size(), now - sent);
   }
   endpoint_.clear();
@@ -126,7 +128,8 @@
   return *at;
 }
 
-std::vector<AddressedStage> ForwardTarget::Addressed(const Chain& chain) const {
+std::vector<AddressedStage> ForwardTarget::WithAddresses(
+    const Chain& chain) const {
   std::vector<AddressedStage> out;
   out.reserve(chain.size());
   for (const Stage& stage : chain) {
@@ -152,18 +155,18 @@
 }
 
 void ForwardTarget::OnEvents(Time now) {
-  NotWaiting();
+  ClearPendingLoad();
   if (!std::exchange(watched_, true)) watch_->OnBegin(now, chain_);
   watch_->OnProgress(now, chain_);
 }
 
-bool ForwardTarget::SomeStageSilentSince(Time t) const {
+bool ForwardTarget::AnyStageIdleSince(Time t) const {
   return std::any_of(chain_.begin(), chain_.end(), [this, t](const Stage& s) {
     return watch_->ProgressOf(s.endpoint) <= t;
   });
 }
 
-std::vector<std::string> ForwardTarget::SilentSince(Time t) const {
+std::vector<std::string> ForwardTarget::StagesIdleSince(Time t) const {
   std::vector<std::string> out;
   for (const Stage& stage : chain_) {
     if (watch_->ProgressOf(stage.endpoint) <= t) out.push_back(stage.endpoint);
@@ -171,7 +174,7 @@
   return out;
 }
 
-void ForwardTarget::BlameSince(Time t, Time now, Time sent) {
+void ForwardTarget::FailStagesIdleSince(Time t, Time now, Time sent) {
   if (!pool()) table_->OnFailure(now, endpoint_, sent);
   for (const Stage& stage : chain_) {
     if (watch_->ProgressOf(stage.endpoint) > t) continue;
@@ -187,7 +190,7 @@
   });
 }
 
-std::optional<Chain> ForwardTarget::PickPart(
+std::optional<Chain> ForwardTarget::PickRunnersFor(
     Time now, const std::string& version, const Stage& stage,
     const std::set<std::string>& avoid) const {
   const auto pick = [&](const EndpointTable::HallWeight& weight) {
@@ -195,43 +198,46 @@
                                 weight, options_.layer_work, avoid);
   };
   const std::string& hall = table_->HallOf(stage.endpoint);
-  const auto here = [&](const std::string& h) {
+  const auto same_hall = [&](const std::string& h) {
     return h == hall ? options_.hall_weight(h) : 0;
   };
-  if (timed_) {
-    std::optional<Chain> part = pick(here);
-    if (part) return part;
+  if (timed_recovery_) {
+    std::optional<Chain> runners = pick(same_hall);
+    if (runners) return runners;
   }
   return pick(options_.hall_weight);
 }
 
 // Runners for a stage's part. A slow stage is worth replacing only by runners
 // that are not slow.
-std::optional<Chain> ForwardTarget::StandIns(
+std::optional<Chain> ForwardTarget::PickReplacements(
     Time now, const std::string& version, const Stage& stage,
     const std::set<std::string>& avoid) const {
-  std::optional<Chain> part = PickPart(now, version, stage, avoid);
-  if (!part || watch_->IsDown(stage.endpoint)) return part;
+  std::optional<Chain> runners = PickRunnersFor(now, version, stage, avoid);
+  if (!runners || watch_->IsDown(stage.endpoint)) return runners;
   const bool slow = std::any_of(
-      part->begin(), part->end(),
+      runners->begin(), runners->end(),
       [this](const Stage& s) { return watch_->IsSlow(s.endpoint); });
-  return slow ? std::nullopt : part;
+  return slow ? std::nullopt : runners;
 }
 
 std::optional<std::string> ForwardTarget::Version(Time now) const {
   return table_->VersionFor(now, options_.service, options_.version);
 }
 
-bool ForwardTarget::FirstIsDown() const { return watch_->IsDown(endpoint_); }
+bool ForwardTarget::FirstStageIsDown() const {
+  return watch_->IsDown(endpoint_);
+}
 
-bool ForwardTarget::HasDown() const {
+bool ForwardTarget::HasDownStage() const {
   return std::any_of(chain_.begin(), chain_.end(), [this](const Stage& s) {
     return watch_->IsDown(s.endpoint);
   });
 }
 
-std::optional<Chain> ForwardTarget::Without(Time now, Impaired which) const {
-  if (FirstIsDown()) return std::nullopt;
+std::optional<Chain> ForwardTarget::ChainWithoutImpaired(Time now,
+                                                         Impaired which) const {
+  if (FirstStageIsDown()) return std::nullopt;
   const std::optional<std::string> version = Version(now);
   if (!version) return std::nullopt;
   std::set<std::string> avoid;
@@ -242,11 +248,11 @@
     const bool down = watch_->IsDown(stage.endpoint);
     const bool slow =
         which == Impaired::kDownOrSlow && watch_->IsSlow(stage.endpoint);
-    std::optional<Chain> part;
-    if (down || slow) part = StandIns(now, *version, stage, avoid);
-    if (down && !part) return std::nullopt;
-    if (!part) part = Chain{stage};
-    for (const Stage& other : *part) {
+    std::optional<Chain> runners;
+    if (down || slow) runners = PickReplacements(now, *version, stage, avoid);
+    if (down && !runners) return std::nullopt;
+    if (!runners) runners = Chain{stage};
+    for (const Stage& other : *runners) {
       avoid.insert(other.endpoint);
       next.push_back(other);
     }
@@ -255,17 +261,17 @@
 }
 
 double ForwardTarget::Slowdown() const {
-  double usual = 0;
-  double now = 0;
+  double nominal = 0;
+  double actual = 0;
   for (const Stage& s : chain_) {
-    usual += table_->StepSecondsOf(s.endpoint, s.range.size(), false);
-    now += table_->StepSecondsOf(s.endpoint, s.range.size(), true);
+    nominal += table_->StepSecondsOf(s.endpoint, s.range.size(), false);
+    actual += table_->StepSecondsOf(s.endpoint, s.range.size(), true);
   }
-  return usual > 0 ? now / usual : 1;
+  return nominal > 0 ? actual / nominal : 1;
 }
 
 // Stages of one chain that another has not.
-static Chain Less(const Chain& chain, const Chain& other) {
+static Chain StagesNotIn(const Chain& chain, const Chain& other) {
   Chain out;
   for (const Stage& s : chain) {
     const bool stays = std::find(other.begin(), other.end(), s) != other.end();
@@ -274,30 +280,30 @@
   return out;
 }
 
-RecoveryLoad ForwardTarget::LoadOf(Time now, const Chain& next,
-                                   const PoolCapacity& capacity) const {
+RecoveryLoad ForwardTarget::RecoveryLoadFor(
+    Time now, const Chain& next, const PoolCapacity& capacity) const {
   constexpr double kTokens = 1000;  // work counts in thousands
   RecoveryLoad load;
-  for (const Stage& s : Less(chain_, next)) {
+  for (const Stage& s : StagesNotIn(chain_, next)) {
     const double work = table_->LayerWorkOf(now, s.endpoint);
     load.tokens = std::max(load.tokens, work * kTokens);
   }
   bool first = true;
-  for (const Stage& s : Less(next, chain_)) {
+  for (const Stage& s : StagesNotIn(next, chain_)) {
     const std::string& hall = table_->HallOf(s.endpoint);
-    const double reads = capacity.LeastOf(hall, s.range).read_per_s;
-    load.read_per_s = first ? reads : std::min(load.read_per_s, reads);
+    const double prefill = capacity.LeastOf(hall, s.range).read_per_s;
+    load.read_per_s = first ? prefill : std::min(load.read_per_s, prefill);
     first = false;
   }
-  load.more_crossings = CrossingsOf(next) - crossings();
+  load.extra_transfers = HallTransfers(next) - hall_transfers();
   load.crossing_seconds = table_->crossing_seconds();
   load.links = std::max(1, static_cast<int>(capacity.halls().size()) - 1);
   return load;
 }
 
-void ForwardTarget::Replace(Time now, const Chain& chain) {
+void ForwardTarget::SwitchTo(Time now, const Chain& chain) {
   if (watched_) watch_->OnEnd(chain_);
-  Drop(chain_);
+  ReleaseChain(chain_);
   chain_ = chain;
   if (watched_) watch_->OnBegin(now, chain_);
 }
--- a/pinford/forwarding/forward_target.h
+++ b/pinford/forwarding/forward_target.h
@@ -39,105 +39,105 @@
                 const Options& options);
 
   // One for the same request that has not been picked.
-  ForwardTarget Another() const { return {table_, watch_, options_}; }
+  ForwardTarget CloneUnpicked() const { return {table_, watch_, options_}; }
 
   // Picks and counts a target; of a plain service one of `tried` only if
   // there is no other. False if nobody takes the request.
   bool Pick(Time now, const std::set<std::string>& tried);
   // Counts it off. `worked`: it answered; `sent` is when it was sent to.
-  void Release(Time now, Time sent, bool worked);
+  void Release(Time now, Time sent, bool succeeded);
 
   bool pool() const { return options_.layers > 0; }
   // "" when there is none.
   const std::string& endpoint() const { return endpoint_; }
   const Chain& chain() const { return chain_; }
   // When it was picked, and the endpoint's life then.
-  Time picked() const { return picked_; }
+  Time picked_at() const { return picked_at_; }
   uint64_t incarnation() const { return incarnation_; }
   // Part of the room of its fullest stage that was taken when it was picked,
   // by this box's estimate.
-  double fullest() const { return fullest_; }
+  double max_memory_use() const { return max_memory_use_; }
   // Where the pool was shortest of room when nobody took the request.
   const std::optional<EndpointTable::Shortage>& shortage() const {
     return shortage_;
   }
   // The same of its busiest stage's time, by prompts.
-  double busiest() const { return busiest_; }
+  double max_prefill_load() const { return max_prefill_load_; }
   Address address() const;
-  std::vector<AddressedStage> Addressed(const Chain& chain) const;
+  std::vector<AddressedStage> WithAddresses(const Chain& chain) const;
   // The stage at that address, or the endpoint itself.
   std::string EndpointAt(std::string_view address) const;
   // The stage of `chain` at that address, "" if there is none.
   std::string StageAt(const Chain& chain, std::string_view address) const;
 
   // Hand-overs between halls in the present chain, and in another one.
-  int crossings() const { return CrossingsOf(chain_); }
-  int CrossingsOf(const Chain& chain) const;
+  int hall_transfers() const { return HallTransfers(chain_); }
+  int HallTransfers(const Chain& chain) const;
 
   // Events have just passed through the chain.
   void OnEvents(Time now);
   // Whether some stage has shown no sign of life, to any request, after `t`.
-  bool SomeStageSilentSince(Time t) const;
-  std::vector<std::string> SilentSince(Time t) const;
+  bool AnyStageIdleSince(Time t) const;
+  std::vector<std::string> StagesIdleSince(Time t) const;
   // Counts a failure against the stages that have shown none, or the endpoint.
-  void BlameSince(Time t, Time now, Time sent);
+  void FailStagesIdleSince(Time t, Time now, Time sent);
 
   bool Uses(const std::string& endpoint) const;
   // The version that its stages must have now, if some is whole.
   std::optional<std::string> Version(Time now) const;
   // Whether some stage, or just the first, is down.
-  bool HasDown() const;
-  bool FirstIsDown() const;
+  bool HasDownStage() const;
+  bool FirstStageIsDown() const;
   // Which stages others are to take the place of.
   enum class Impaired { kDown, kDownOrSlow };
   // The chain with others in the place of such stages. Nothing if the first is
   // down, or if nobody can stand in for one that is.
-  std::optional<Chain> Without(Time now, Impaired which) const;
+  std::optional<Chain> ChainWithoutImpaired(Time now, Impaired which) const;
   // How many times as long as it should a step of the whole chain takes.
   double Slowdown() const;
   // The streams that lose the stages which `next` replaces, and what can be
   // done for them.
-  RecoveryLoad LoadOf(Time now, const Chain& next,
-                      const PoolCapacity& capacity) const;
+  RecoveryLoad RecoveryLoadFor(Time now, const Chain& next,
+                               const PoolCapacity& capacity) const;
   // A chain that may come in the place of the present one is counted too.
-  void Hold(Time now, const Chain& chain);
-  void Drop(const Chain& chain);
+  void ReserveChain(Time now, const Chain& chain);
+  void ReleaseChain(const Chain& chain);
   // The held `chain` has come in the place of the present one.
-  void Replace(Time now, const Chain& chain);
+  void SwitchTo(Time now, const Chain& chain);
 
  private:
   bool PickEndpoint(Time now, const std::set<std::string>& tried);
   bool PickChainTarget(Time now);
   int WorkOf(const Stage& stage) const;
   // What its stages were to read has been read, or is waited for no more.
-  void NotWaiting();
+  void ClearPendingLoad();
   // Runners for a stage's part: of its own hall if those can, since from any
   // other all tokens so far would have to cross twice. Priced without its
   // neighbours, 116 of 273 streams of a lost group were given runners of other
   // halls though their own had some; they paused for 351 ms (median), for 141
   // where they did not cross.
-  std::optional<Chain> PickPart(Time now, const std::string& version,
-                                const Stage& stage,
-                                const std::set<std::string>& avoid) const;
-  std::optional<Chain> StandIns(Time now, const std::string& version,
-                                const Stage& stage,
-                                const std::set<std::string>& avoid) const;
+  std::optional<Chain> PickRunnersFor(Time now, const std::string& version,
+                                      const Stage& stage,
+                                      const std::set<std::string>& avoid) const;
+  std::optional<Chain> PickReplacements(
+      Time now, const std::string& version, const Stage& stage,
+      const std::set<std::string>& avoid) const;
 
   EndpointTable* table_;
   EndpointWatch* watch_;
   Options options_;
   std::string endpoint_;
   Chain chain_;
-  Time picked_{};
+  Time picked_at_{};
   uint64_t incarnation_ = 0;
   // Tokens times layers that its stages have been sent and have not shown to
   // have read.
-  std::vector<std::pair<std::string, double>> waiting_;
-  double crossing_waiting_ = 0;  // tokens that have not crossed between halls
-  double fullest_ = 0;
-  double busiest_ = 0;
+  std::vector<std::pair<std::string, double>> pending_prefill_;
+  double pending_transfer_ = 0;  // tokens that have not crossed between halls
+  double max_memory_use_ = 0;
+  double max_prefill_load_ = 0;
   std::optional<EndpointTable::Shortage> shortage_;
-  bool timed_;            // Mechanism::kTimedRecovery
+  bool timed_recovery_;   // Mechanism::kTimedRecovery
   bool watched_ = false;  // its stages are watched for their events
 };
 
--- a/pinford/forwarding/forwarded_request.cc
+++ b/pinford/forwarding/forwarded_request.cc
@@ -8,62 +8,62 @@
 
 // Kept connections that rested for longer may be closed by the other side as
 // a request is written; one that may not run twice goes on a fresh one.
-static constexpr milliseconds kRestForOnce{500};
+static constexpr milliseconds kMaxIdleForOnce{500};
 // A caller that reads slowly gets no more than this into its buffer.
-static constexpr size_t kMostUnsent = 256 << 10;
+static constexpr size_t kMaxUnsentBytes = 256 << 10;
 
-ForwardedRequest::ForwardedRequest(ForwardParts* parts, Forwarder* owner,
+ForwardedRequest::ForwardedRequest(ForwardParts* context, Forwarder* owner,
                                    ForwardOrder order)
-    : parts_(parts),
+    : context_(context),
       owner_(owner),
       order_(std::move(order)),
       route_(*order_.route),
-      log_(parts, &order_),
-      target_(parts->table, owner->watch(), TargetOptions(*parts, order_)),
-      timed_(parts->off.on(Mechanism::kTimedRecovery)) {
+      log_(context, &order_),
+      target_(context->table, owner->watch(), TargetOptions(*context, order_)),
+      timed_recovery_(context->off.on(Mechanism::kTimedRecovery)) {
   const std::string last(
-      order_.exchange->head().header(parts_->protocol.headers.last_event));
+      order_.exchange->head().header(context_->protocol.headers.last_event));
   if (!last.empty()) {
     events_.set_last_id(std::strtoull(last.c_str(), nullptr, 10));
   }
 }
 
 ForwardedRequest::~ForwardedRequest() {
-  parts_->loop->Cancel(limit_timer_);
-  parts_->loop->Cancel(resume_timer_);
-  if (upstream_ != 0) parts_->upstream->Cancel(upstream_);
+  context_->loop->Cancel(deadline_timer_);
+  context_->loop->Cancel(recheck_timer_);
+  if (upstream_id_ != 0) context_->upstream->Cancel(upstream_id_);
 }
 
 void ForwardedRequest::Start() {
   auto self = weak_from_this();
   order_.exchange->set_on_hang_up([self] {
-    if (auto r = self.lock()) r->OnCallerGone();
+    if (auto r = self.lock()) r->OnCallerDisconnect();
   });
-  limit_timer_ = parts_->loop->After(order_.limit - now(), [self] {
-    if (auto r = self.lock()) r->OnLimit();
+  deadline_timer_ = context_->loop->After(order_.limit - now(), [self] {
+    if (auto r = self.lock()) r->OnDeadline();
   });
-  Attempt();
+  StartAttempt();
 }
 
 // --- one attempt -----------------------------------------------------------
 
-void ForwardedRequest::Attempt() {
+void ForwardedRequest::StartAttempt() {
   const Time t = now();
   if (target_.Pick(t, tried_)) {
     Send();
-  } else if (!WaitToResume()) {
-    GiveUp("no endpoint takes it");
+  } else if (!WaitForChain()) {
+    Fail("no endpoint takes it");
   }
 }
 
 // What was counted when the target was picked is counted off.
-void ForwardedRequest::Release(bool worked) {
-  target_.Release(now(), sent_, worked);
+void ForwardedRequest::Release(bool succeeded) {
+  target_.Release(now(), sent_, succeeded);
 }
 
 void ForwardedRequest::Send() {
   const Time t = now();
-  tries_++;
+  picks_++;
   ForwardNotes notes;
   notes.customer = order_.customer;
   notes.instance = target_.endpoint();
@@ -72,7 +72,7 @@
   if (attempts_ > 0 && events_.last_id()) {
     notes.last_event = std::to_string(*events_.last_id());
   }
-  notes.chain = target_.Addressed(target_.chain());
+  notes.chain = target_.WithAddresses(target_.chain());
   last_target_ =
       target_.pool() ? ChainText(target_.chain()) : target_.endpoint();
   const EntryExchange& exchange = *order_.exchange;
@@ -80,18 +80,18 @@
   request.endpoint = target_.endpoint();
   request.to = target_.address();
   request.bytes = WriteForwardedRequest(exchange.head(), exchange.body(),
-                                        parts_->protocol, notes);
+                                        context_->protocol, notes);
   request.id = order_.id;
-  if (!route_.may_repeat()) request.max_rest = kRestForOnce;
+  if (!route_.may_repeat()) request.max_rest = kMaxIdleForOnce;
   phase_ = Phase::kWaiting;
   body_.clear();
   events_.DropPartial();
-  sent_ = progress_ = t;
-  sent_any_ = false;
-  rest_left_ = Duration(0);
+  sent_ = last_progress_ = t;
+  was_sent_ = false;
+  backoff_left_ = Duration(0);
   paused_ = replacing_ = false;
-  wait_ = WaitCause::kStart;
-  quiet_until_ = Time{};
+  wait_cause_ = WaitCause::kStart;
+  stall_check_after_ = Time{};
   auto self = weak_from_this();
   UpstreamHandlers handlers;
   handlers.before_send = [self] {
@@ -107,34 +107,35 @@
   handlers.on_end = [self](UpstreamEnd end) {
     if (auto r = self.lock()) r->OnEnd(end);
   };
-  upstream_ = parts_->upstream->Send(std::move(request), std::move(handlers));
+  upstream_id_ =
+      context_->upstream->Send(std::move(request), std::move(handlers));
 }
 
 // The last moment at which the request can be kept back: its key may have been
 // taken away, or its endpoint may take nothing more, since it was picked.
 bool ForwardedRequest::BeforeSend() {
-  proved_ = !order_.keyed || parts_->proof_holds();
-  if (!proved_) return false;
+  config_fresh_ = !order_.keyed || context_->config_is_fresh();
+  if (!config_fresh_) return false;
   const std::string& endpoint = target_.endpoint();
-  rest_left_ = parts_->table->RestLeft(now(), endpoint);
-  if (!parts_->table->MaySend(now(), endpoint)) {
-    parts_->metrics->Count("sends_withheld_total");
+  backoff_left_ = context_->table->RestLeft(now(), endpoint);
+  if (!context_->table->MaySend(now(), endpoint)) {
+    context_->metrics->Count("sends_withheld_total");
     return false;
   }
-  sent_any_ = true;
-  retry_taken_ = false;
+  was_sent_ = true;
+  retry_acquired_ = false;
   attempts_++;
   tried_.insert(endpoint);
-  sent_ = progress_ = now();
+  sent_ = last_progress_ = now();
   return true;
 }
 
 void ForwardedRequest::OnHead(const HttpHead& head) {
   answer_ = head;
-  progress_ = now();
-  Heed(ReadNotice(head, parts_->protocol.headers));
+  last_progress_ = now();
+  ApplyNotice(ReadNotice(head, context_->protocol.headers));
   const bool success = head.status >= 200 && head.status < 300;
-  const bool sealed = !head.header(parts_->protocol.headers.seal).empty();
+  const bool sealed = !head.header(context_->protocol.headers.seal).empty();
   const bool events = route_.kind == RequestKind::kStream && success &&
                       sealed &&
                       head.header("Content-Type").find("event-stream") !=
@@ -142,62 +143,62 @@
   phase_ = events ? Phase::kEvents : Phase::kAnswer;
 }
 
-void ForwardedRequest::Heed(const EndpointNotice& notice) {
-  if (notice.leaving && parts_->on_leaving) {
-    parts_->on_leaving(target_.endpoint(), target_.incarnation());
+void ForwardedRequest::ApplyNotice(const EndpointNotice& notice) {
+  if (notice.leaving && context_->on_leaving) {
+    context_->on_leaving(target_.endpoint(), target_.incarnation());
   }
   if (!notice.rest) return;
-  parts_->table->OnRestAsked(now(), target_.endpoint(), *notice.rest);
-  parts_->metrics->Count("rests_asked_total");
-  log_.RestAsked(target_, *notice.rest);
+  context_->table->OnRestAsked(now(), target_.endpoint(), *notice.rest);
+  context_->metrics->Count("rests_asked_total");
+  log_.BackoffRequested(target_, *notice.rest);
 }
 
 void ForwardedRequest::OnBody(std::string bytes) {
   if (phase_ == Phase::kEvents) {
-    PassEvents(bytes);
+    ForwardEvents(bytes);
     return;
   }
-  progress_ = now();
+  last_progress_ = now();
   body_ += bytes;
 }
 
-void ForwardedRequest::PassEvents(const std::string& bytes) {
+void ForwardedRequest::ForwardEvents(const std::string& bytes) {
   const std::string whole = events_.Feed(bytes);
   if (whole.empty()) return;
   const Time t = now();
-  progress_ = t;
+  last_progress_ = t;
   target_.OnEvents(t);
   EntryExchange& exchange = *order_.exchange;
   if (!exchange.streaming()) {
     first_event_ = t;
-    first_wait_ = wait_;
+    first_wait_ = wait_cause_;
     owner_->OnFirstEvent(t - sent_);
     exchange.StartStream(answer_.status, answer_.reason,
-                         PassedHeaders(answer_, parts_->protocol));
+                         PassedHeaders(answer_, context_->protocol));
   } else {
-    NoteGap(t - last_event_);
+    RecordGap(t - last_event_);
     owner_->OnGap(t - last_event_, route_.target_gap);
   }
   last_event_ = t;
-  wait_ = WaitCause::kNone;
+  wait_cause_ = WaitCause::kNone;
   exchange.Write(whole);
-  if (exchange.unsent() > kMostUnsent && !paused_) {
+  if (exchange.unsent() > kMaxUnsentBytes && !paused_) {
     paused_ = true;
-    parts_->upstream->Pause(upstream_, true);
+    context_->upstream->Pause(upstream_id_, true);
   }
 }
 
-void ForwardedRequest::NoteGap(Duration gap) {
+void ForwardedRequest::RecordGap(Duration gap) {
   if (gap <= longest_gap_) return;
   longest_gap_ = gap;
-  gap_wait_ = wait_;
+  gap_wait_ = wait_cause_;
 }
 
 // --- the end of an attempt -------------------------------------------------
 
 // What was seen of the attempt that has just ended.
 AttemptFacts ForwardedRequest::FactsOf(UpstreamEnd end) const {
-  const ForwardHeaders& names = parts_->protocol.headers;
+  const ForwardHeaders& names = context_->protocol.headers;
   AttemptFacts facts;
   facts.end = end;
   if (phase_ == Phase::kWaiting) return facts;
@@ -205,84 +206,85 @@
   const bool cut = phase_ == Phase::kEvents && events_.has_partial();
   if (end == UpstreamEnd::kComplete && cut) facts.end = UpstreamEnd::kCut;
   facts.status = answer_.status;
-  facts.says_not_run = answer_.CountOf(names.not_run) > 0;
+  facts.reported_not_run = answer_.CountOf(names.not_run) > 0;
   facts.sealed = !answer_.header(names.seal).empty();
   facts.encoded = answer_.CountOf("Content-Encoding") > 0;
   return facts;
 }
 
 void ForwardedRequest::OnEnd(UpstreamEnd end) {
-  upstream_ = 0;
+  upstream_id_ = 0;
   const AttemptFacts facts = FactsOf(end);
-  const AttemptResult result = JudgeAttempt(facts);
-  if (result.ran != Ran::kNo) NoteRan();
+  const AttemptResult result = ClassifyAttempt(facts);
+  if (result.executed != Executed::kNo) RecordRun();
   LogAttempt(end, result);
-  Learn(result.lesson);
-  Release(result.use == AttemptUse::kPassOn);
+  ApplyFeedback(result.feedback);
+  Release(result.use == ResponseUse::kForward);
   switch (result.use) {
-    case AttemptUse::kPassOn:
+    case ResponseUse::kForward:
       if (phase_ != Phase::kEvents && order_.exchange->streaming()) {
         // The caller has the head of a stream: no other answer fits behind it.
-        GiveUp("an answer that is no stream");
+        Fail("an answer that is no stream");
         return;
       }
-      PassAnswer();
+      ForwardAnswer();
       return;
-    case AttemptUse::kPassError:
-      failure_ = answer_;
-      failure_body_ = std::move(body_);
+    case ResponseUse::kForwardError:
+      endpoint_error_ = answer_;
+      endpoint_error_body_ = std::move(body_);
       break;
-    case AttemptUse::kNone:
+    case ResponseUse::kNone:
       break;
   }
   AfterFailure(facts, result);
 }
 
 // Tells the table what the attempt's end teaches, and asks who is in doubt.
-void ForwardedRequest::Learn(Lesson lesson) {
-  switch (lesson) {
-    case Lesson::kNone:
+void ForwardedRequest::ApplyFeedback(EndpointFeedback feedback) {
+  switch (feedback) {
+    case EndpointFeedback::kNone:
       return;
-    case Lesson::kFailed:
-      parts_->table->OnFailure(now(), target_.endpoint(), sent_);
+    case EndpointFeedback::kFailed:
+      context_->table->OnFailure(now(), target_.endpoint(), sent_);
       if (target_.pool()) owner_->Doubt(target_.endpoint());
       return;
-    case Lesson::kTurnedAway:
+    case EndpointFeedback::kRejected:
       break;
   }
-  TurnedAway(
-      target_.EndpointAt(answer_.header(parts_->protocol.headers.at_fault)));
+  OnRejected(
+      target_.EndpointAt(answer_.header(context_->protocol.headers.at_fault)));
 }
 
-void ForwardedRequest::TurnedAway(const std::string& endpoint) {
+void ForwardedRequest::OnRejected(const std::string& endpoint) {
   if (endpoint.empty()) return;
-  parts_->table->OnFull(now(), endpoint);
+  context_->table->OnFull(now(), endpoint);
   // One that asks for rest has said how it is, and wants no question either.
-  if (parts_->table->RestLeft(now(), endpoint) > Duration(0)) return;
+  if (context_->table->RestLeft(now(), endpoint) > Duration(0)) return;
   if (target_.pool()) owner_->Doubt(endpoint);
 }
 
-void ForwardedRequest::NoteRan() {
+void ForwardedRequest::RecordRun() {
   may_have_run_ = true;
-  runs_++;
+  possible_runs_++;
 }
 
 void ForwardedRequest::LogAttempt(UpstreamEnd end,
                                   const AttemptResult& result) {
-  if (result.use == AttemptUse::kPassOn) return;
+  if (result.use == ResponseUse::kForward) return;
   // What an earlier attempt was answered is not this one's.
   const bool answered = phase_ != Phase::kWaiting;
-  const ForwardHeaders& names = parts_->protocol.headers;
+  const ForwardHeaders& names = context_->protocol.headers;
   const int status = answered ? answer_.status : 0;
-  log_.AttemptFailed({attempts_, &target_, end, status, result.ran,
+  log_.AttemptFailed({attempts_, &target_, end, status, result.executed,
                       answered ? answer_.header(names.at_fault) : "",
                       answered ? answer_.header(names.retry_after) : "",
-                      rest_left_, sent_ - target_.picked(), now() - sent_});
+                      backoff_left_, sent_ - target_.picked_at(),
+                      now() - sent_});
 }
 
-void ForwardedRequest::PassAnswer() {
+void ForwardedRequest::ForwardAnswer() {
   EntryExchange& exchange = *order_.exchange;
-  const HttpHeaders headers = PassedHeaders(answer_, parts_->protocol);
+  const HttpHeaders headers = PassedHeaders(answer_, context_->protocol);
   if (phase_ != Phase::kEvents) {
     exchange.Reply(answer_.status, answer_.reason, headers, body_);
     Finish(answer_.status < 300 ? kComplete : "failed by endpoint");
@@ -298,85 +300,88 @@
 // --- time ------------------------------------------------------------------
 
 void ForwardedRequest::Tick(Time t) {
-  if (over_ || upstream_ == 0 || replacing_) return;
+  if (finished_ || upstream_id_ == 0 || replacing_) return;
   if (paused_) {
-    progress_ = t;
+    last_progress_ = t;
     if (order_.exchange->unsent() > 0) return;
     paused_ = false;
-    parts_->upstream->Pause(upstream_, false);
+    context_->upstream->Pause(upstream_id_, false);
     return;
   }
-  if (t < quiet_until_) return;
-  if (DecidesAgain(t)) return;
-  if (t - progress_ >= SilenceLimit()) Stalled(t);
+  if (t < stall_check_after_) return;
+  if (ReevaluateRecovery(t)) return;
+  if (t - last_progress_ >= SilenceLimit()) OnStalled(t);
 }
 
 Duration ForwardedRequest::SilenceLimit() const {
   const bool begun = phase_ == Phase::kEvents && first_event_ != Time{};
-  return SilenceLimitOf(route_, begun,
-                        begun ? owner_->usual_gap() : owner_->usual_first());
+  return SilenceLimitOf(
+      route_, begun, begun ? owner_->mean_gap() : owner_->mean_first_event());
 }
 
-void ForwardedRequest::Stalled(Time t) {
-  if (!MayRepeat() || !sent_any_) return;
-  if (target_.pool() && !target_.SomeStageSilentSince(progress_)) return;
-  if (!MayTryAgain(t, runs_ + 1)) return;
-  Blame(t);
-  if (!RunAnew("attempt_stalled", t)) quiet_until_ = t + kResumePause;
+void ForwardedRequest::OnStalled(Time t) {
+  if (!MayRepeat() || !was_sent_) return;
+  if (target_.pool() && !target_.AnyStageIdleSince(last_progress_)) return;
+  if (!AcquireAttempt(t, possible_runs_ + 1)) return;
+  RecordStall(t);
+  if (!RestartElsewhere("attempt_stalled", t))
+    stall_check_after_ = t + kRecheckInterval;
 }
 
-void ForwardedRequest::Blame(Time t) {
-  if (blamed_ == progress_) return;
-  blamed_ = progress_;
-  target_.BlameSince(progress_, t, sent_);
-  parts_->metrics->Count("stalls_total");
-  if (timed_ && first_event_ == Time{}) DoubtStages();
+void ForwardedRequest::RecordStall(Time t) {
+  if (stall_recorded_for_ == last_progress_) return;
+  stall_recorded_for_ = last_progress_;
+  target_.FailStagesIdleSince(last_progress_, t, sent_);
+  context_->metrics->Count("stalls_total");
+  if (timed_recovery_ && first_event_ == Time{}) ProbeIdleStages();
 }
 
 // What is at work, though slow or silent, may still end well; nothing does not.
-bool ForwardedRequest::RunAnew(std::string_view event, Time t) {
-  ForwardTarget next = target_.Another();
+bool ForwardedRequest::RestartElsewhere(std::string_view event, Time t) {
+  ForwardTarget next = target_.CloneUnpicked();
   if (!next.Pick(t, tried_)) return false;
-  log_.BegunAnew(event,
-                 {attempts_, &target_, events_.events(), t - progress_,
-                  parts_->loop->delays().LongestSince(progress_), t - sent_});
-  parts_->upstream->Cancel(std::exchange(upstream_, 0));
-  if (sent_any_) NoteRan();
+  log_.Restarted(
+      event,
+      {attempts_, &target_, events_.events(), t - last_progress_,
+       context_->loop->delays().LongestSince(last_progress_), t - sent_});
+  context_->upstream->Cancel(std::exchange(upstream_id_, 0));
+  if (was_sent_) RecordRun();
   Release(false);
   target_ = std::move(next);
   Send();
   return true;
 }
 
-void ForwardedRequest::OnLimit() {
-  limit_timer_ = 0;
-  Leave("the time limit has passed", true);
+void ForwardedRequest::OnDeadline() {
+  deadline_timer_ = 0;
+  CancelAndFail("the time limit has passed", true);
 }
 
-void ForwardedRequest::OnBoxEnds() { Leave("the box ends", false); }
+void ForwardedRequest::OnShutdown() { CancelAndFail("the box ends", false); }
 
-void ForwardedRequest::Leave(std::string_view why, bool late) {
-  if (over_) return;
-  if (upstream_ != 0) {
-    parts_->upstream->Cancel(std::exchange(upstream_, 0));
-    if (sent_any_) NoteRan();
+void ForwardedRequest::CancelAndFail(std::string_view why, bool timed_out) {
+  if (finished_) return;
+  if (upstream_id_ != 0) {
+    context_->upstream->Cancel(std::exchange(upstream_id_, 0));
+    if (was_sent_) RecordRun();
   }
   Release(false);
-  GiveUp(why, late);
+  Fail(why, timed_out);
 }
 
-void ForwardedRequest::OnCallerGone() {
-  if (over_) return;
-  if (upstream_ != 0) parts_->upstream->Cancel(std::exchange(upstream_, 0));
+void ForwardedRequest::OnCallerDisconnect() {
+  if (finished_) return;
+  if (upstream_id_ != 0)
+    context_->upstream->Cancel(std::exchange(upstream_id_, 0));
   Release(false);
   Finish("the caller left");
 }
 
 void ForwardedRequest::Finish(std::string_view outcome) {
-  assert(!over_);
-  over_ = true;
-  parts_->loop->Cancel(std::exchange(limit_timer_, 0));
-  parts_->loop->Cancel(std::exchange(resume_timer_, 0));
+  assert(!finished_);
+  finished_ = true;
+  context_->loop->Cancel(std::exchange(deadline_timer_, 0));
+  context_->loop->Cancel(std::exchange(recheck_timer_, 0));
   const Time t = now();
   const EntryExchange& exchange = *order_.exchange;
   RequestLog::End end;
@@ -389,16 +394,16 @@
   end.took = t - exchange.begun();
   end.first =
       first_event_ != Time{} ? first_event_ - exchange.begun() : end.took;
-  end.first_wait = first_event_ != Time{} ? first_wait_ : wait_;
+  end.first_wait = first_event_ != Time{} ? first_wait_ : wait_cause_;
   // A caller that leaves in the middle of a pause has waited for its end.
-  if (first_event_ != Time{}) NoteGap(t - last_event_);
+  if (first_event_ != Time{}) RecordGap(t - last_event_);
   end.longest_gap = longest_gap_;
   end.gap_wait = gap_wait_;
-  end.held_up = parts_->loop->delays().LongestSince(exchange.begun());
+  end.process_delay = context_->loop->delays().LongestSince(exchange.begun());
   end.caller_end = exchange.caller_end();
   end.cut = exchange.streaming() && !end.caller_end && outcome != kComplete;
   log_.Ended(end);
-  owner_->Done(this);
+  owner_->OnRequestDone(this);
 }
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarded_request.h
+++ b/pinford/forwarding/forwarded_request.h
@@ -1,7 +1,7 @@
 // One request in a box's care, from its arrival to its last byte.
 //
 // It is sent to one endpoint, or to a chain of runners, at a time. What the
-// end of an attempt says is decided by JudgeAttempt alone; whether another
+// end of an attempt says is decided by ClassifyAttempt alone; whether another
 // follows depends on the route (may it run twice, how many attempts), on the
 // time left and on the share of retries.
 //
@@ -38,7 +38,7 @@
 
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest> {
  public:
-  ForwardedRequest(ForwardParts* parts, Forwarder* owner, ForwardOrder order);
+  ForwardedRequest(ForwardParts* context, Forwarder* owner, ForwardOrder order);
   ~ForwardedRequest();
 
   void Start();
@@ -47,7 +47,7 @@
   // An endpoint that may be one of its stages does not answer, or is slow.
   void OnStageImpaired(const std::string& endpoint);
   // The box has no more time for it.
-  void OnBoxEnds();
+  void OnShutdown();
 
  private:
   enum class Phase {
@@ -57,32 +57,32 @@
   };
 
   // How often a begun stream looks again for a chain, or for a retry.
-  static constexpr milliseconds kResumePause{60};
+  static constexpr milliseconds kRecheckInterval{60};
   static constexpr std::string_view kNoRetryLeft = "no retry is left";
-  static constexpr std::string_view kUnproved =
+  static constexpr std::string_view kConfigMaybeStale =
       "the configuration may be out of date";
   static constexpr std::string_view kComplete = "complete";
 
-  void Attempt();
+  void StartAttempt();
   void Send();
   bool BeforeSend();
   void OnHead(const HttpHead& head);
   void OnBody(std::string bytes);
   // What the endpoint says of itself in the answer's head.
-  void Heed(const EndpointNotice& notice);
+  void ApplyNotice(const EndpointNotice& notice);
   AttemptFacts FactsOf(UpstreamEnd end) const;
   void OnEnd(UpstreamEnd end);
-  void Learn(Lesson lesson);
-  void TurnedAway(const std::string& endpoint);
-  void PassEvents(const std::string& bytes);
+  void ApplyFeedback(EndpointFeedback feedback);
+  void OnRejected(const std::string& endpoint);
+  void ForwardEvents(const std::string& bytes);
   // Time since the last event, or since it was sent where none has come.
   Duration SinceEvent(Time now) const {
     return now - (last_event_ != Time{} ? last_event_ : sent_);
   }
   // The longest gap between events, and what was waited for then.
-  void NoteGap(Duration gap);
-  void PassAnswer();
-  void Stalled(Time now);
+  void RecordGap(Duration gap);
+  void ForwardAnswer();
+  void OnStalled(Time now);
 
   // --- what follows an attempt that gave no answer: request_retry.cc
 
@@ -92,89 +92,90 @@
   bool MayRepeat() const;
   // Whether another attempt is allowed after `runs` that may have run; counts
   // it if so, once until it is sent.
-  bool MayTryAgain(Time now, int runs);
-  RetryNeed Need() const;
+  bool AcquireAttempt(Time now, int runs);
+  RetryNeed retry_class() const;
   // A stream that has begun waits for a chain, for a retry, or for a fresh
   // proof of the configuration. False if it does not.
-  bool WaitToResume();
+  bool WaitForChain();
   bool WaitForRetry();
-  bool WaitForProof();
-  bool LookAgain(void (*look)(ForwardedRequest*));
-  void GiveUp(std::string_view why, bool late = false);
+  bool WaitForFreshness();
+  bool ScheduleRecheck(void (*recheck)(ForwardedRequest*));
+  void Fail(std::string_view why, bool timed_out = false);
 
   // --- what becomes of it where a stage is down or slow: request_recovery.cc
 
   // Asks the stages that have shown no sign of life since it was sent.
-  void DoubtStages();
+  void ProbeIdleStages();
   // Looks again what can be done where a stage is down. True if something is.
-  bool DecidesAgain(Time now);
+  bool ReevaluateRecovery(Time now);
   // Puts other runners in the place of stages that are down or slow, while
   // the rest of the chain keeps what it has read.
   void ReplaceStages(Time now);
   // Asks the entry to go on with `chain` in the place of the present one.
-  void GoOnWith(Time now, const Chain& chain, Duration expected);
-  void OnReplaced(const Chain& chain, const RerouteResult& result,
+  void RequestReroute(Time now, const Chain& chain, Duration expected);
+  void OnRerouted(const Chain& chain, const RerouteResult& result,
                   Duration expected);
   // What becomes of it, where `next` is the chain without the impaired stages:
   // by the time it takes, and as it is without that.
-  Recovery Decide(Time now, const std::optional<Chain>& next) const;
-  Recovery FirstChoice(const std::optional<Chain>& next) const;
+  Recovery DecideRecovery(Time now, const std::optional<Chain>& next) const;
+  Recovery DefaultRecovery(const std::optional<Chain>& next) const;
   // Whether it waits a moment for a retry rather than cross with `next`.
-  bool WaitsForRetry(Time now, const std::optional<Chain>& next);
+  bool ShouldAwaitRetry(Time now, const std::optional<Chain>& next);
 
   // ---
 
   // Leaves the attempt under way for another one, and logs it as `event`.
   // False, and it stays, if no endpoint takes the other one.
-  bool RunAnew(std::string_view event, Time t);
+  bool RestartElsewhere(std::string_view event, Time t);
   // Counts its silence against its stages, once.
-  void Blame(Time t);
+  void RecordStall(Time t);
   Duration SilenceLimit() const;
-  void Release(bool worked);
-  void OnLimit();
+  void Release(bool succeeded);
+  void OnDeadline();
   // Ends the attempt under way, and the request with it.
-  void Leave(std::string_view why, bool late);
-  void OnCallerGone();
+  void CancelAndFail(std::string_view why, bool timed_out);
+  void OnCallerDisconnect();
   void Finish(std::string_view outcome);
-  void NoteRan();
+  void RecordRun();
   void LogAttempt(UpstreamEnd end, const AttemptResult& result);
 
-  Time now() const { return parts_->loop->now(); }
+  Time now() const { return context_->loop->now(); }
 
-  ForwardParts* parts_;
+  ForwardParts* context_;
   Forwarder* owner_;
   ForwardOrder order_;
   const Route& route_;
   RequestLog log_;
 
   // The attempt under way.
-  UpstreamId upstream_ = 0;
+  UpstreamId upstream_id_ = 0;
   ForwardTarget target_;
   Time sent_{};
-  Duration rest_left_{};  // of its endpoint's rest, when it was to be sent
-  bool proved_ = true;    // the configuration, when it was to be sent
-  bool sent_any_ = false;
+  Duration backoff_left_{};   // of its endpoint's rest, when it was to be sent
+  bool config_fresh_ = true;  // the configuration, when it was to be sent
+  bool was_sent_ = false;
   Phase phase_ = Phase::kWaiting;
   HttpHead answer_;
   std::string body_;
-  Time progress_{};  // the last sign of life of this attempt
+  Time last_progress_{};  // the last sign of life of this attempt
   bool paused_ = false;
-  bool replacing_ = false;  // a change of the chain is under way
-  Time decided_{};          // when it was last decided what becomes of it
-  Time quiet_until_{};      // until then new stages are expected to read
-  Time blamed_{};           // the progress_ since which silence was counted
+  bool replacing_ = false;      // a change of the chain is under way
+  Time recovery_decided_at_{};  // when it was last decided what becomes of it
+  Time stall_check_after_{};    // until then new stages are expected to read
+  Time stall_recorded_for_{};   // the last_progress_ since which silence was
+                                // counted
 
   std::string last_target_;  // where it runs, or ran last, for the log
-  WaitCause wait_ = WaitCause::kNone;  // since the last event
-  int tries_ = 0;     // endpoints picked, also those that were never sent to
+  WaitCause wait_cause_ = WaitCause::kNone;  // since the last event
+  int picks_ = 0;     // endpoints picked, also those that were never sent to
   int attempts_ = 0;  // sends
-  int runs_ = 0;      // sends that may have run
-  int refusals_ = 0;  // of an attempt to go on with a begun stream
-  bool timed_;        // Mechanism::kTimedRecovery
+  int possible_runs_ = 0;    // sends that may have run
+  int resume_refusals_ = 0;  // of an attempt to go on with a begun stream
+  bool timed_recovery_;      // Mechanism::kTimedRecovery
   bool may_have_run_ = false;
-  bool retry_taken_ = false;      // for the next send
-  std::string_view why_no_more_;  // why MayTryAgain last said no
-  bool over_ = false;
+  bool retry_acquired_ = false;         // for the next send
+  std::string_view no_attempt_reason_;  // why AcquireAttempt last said no
+  bool finished_ = false;
   std::set<std::string> tried_;
   EventStream events_;
   Time first_event_{};
@@ -183,10 +184,10 @@
   WaitCause first_wait_ = WaitCause::kNone;  // of the first event
   Time last_event_{};
   // The endpoint's own failure, for want of anything better.
-  std::optional<HttpHead> failure_;
-  std::string failure_body_;
-  TimerId limit_timer_ = 0;
-  TimerId resume_timer_ = 0;
+  std::optional<HttpHead> endpoint_error_;
+  std::string endpoint_error_body_;
+  TimerId deadline_timer_ = 0;
+  TimerId recheck_timer_ = 0;
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarder.cc
+++ b/pinford/forwarding/forwarder.cc
@@ -11,7 +11,7 @@
 // When a caller that is refused should come back. A box without a proved
 // configuration gets one with the store's next answer; both are well inside
 // the time that the callers of a plain service wait.
-static constexpr std::string_view kComeBackSoon = "0.3";
+static constexpr std::string_view kRetryAfter = "0.3";
 
 struct Forwarder::Refusal {
   int status;
@@ -19,21 +19,21 @@
   std::string_view message;
 };
 
-Forwarder::Forwarder(ForwardParts* parts)
-    : parts_(parts),
-      waiting_(StartQueueOptions()),
+Forwarder::Forwarder(ForwardParts* context)
+    : context_(context),
+      start_queue_(StartQueueOptions()),
       watch_(EndpointWatch::Options()) {}
 
 Forwarder::~Forwarder() = default;
 
 void Forwarder::Refuse(const EntryPtr& exchange, const Refusal& why) {
   const std::string id(
-      exchange->head().header(parts_->protocol.headers.request_id));
+      exchange->head().header(context_->protocol.headers.request_id));
   HttpHeaders headers = {{"Content-Type", std::string(kJsonType)}};
   if (!id.empty()) {
-    headers.emplace_back(parts_->protocol.headers.request_id, id);
+    headers.emplace_back(context_->protocol.headers.request_id, id);
   }
-  if (why.status == 503) headers.emplace_back("Retry-After", kComeBackSoon);
+  if (why.status == 503) headers.emplace_back("Retry-After", kRetryAfter);
   LogEvent(LogPart::kCallers, LogLevel::kInfo, "request_refused",
            LogFields()
                .Add("id", id)
@@ -42,15 +42,15 @@
                .Add("host", exchange->head().header("Host"))
                .Add("target", exchange->head().target)
                .Add("config", routes_ != nullptr ? routes_->version() : 0)
-               .Add("proof_age_ms", ToMillis(parts_->proof_age())));
-  parts_->metrics->Count("refused_total",
-                         "code=\"" + std::string(why.code) + "\"");
+               .Add("proof_age_ms", ToMillis(context_->freshness_age())));
+  context_->metrics->Count("refused_total",
+                           "code=\"" + std::string(why.code) + "\"");
   exchange->Reply(why.status, "", headers,
                   ErrorBody(why.code, why.message, Outcome::kNotRun));
 }
 
 // The caller's limit in ms, if the header holds one.
-static std::optional<int64_t> MillisOf(std::string_view text) {
+static std::optional<int64_t> ParseMillis(std::string_view text) {
   int64_t ms = 0;
   const auto [p, ec] =
       std::from_chars(text.data(), text.data() + text.size(), ms);
@@ -58,31 +58,32 @@
   return ms;
 }
 
-bool Forwarder::HasBegun() {
-  begun_ = begun_ || (routes_ != nullptr && !parts_->table->rows().empty());
-  return begun_;
+bool Forwarder::IsInitialized() {
+  initialized_ =
+      initialized_ || (routes_ != nullptr && !context_->table->rows().empty());
+  return initialized_;
 }
 
-void Forwarder::Wait(const EntryPtr& exchange) {
-  if (!waiting_.Add(parts_->loop->now(), exchange)) {
+void Forwarder::Enqueue(const EntryPtr& exchange) {
+  if (!start_queue_.Add(context_->loop->now(), exchange)) {
     Refuse(exchange, {503, "starting", "too many wait for a configuration"});
     return;
   }
-  if (parts_->on_waiting) parts_->on_waiting();
+  if (context_->on_caller_waiting) context_->on_caller_waiting();
 }
 
 void Forwarder::AdmitWaiting() {
-  if (!HasBegun()) return;
-  for (EntryPtr& exchange : waiting_.TakeAll()) {
+  if (!IsInitialized()) return;
+  for (EntryPtr& exchange : start_queue_.PopAll()) {
     if (exchange->open()) Handle(std::move(exchange));
   }
 }
 
 void Forwarder::Handle(EntryPtr exchange) {
   const HttpHead& head = exchange->head();
-  const ForwardHeaders& names = parts_->protocol.headers;
-  if (!HasBegun()) {
-    Wait(exchange);
+  const ForwardHeaders& names = context_->protocol.headers;
+  if (!IsInitialized()) {
+    Enqueue(exchange);
     return;
   }
   if (head.CountOf("Host") != 1 || head.target.empty() ||
@@ -94,9 +95,9 @@
     Refuse(exchange, {400, "malformed", "one request id is needed"});
     return;
   }
-  const bool proved = parts_->proof_holds();
+  const bool config_fresh = context_->config_is_fresh();
   const Route* route = routes_->Find(head.header("Host"), head.target);
-  if (route == nullptr && proved) {
+  if (route == nullptr && config_fresh) {
     Refuse(exchange, {404, "no_route", "no route has this host and path"});
     return;
   }
@@ -104,15 +105,15 @@
   const bool one_key = head.CountOf(names.key) == 1;
   const Customer* customer = one_key ? routes_->CustomerOf(key) : nullptr;
   const bool keyed = route != nullptr && routes_->NeedsKey(*route);
-  if (keyed && customer == nullptr && proved) {
+  if (keyed && customer == nullptr && config_fresh) {
     Refuse(exchange, {401, "no_key", "no customer has this key"});
     return;
   }
-  if (!proved && (route == nullptr || keyed)) {
+  if (!config_fresh && (route == nullptr || keyed)) {
     Refuse(exchange, {503, "unproved", "the configuration may be out of date"});
     return;
   }
-  if (!EndsInTime(*route, parts_->loop->now())) {
+  if (!EndsBeforeStop(*route, context_->loop->now())) {
     Refuse(exchange, {503, "stopping", "this box stops"});
     return;
   }
@@ -127,156 +128,160 @@
     if (customer->priority) order.priority = *customer->priority;
   }
   const double draw =
-      std::uniform_real_distribution<double>(0, 1)(*parts_->random);
+      std::uniform_real_distribution<double>(0, 1)(*context_->random);
   order.service = DrawService(*route, draw);
   order.id = std::string(head.header(names.request_id));
   exchange->set_log_id(order.id);
-  order.treatment = parts_->classify(FactsOf(order));
+  order.treatment = context_->classify(FactsOf(order));
   if (order.treatment.refuse) {
     Refuse(exchange, {503, "policy", "the policy refuses it now"});
     return;
   }
   Duration limit = route->timeout;
-  if (auto ms = MillisOf(head.header(names.time_left))) {
+  if (auto ms = ParseMillis(head.header(names.time_left))) {
     limit = std::min(limit, Duration(milliseconds(*ms)));
   }
   order.limit = exchange->begun() + limit;
-  parts_->retries->OnRequest(parts_->loop->now(), order.service);
-  parts_->metrics->Count("requests_total", "route=\"" + route->name + "\"");
+  context_->retries->OnRequest(context_->loop->now(), order.service);
+  context_->metrics->Count("requests_total", "route=\"" + route->name + "\"");
   auto request =
-      std::make_shared<ForwardedRequest>(parts_, this, std::move(order));
+      std::make_shared<ForwardedRequest>(context_, this, std::move(order));
   active_.push_back(request);
   request->Start();
 }
 
 // A stream may take as long as its route allows, which is longer than a stop.
-bool Forwarder::EndsInTime(const Route& route, Time now) const {
-  if (now < refuse_since_) return true;
-  return route.kind != RequestKind::kStream && now + route.timeout < end_;
+bool Forwarder::EndsBeforeStop(const Route& route, Time now) const {
+  if (now < refuse_from_) return true;
+  return route.kind != RequestKind::kStream &&
+         now + route.timeout < stop_deadline_;
 }
 
 void Forwarder::GiveUpAll() {
   const std::list<std::shared_ptr<ForwardedRequest>> all = active_;
-  for (const auto& request : all) request->OnBoxEnds();
+  for (const auto& request : all) request->OnShutdown();
 }
 
-void Forwarder::Done(ForwardedRequest* request) {
+void Forwarder::OnRequestDone(ForwardedRequest* request) {
   for (auto it = active_.begin(); it != active_.end(); ++it) {
     if (it->get() != request) continue;
     // It is still at work: it goes with the next turn of the loop.
-    parts_->loop->After(Duration(0), [kept = std::move(*it)] {});
+    context_->loop->After(Duration(0), [kept = std::move(*it)] {});
     active_.erase(it);
     return;
   }
 }
 
 void Forwarder::Tick() {
-  const Time now = parts_->loop->now();
-  for (const EntryPtr& exchange : waiting_.TakeOverdue(now)) {
+  const Time now = context_->loop->now();
+  for (const EntryPtr& exchange : start_queue_.PopExpired(now)) {
     if (!exchange->open()) continue;
     Refuse(exchange, {503, "starting", "no configuration is known yet"});
   }
   const std::list<std::shared_ptr<ForwardedRequest>> all = active_;
   for (const auto& request : all) request->Tick(now);
-  if (!parts_->off.on(Mechanism::kSilenceWatch)) return;
-  for (const std::string& name : watch_.ToAsk(now)) Ask(name);
+  if (!context_->off.on(Mechanism::kSilenceWatch)) return;
+  for (const std::string& name : watch_.ToAsk(now)) SendProbe(name);
 }
 
 // A moving mean over about the last fifty.
 template <typename T>
-void Forwarder::Learn(T seen, T* usual) {
+void Forwarder::UpdateMean(T sample, T* mean) {
   constexpr int kSpan = 50;
-  *usual += (seen - *usual) / (*usual == T{} ? 1 : kSpan);
+  *mean += (sample - *mean) / (*mean == T{} ? 1 : kSpan);
 }
 
-void Forwarder::OnFirstEvent(Duration took) { Learn(took, &usual_first_); }
+void Forwarder::OnFirstEvent(Duration took) {
+  UpdateMean(took, &mean_first_event_);
+}
 
 void Forwarder::OnGap(Duration gap, Duration allowed) {
-  Learn(gap, &usual_gap_);
+  UpdateMean(gap, &mean_gap_);
   if (allowed <= Duration(0)) return;
-  Learn(ToSeconds(gap) / ToSeconds(allowed), &usual_gap_share_);
-  parts_->table->set_gap_share(usual_gap_share_);
+  UpdateMean(ToSeconds(gap) / ToSeconds(allowed), &mean_gap_ratio_);
+  context_->table->set_gap_share(mean_gap_ratio_);
 }
 
 void Forwarder::Doubt(const std::string& endpoint) {
-  if (watch_.BeginAsk(parts_->loop->now(), endpoint)) Ask(endpoint);
+  if (watch_.BeginAsk(context_->loop->now(), endpoint)) SendProbe(endpoint);
 }
 
-void Forwarder::Ask(const std::string& endpoint) {
-  parts_->metrics->Count("endpoints_asked_total");
-  const Time life = parts_->table->LifeBegun(endpoint);
-  const Time asked = parts_->loop->now();
-  if (!watch_.IsDown(endpoint)) evidence_.OnSent(asked);
-  parts_->ask(endpoint,
-              [this, endpoint, life, asked](const RunnerHealth& health) {
-                // An answer of a life that is over says nothing of the next
-                // one.
-                if (parts_->table->LifeBegun(endpoint) != life) return;
-                OnHealth(endpoint, asked, health);
-              });
+void Forwarder::SendProbe(const std::string& endpoint) {
+  context_->metrics->Count("endpoints_asked_total");
+  const Time restarted = context_->table->LifeBegun(endpoint);
+  const Time sent = context_->loop->now();
+  if (!watch_.IsDown(endpoint)) evidence_.OnSent(sent);
+  context_->ask(endpoint,
+                [this, endpoint, restarted, sent](const RunnerHealth& health) {
+                  // An answer of a life that is over says nothing of the next
+                  // one.
+                  if (context_->table->LifeBegun(endpoint) != restarted) return;
+                  OnProbeResult(endpoint, sent, health);
+                });
 }
 
-void Forwarder::AskAgain(const std::string& endpoint) {
-  parts_->metrics->Count("probes_undecided_total");
+void Forwarder::ProbeAgain(const std::string& endpoint) {
+  context_->metrics->Count("probes_undecided_total");
   if (!watch_.OnUndecided(endpoint)) return;
-  AskControl();
+  ProbeControlRunner();
   Doubt(endpoint);
 }
 
-void Forwarder::AskControl() {
-  const Time now = parts_->loop->now();
-  if (now - control_asked_ < ProbeEvidence::kTogether) return;
-  control_asked_ = now;
-  std::vector<const std::string*> able;
-  for (const auto& [name, row] : parts_->table->rows()) {
+void Forwarder::ProbeControlRunner() {
+  const Time now = context_->loop->now();
+  if (now - control_probed_at_ < ProbeEvidence::kTogether) return;
+  control_probed_at_ = now;
+  std::vector<const std::string*> candidates;
+  for (const auto& [name, row] : context_->table->rows()) {
     const bool runner = row.listed.role == EndpointRole::kRunner;
-    if (!runner || !parts_->table->TakesNewWork(now, name)) continue;
-    if (!watch_.IsSuspected(name)) able.push_back(&name);
+    if (!runner || !context_->table->TakesNewWork(now, name)) continue;
+    if (!watch_.IsSuspected(name)) candidates.push_back(&name);
   }
-  if (able.empty()) return;
-  std::uniform_int_distribution<size_t> any(0, able.size() - 1);
-  Doubt(*able[any(*parts_->random)]);
+  if (candidates.empty()) return;
+  std::uniform_int_distribution<size_t> any(0, candidates.size() - 1);
+  Doubt(*candidates[any(*context_->random)]);
 }
 
-void Forwarder::OnHealth(const std::string& endpoint, Time asked,
-                         const RunnerHealth& health) {
+void Forwarder::OnProbeResult(const std::string& endpoint, Time sent,
+                              const RunnerHealth& health) {
   if (health.answered) {
-    evidence_.OnAnswered(asked);
-  } else if (!watch_.IsDown(endpoint) && !evidence_.Blames(asked)) {
-    AskAgain(endpoint);
+    evidence_.OnAnswered(sent);
+  } else if (!watch_.IsDown(endpoint) && !evidence_.Blames(sent)) {
+    ProbeAgain(endpoint);
     return;
   }
   const EndpointWatch::Change change =
       watch_.OnAnswer(endpoint, health.works, health.pace);
-  parts_->table->SetDown(endpoint, !health.works);
+  context_->table->SetDown(endpoint, !health.works);
   if (health.works) {
-    parts_->table->SetPace(endpoint, health.pace);
-    parts_->table->OnObserved(parts_->loop->now(), endpoint, health.used,
-                              health.entries);
+    context_->table->SetPace(endpoint, health.pace);
+    context_->table->OnObserved(context_->loop->now(), endpoint, health.used,
+                                health.entries);
   }
   if (change == EndpointWatch::Change::kNone) return;
   capacities_.clear();
-  const Duration took = parts_->loop->now() - asked;
+  const Duration took = context_->loop->now() - sent;
   LogEvent(LogPart::kEndpoints, LogLevel::kWarn, "endpoint_health",
            LogFields()
                .Add("endpoint", endpoint)
                .Add("works", health.works)
                .Add("pace", health.pace)
                .Add("held_up_ms",
-                    ToMillis(parts_->loop->delays().LongestSince(asked)))
+                    ToMillis(context_->loop->delays().LongestSince(sent)))
                .Add("ms", ToMillis(took)));
   if (change != EndpointWatch::Change::kWorse) return;
   // One that is slow holds up all prompts that go on to be sent to it: of 64
   // boxes 51 found by themselves that a first stage had become twelve times too
   // slow.
-  const bool tell = !health.works || parts_->off.on(Mechanism::kTimedRecovery);
-  if (tell && parts_->on_down) parts_->on_down(endpoint);
+  const bool notify =
+      !health.works || context_->off.on(Mechanism::kTimedRecovery);
+  if (notify && context_->on_impaired) context_->on_impaired(endpoint);
   MoveRequests(endpoint);
 }
 
 const PoolCapacity& Forwarder::CapacityOf(const std::string& service,
                                           const std::string& version) {
-  const Time now = parts_->loop->now();
+  const Time now = context_->loop->now();
   const std::pair pool(service, version);
   auto it = capacities_.find(pool);
   const bool fresh =
@@ -284,12 +289,12 @@
   if (fresh) return it->second;
   capacities_.erase(pool);
   return capacities_
-      .emplace(pool, PoolCapacity(now, *parts_->table, service, version))
+      .emplace(pool, PoolCapacity(now, *context_->table, service, version))
       .first->second;
 }
 
 void Forwarder::OnNewLife(const std::string& endpoint) {
-  if (parts_->off.on(Mechanism::kMoveAtRestart)) {
+  if (context_->off.on(Mechanism::kMoveAtRestart)) {
     watch_.OnAnswer(endpoint, false, 1);
     MoveRequests(endpoint);
   }
--- a/pinford/forwarding/forwarder.h
+++ b/pinford/forwarding/forwarder.h
@@ -51,16 +51,16 @@
   std::function<double(const std::string& service, const std::string& hall)>
       hall_weight;
   // Whether the configuration is proved to be recent enough to act on keys.
-  std::function<bool()> proof_holds;
+  std::function<bool()> config_is_fresh;
   // The age of that proof, for the log.
-  std::function<Duration()> proof_age;
+  std::function<Duration()> freshness_age;
   std::function<void(const std::string& endpoint,
                      std::function<void(RunnerHealth)>)>
       ask;
   // A caller waits for the first configuration or list of endpoints.
-  std::function<void()> on_waiting;
+  std::function<void()> on_caller_waiting;
   // This box's own question found a runner down, or slow.
-  std::function<void(const std::string& endpoint)> on_down;
+  std::function<void(const std::string& endpoint)> on_impaired;
   // An answer of that life of the endpoint says that it leaves.
   std::function<void(const std::string& endpoint, uint64_t incarnation)>
       on_leaving;
@@ -73,7 +73,7 @@
 
 class Forwarder {
  public:
-  explicit Forwarder(ForwardParts* parts);
+  explicit Forwarder(ForwardParts* context);
   ~Forwarder();
 
   void set_routes(std::shared_ptr<const RouteTable> routes) {
@@ -83,9 +83,9 @@
 
   // The box stops: what could not end before `end` is refused as not run
   // once `since` has passed, when the balancer looks elsewhere.
-  void BeginStop(Time since, Time end) {
-    refuse_since_ = since;
-    end_ = end;
+  void BeginStop(Time refuse_from, Time deadline) {
+    refuse_from_ = refuse_from;
+    stop_deadline_ = deadline;
   }
 
   // The box ends: whoever still waits is told so, and the log says why.
@@ -107,8 +107,8 @@
   void OnFirstEvent(Duration took);
   // `allowed` is the longest that the caller allows.
   void OnGap(Duration gap, Duration allowed);
-  Duration usual_first() const { return usual_first_; }
-  Duration usual_gap() const { return usual_gap_; }
+  Duration mean_first_event() const { return mean_first_event_; }
+  Duration mean_gap() const { return mean_gap_; }
   // What the pool can read, as of some milliseconds ago at most.
   const PoolCapacity& CapacityOf(const std::string& service,
                                  const std::string& version);
@@ -126,42 +126,42 @@
   struct Refusal;
 
   // Whether a configuration and endpoints are known, or were once.
-  bool HasBegun();
-  void Wait(const EntryPtr& exchange);
+  bool IsInitialized();
+  void Enqueue(const EntryPtr& exchange);
   void Refuse(const EntryPtr& exchange, const Refusal& why);
-  void Done(ForwardedRequest* request);
+  void OnRequestDone(ForwardedRequest* request);
 
-  ForwardParts* parts_;
+  ForwardParts* context_;
   std::shared_ptr<const RouteTable> routes_;
-  bool begun_ = false;
-  StartQueue<EntryPtr> waiting_;
+  bool initialized_ = false;
+  StartQueue<EntryPtr> start_queue_;
   std::list<std::shared_ptr<ForwardedRequest>> active_;
   template <typename T>
-  static void Learn(T seen, T* usual);
+  static void UpdateMean(T sample, T* mean);
 
-  bool EndsInTime(const Route& route, Time now) const;
+  bool EndsBeforeStop(const Route& route, Time now) const;
 
-  Time refuse_since_ = Time::max();
-  Time end_ = Time::max();
-  void Ask(const std::string& endpoint);
+  Time refuse_from_ = Time::max();
+  Time stop_deadline_ = Time::max();
+  void SendProbe(const std::string& endpoint);
   // It has not answered, and neither have those that were asked with it: asks
   // it again, beside one more that nothing is suspected of.
-  void AskAgain(const std::string& endpoint);
-  void AskControl();
+  void ProbeAgain(const std::string& endpoint);
+  void ProbeControlRunner();
   // What came of the question that was put at `asked`.
-  void OnHealth(const std::string& endpoint, Time asked,
-                const RunnerHealth& health);
+  void OnProbeResult(const std::string& endpoint, Time sent,
+                     const RunnerHealth& health);
   // Requests that run there go elsewhere.
   void MoveRequests(const std::string& endpoint);
 
   EndpointWatch watch_;
   ProbeEvidence evidence_;
-  Time control_asked_{};
+  Time control_probed_at_{};
   // By service and version.
   std::map<std::pair<std::string, std::string>, PoolCapacity> capacities_;
-  Duration usual_first_{};
-  Duration usual_gap_{};
-  double usual_gap_share_ = 0;  // of the longest that is allowed
+  Duration mean_first_event_{};
+  Duration mean_gap_{};
+  double mean_gap_ratio_ = 0;  // of the longest that is allowed
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/request_log.h
+++ b/pinford/forwarding/request_log.h
@@ -21,8 +21,8 @@
 class RequestLog {
  public:
   // Both must outlive it.
-  RequestLog(const ForwardParts* parts, const ForwardOrder* order)
-      : parts_(parts), order_(order) {}
+  RequestLog(const ForwardParts* context, const ForwardOrder* order)
+      : context_(context), order_(order) {}
 
   // An attempt that ended, as far as it came.
   struct AttemptEnd {
@@ -30,45 +30,45 @@
     const ForwardTarget* target = nullptr;
     UpstreamEnd end = UpstreamEnd::kComplete;
     int status = 0;  // 0: none came
-    Ran ran = Ran::kNo;
+    Executed executed = Executed::kNo;
     std::string_view at_fault;     // the stage that the answer names
     std::string_view retry_after;  // as the answer has it
     // When it was to be sent: what was left of the rest that the endpoint had
     // asked for, and how long before the endpoint had been picked.
-    Duration rest_left{};
+    Duration backoff_left{};
     Duration since_pick{};
     Duration took{};
   };
   void AttemptFailed(const AttemptEnd& a) const;
 
   // Its endpoint wants nothing from this box for so long.
-  void RestAsked(const ForwardTarget& target, Duration rest) const;
+  void BackoffRequested(const ForwardTarget& target, Duration rest) const;
 
   // An attempt was left for another one; `event` says why.
-  struct Left {
+  struct AbandonedAttempt {
     int attempt = 0;
     const ForwardTarget* target = nullptr;
     int64_t events = 0;
-    Duration silent{};
-    Duration held_up{};  // this box, at most, within that silence
+    Duration idle{};
+    Duration process_delay{};  // this box, at most, within that silence
     Duration took{};
   };
-  void BegunAnew(std::string_view event, const Left& l) const;
+  void Restarted(std::string_view event, const AbandonedAttempt& l) const;
 
   // The entry was asked to go on with `chain` in the place of the present one.
   struct Replaced {
     const ForwardTarget* target = nullptr;
     const Chain& chain;
     RerouteStatus status = RerouteStatus::kUnknown;
-    int more_crossings = 0;  // hand-overs between halls, beyond those before
+    int extra_transfers = 0;  // hand-overs between halls, beyond those before
     int64_t events = 0;
     Duration since_event{};
   };
   void StagesReplaced(const Replaced& r) const;
 
   // What becomes of it after a stage went down or slow, and why.
-  void Recovered(const ForwardTarget& target, const RecoveryFacts& f,
-                 const Recovery& r) const;
+  void RecoveryChosen(const ForwardTarget& target, const RecoveryFacts& f,
+                      const Recovery& r) const;
 
   struct End {
     std::string_view outcome;
@@ -81,15 +81,15 @@
     WaitCause first_wait = WaitCause::kNone;
     Duration longest_gap{};
     WaitCause gap_wait = WaitCause::kNone;
-    Duration held_up{};  // this box, at most, since its arrival
-    bool cut = false;    // its caller got a part, and the rest never comes
+    Duration process_delay{};  // this box, at most, since its arrival
+    bool cut = false;  // its caller got a part, and the rest never comes
     std::optional<TcpEnd> caller_end;
     Duration took{};
   };
   void Ended(const End& e) const;
 
  private:
-  const ForwardParts* parts_;
+  const ForwardParts* context_;
   const ForwardOrder* order_;
 };
 
--- a/pinford/forwarding/request_recovery.cc
+++ b/pinford/forwarding/request_recovery.cc
@@ -11,148 +11,159 @@
 
 // While new stages read, a stream does not count as standing still for so long:
 // else it would be begun anew, and all of it read again.
-static constexpr Duration kMostQuiet = milliseconds(500);
+static constexpr Duration kMaxStallGrace = milliseconds(500);
 // A run that begins anew does so beside the others that lost the same runner,
 // and waits so many times as long for its next event.
-static constexpr int kCrowded = 3;
+static constexpr int kContentionFactor = 3;
 // How long a stream waits for a retry before it crosses between halls instead.
-static constexpr Duration kWaitBeforeCrossing = milliseconds(500);
+static constexpr Duration kMaxWaitForRetry = milliseconds(500);
 
 void ForwardedRequest::OnStageImpaired(const std::string& endpoint) {
-  if (over_ || upstream_ == 0 || replacing_) return;
-  if (!parts_->off.on(Mechanism::kStageReplacement)) return;
+  if (finished_ || upstream_id_ == 0 || replacing_) return;
+  if (!context_->off.on(Mechanism::kStageReplacement)) return;
   if (target_.Uses(endpoint)) ReplaceStages(now());
 }
 
 void ForwardedRequest::ReplaceStages(Time t) {
   using Impaired = ForwardTarget::Impaired;
-  decided_ = t;
-  const bool down_only = timed_ && target_.HasDown();
-  const std::optional<Chain> next =
-      target_.Without(t, down_only ? Impaired::kDown : Impaired::kDownOrSlow);
+  recovery_decided_at_ = t;
+  const bool down_only = timed_recovery_ && target_.HasDownStage();
+  const std::optional<Chain> next = target_.ChainWithoutImpaired(
+      t, down_only ? Impaired::kDown : Impaired::kDownOrSlow);
   if (next && *next == target_.chain()) return;
-  const Recovery recovery = timed_ ? Decide(t, next) : FirstChoice(next);
+  const Recovery recovery =
+      timed_recovery_ ? DecideRecovery(t, next) : DefaultRecovery(next);
   switch (recovery.move) {
-    case RecoveryMove::kStay:
+    case RecoveryAction::kStay:
       return;
-    case RecoveryMove::kBeginAnew:
+    case RecoveryAction::kRestart:
       // The entry itself is down, or nobody can stand in soon enough: the
       // request begins anew, if it may.
-      if (MayRepeat() && MayTryAgain(t, runs_ + 1) &&
-          RunAnew("attempt_abandoned", t)) {
+      if (MayRepeat() && AcquireAttempt(t, possible_runs_ + 1) &&
+          RestartElsewhere("attempt_abandoned", t)) {
         return;
       }
-      if (WaitsForRetry(t, next)) return;
+      if (ShouldAwaitRetry(t, next)) return;
       break;
-    case RecoveryMove::kReplace:
+    case RecoveryAction::kReplace:
       break;
   }
   // Without a stand-in its silence, or its connection's end, decides.
-  if (next && sent_any_) GoOnWith(t, *next, recovery.expected);
+  if (next && was_sent_) RequestReroute(t, *next, recovery.expected);
 }
 
 // A chain that crosses more holds up all that cross with it: better is to look
 // for a retry again, for a while.
-bool ForwardedRequest::WaitsForRetry(Time t, const std::optional<Chain>& next) {
-  if (why_no_more_ != kNoRetryLeft || first_event_ == Time{}) return false;
-  if (!next || target_.CrossingsOf(*next) <= target_.crossings()) return false;
-  wait_ = WaitCause::kRetry;
-  return t - last_event_ < kWaitBeforeCrossing;
+bool ForwardedRequest::ShouldAwaitRetry(Time t,
+                                        const std::optional<Chain>& next) {
+  if (no_attempt_reason_ != kNoRetryLeft || first_event_ == Time{})
+    return false;
+  if (!next || target_.HallTransfers(*next) <= target_.hall_transfers())
+    return false;
+  wait_cause_ = WaitCause::kRetry;
+  return t - last_event_ < kMaxWaitForRetry;
 }
 
-Recovery ForwardedRequest::FirstChoice(const std::optional<Chain>& next) const {
-  const bool replace = next && sent_any_;
-  return {replace ? RecoveryMove::kReplace : RecoveryMove::kBeginAnew,
+Recovery ForwardedRequest::DefaultRecovery(
+    const std::optional<Chain>& next) const {
+  const bool replace = next && was_sent_;
+  return {replace ? RecoveryAction::kReplace : RecoveryAction::kRestart,
           Duration(0)};
 }
 
-Recovery ForwardedRequest::Decide(Time t,
-                                  const std::optional<Chain>& next) const {
+Recovery ForwardedRequest::DecideRecovery(
+    Time t, const std::optional<Chain>& next) const {
   RecoveryFacts f;
-  f.down = target_.HasDown();
-  f.begun = first_event_ != Time{};
-  f.allowed = f.begun ? route_.target_gap : route_.target_latency;
-  f.silent = f.begun ? t - last_event_ : t - order_.exchange->begun();
-  f.gap_if_kept =
-      FromSeconds(ToSeconds(owner_->usual_gap()) * target_.Slowdown());
+  f.down = target_.HasDownStage();
+  f.started = first_event_ != Time{};
+  f.allowed = f.started ? route_.target_gap : route_.target_latency;
+  f.idle = f.started ? t - last_event_ : t - order_.exchange->begun();
+  f.gap_if_unchanged =
+      FromSeconds(ToSeconds(owner_->mean_gap()) * target_.Slowdown());
   const auto version = target_.Version(t);
-  if (next && sent_any_ && version) {
-    const RecoveryLoad load =
-        target_.LoadOf(t, *next, owner_->CapacityOf(order_.service, *version));
-    f.replace_all = TimeForAll(load);
-    f.more_crossings = load.more_crossings;
+  if (next && was_sent_ && version) {
+    const RecoveryLoad load = target_.RecoveryLoadFor(
+        t, *next, owner_->CapacityOf(order_.service, *version));
+    f.replace_all = TimeToRecoverAll(load);
+    f.extra_transfers = load.extra_transfers;
   }
-  f.place = PlaceOf(UnitHash(order_.id), order_.treatment.tier);
-  f.anew = kCrowded * owner_->usual_first();
-  f.may_begin_anew = MayRepeat() && runs_ + 1 < route_.max_attempts;
+  f.queue_position = QueuePosition(UnitHash(order_.id), order_.treatment.tier);
+  f.restart_time = kContentionFactor * owner_->mean_first_event();
+  f.may_restart = MayRepeat() && possible_runs_ + 1 < route_.max_attempts;
   const Recovery recovery = ChooseRecovery(f);
-  log_.Recovered(target_, f, recovery);
+  log_.RecoveryChosen(target_, f, recovery);
   return recovery;
 }
 
-void ForwardedRequest::GoOnWith(Time t, const Chain& chain, Duration expected) {
+void ForwardedRequest::RequestReroute(Time t, const Chain& chain,
+                                      Duration expected) {
   replacing_ = true;
-  progress_ = t;
-  wait_ = WaitCause::kReroute;
-  target_.Hold(t, chain);
-  parts_->reroute(target_.address(), order_.id, target_.Addressed(chain),
-                  [self = weak_from_this(), chain, expected,
-                   attempt = upstream_](const RerouteResult& result) {
-                    auto r = self.lock();
-                    if (r == nullptr) return;
-                    if (r->over_ || r->upstream_ != attempt) {
-                      r->target_.Drop(chain);
-                    } else {
-                      r->OnReplaced(chain, result, expected);
-                    }
-                  });
+  last_progress_ = t;
+  wait_cause_ = WaitCause::kReroute;
+  target_.ReserveChain(t, chain);
+  context_->reroute(target_.address(), order_.id, target_.WithAddresses(chain),
+                    [self = weak_from_this(), chain, expected,
+                     attempt = upstream_id_](const RerouteResult& result) {
+                      auto r = self.lock();
+                      if (r == nullptr) return;
+                      if (r->finished_ || r->upstream_id_ != attempt) {
+                        r->target_.ReleaseChain(chain);
+                      } else {
+                        r->OnRerouted(chain, result, expected);
+                      }
+                    });
 }
 
-void ForwardedRequest::OnReplaced(const Chain& chain,
+void ForwardedRequest::OnRerouted(const Chain& chain,
                                   const RerouteResult& result,
                                   Duration expected) {
   const Time t = now();
   replacing_ = false;
-  const int more = target_.CrossingsOf(chain) - target_.crossings();
-  log_.StagesReplaced(
-      {&target_, chain, result.status, more, events_.events(), SinceEvent(t)});
+  const int extra_transfers =
+      target_.HallTransfers(chain) - target_.hall_transfers();
+  log_.StagesReplaced({&target_, chain, result.status, extra_transfers,
+                       events_.events(), SinceEvent(t)});
   if (result.status == RerouteStatus::kDone) {
-    target_.Replace(t, chain);
+    target_.SwitchTo(t, chain);
     last_target_ = ChainText(chain);
-    wait_ = more > 0 ? WaitCause::kCrossing : WaitCause::kReading;
-    progress_ = t;
-    quiet_until_ = t + std::min(expected, kMostQuiet);
+    wait_cause_ =
+        extra_transfers > 0 ? WaitCause::kHallTransfer : WaitCause::kPrefill;
+    last_progress_ = t;
+    stall_check_after_ = t + std::min(expected, kMaxStallGrace);
     // Another stage may have failed meanwhile. If nobody can stand in for it,
     // its silence decides: a retry is dearer than a look.
-    if (!target_.HasDown()) return;
-    const auto next = target_.Without(t, ForwardTarget::Impaired::kDown);
-    if (next) GoOnWith(t, *next, expected);
+    if (!target_.HasDownStage()) return;
+    const auto next =
+        target_.ChainWithoutImpaired(t, ForwardTarget::Impaired::kDown);
+    if (next) RequestReroute(t, *next, expected);
     return;
   }
-  target_.Drop(chain);
-  wait_ = WaitCause::kNone;
+  target_.ReleaseChain(chain);
+  wait_cause_ = WaitCause::kNone;
   if (result.status == RerouteStatus::kNoPart) {
-    TurnedAway(target_.StageAt(chain, result.at_fault));
+    OnRejected(target_.StageAt(chain, result.at_fault));
   }
-  if (!MayRepeat() || !MayTryAgain(t, runs_ + 1)) return;
-  RunAnew("attempt_abandoned", t);
+  if (!MayRepeat() || !AcquireAttempt(t, possible_runs_ + 1)) return;
+  RestartElsewhere("attempt_abandoned", t);
 }
 
 // A stream whose stage is down gets nothing by itself. Where nothing could be
 // done for it, runners may have been found, loaded or regained meanwhile.
-bool ForwardedRequest::DecidesAgain(Time t) {
-  if (!timed_ || !parts_->off.on(Mechanism::kStageReplacement)) return false;
-  if (first_event_ == Time{} || t - decided_ < kResumePause) return false;
-  if (!target_.pool() || !target_.HasDown()) return false;
-  const UpstreamId before = upstream_;
+bool ForwardedRequest::ReevaluateRecovery(Time t) {
+  if (!timed_recovery_ || !context_->off.on(Mechanism::kStageReplacement))
+    return false;
+  if (first_event_ == Time{} || t - recovery_decided_at_ < kRecheckInterval)
+    return false;
+  if (!target_.pool() || !target_.HasDownStage()) return false;
+  const UpstreamId before = upstream_id_;
   ReplaceStages(t);
-  return replacing_ || upstream_ != before;
+  return replacing_ || upstream_id_ != before;
 }
 
 // Where no event has passed, no stage has shown a sign of life that could be
 // missed: prompts went on to a runner twelve times too slow, unasked, for 9 s.
-void ForwardedRequest::DoubtStages() {
-  for (const std::string& endpoint : target_.SilentSince(sent_)) {
+void ForwardedRequest::ProbeIdleStages() {
+  for (const std::string& endpoint : target_.StagesIdleSince(sent_)) {
     owner_->Doubt(endpoint);
   }
 }
--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -7,15 +7,15 @@
 namespace pinford {
 
 // With less time left nothing is begun any more.
-static constexpr milliseconds kLeastTime{30};
+static constexpr milliseconds kMinTimeLeft{30};
 // Sends that endpoints refused, beyond the route's attempts: what was refused
 // has not run there. A stream that has begun has no such bound.
-static constexpr int kMostRefusals = 2;
+static constexpr int kMaxExtraRefusals = 2;
 // When a caller whose request has not run should come back.
-static constexpr std::string_view kComeBack = "0.2";
+static constexpr std::string_view kRetryAfter = "0.2";
 
 // Why the last attempt is the end of its request.
-static std::string_view ReasonOf(UpstreamEnd end) {
+static std::string_view FailureReason(UpstreamEnd end) {
   // It came whole, and was not the endpoint's answer to this request.
   if (end == UpstreamEnd::kComplete) return "an answer that cannot be used";
   return UpstreamEndName(end);
@@ -26,69 +26,74 @@
   // That its key may have been taken away does not change with another
   // endpoint. The next proof is there within milliseconds where the store
   // answers: no reason to cut a stream whose caller has a part of it.
-  if (facts.end == UpstreamEnd::kWithdrawn && !proved_) {
-    if (!WaitForProof()) GiveUp(kUnproved);
+  if (facts.end == UpstreamEnd::kWithdrawn && !config_fresh_) {
+    if (!WaitForFreshness()) Fail(kConfigMaybeStale);
     return;
   }
-  const bool may_repeat = result.ran == Ran::kNo || MayRepeat();
-  if (!may_repeat || !MayTryAgain(now(), runs_)) {
-    if (may_repeat && why_no_more_ == kNoRetryLeft && WaitForRetry()) return;
-    GiveUp(result.ran == Ran::kNo ? why_no_more_ : ReasonOf(facts.end));
+  const bool may_repeat = result.executed == Executed::kNo || MayRepeat();
+  if (!may_repeat || !AcquireAttempt(now(), possible_runs_)) {
+    if (may_repeat && no_attempt_reason_ == kNoRetryLeft && WaitForRetry())
+      return;
+    Fail(result.executed == Executed::kNo ? no_attempt_reason_
+                                          : FailureReason(facts.end));
     return;
   }
   // A chain that was full is full for a while. One whose stage is down is not:
   // that stage is left out of the next pick.
-  const bool refused = facts.says_not_run && order_.exchange->streaming();
-  const bool full = refused && !(timed_ && refusals_++ == 0);
-  if (!full || !WaitToResume()) Attempt();
+  const bool rejected = facts.reported_not_run && order_.exchange->streaming();
+  const bool full = rejected && !(timed_recovery_ && resume_refusals_++ == 0);
+  if (!full || !WaitForChain()) StartAttempt();
 }
 
 bool ForwardedRequest::MayRepeat() const {
   const bool stream = route_.kind == RequestKind::kStream;
-  return route_.may_repeat() && (!stream || parts_->off.on(Mechanism::kResume));
+  return route_.may_repeat() &&
+         (!stream || context_->off.on(Mechanism::kResume));
 }
 
-bool ForwardedRequest::MayTryAgain(Time t, int runs) {
-  why_no_more_ = "not run there";
+bool ForwardedRequest::AcquireAttempt(Time t, int runs) {
+  no_attempt_reason_ = "not run there";
   if (runs >= route_.max_attempts) return false;
   const bool begun = order_.exchange->streaming();
-  if (!begun && tries_ >= route_.max_attempts + kMostRefusals) return false;
-  if (order_.limit - t < kLeastTime) return false;
+  if (!begun && picks_ >= route_.max_attempts + kMaxExtraRefusals) return false;
+  if (order_.limit - t < kMinTimeLeft) return false;
   // What never arrived anywhere is no retry to anybody.
-  if (!sent_any_ || retry_taken_) return true;
-  retry_taken_ = parts_->retries->Take(t, order_.service, Need());
-  if (!retry_taken_) why_no_more_ = kNoRetryLeft;
-  return retry_taken_;
+  if (!was_sent_ || retry_acquired_) return true;
+  retry_acquired_ =
+      context_->retries->Acquire(t, order_.service, retry_class());
+  if (!retry_acquired_) no_attempt_reason_ = kNoRetryLeft;
+  return retry_acquired_;
 }
 
-RetryNeed ForwardedRequest::Need() const {
-  if (order_.exchange->streaming()) return RetryNeed::kBegunStream;
+RetryNeed ForwardedRequest::retry_class() const {
+  if (order_.exchange->streaming()) return RetryNeed::kStartedStream;
   const bool urgent = order_.treatment.tier == Tier::kCritical;
   return urgent ? RetryNeed::kUrgent : RetryNeed::kOther;
 }
 
-void ForwardedRequest::GiveUp(std::string_view why, bool late) {
-  const ForwardHeaders& names = parts_->protocol.headers;
+void ForwardedRequest::Fail(std::string_view why, bool timed_out) {
+  const ForwardHeaders& names = context_->protocol.headers;
   EntryExchange& exchange = *order_.exchange;
   if (exchange.streaming()) {
     exchange.Abort();
     Finish(why);
     return;
   }
-  if (failure_) {
-    exchange.Reply(failure_->status, failure_->reason,
-                   PassedHeaders(*failure_, parts_->protocol), failure_body_);
+  if (endpoint_error_) {
+    exchange.Reply(endpoint_error_->status, endpoint_error_->reason,
+                   PassedHeaders(*endpoint_error_, context_->protocol),
+                   endpoint_error_body_);
     Finish("failed by endpoint");
     return;
   }
   HttpHeaders headers = {{"Content-Type", std::string(kJsonType)},
                          {names.request_id, order_.id}};
   if (!may_have_run_) {
-    headers.emplace_back("Retry-After", kComeBack);
+    headers.emplace_back("Retry-After", kRetryAfter);
     exchange.Reply(503, "", headers,
                    ErrorBody("unavailable", why, Outcome::kNotRun));
   } else {
-    exchange.Reply(late ? 504 : 502, "", headers,
+    exchange.Reply(timed_out ? 504 : 502, "", headers,
                    ErrorBody("upstream", why, Outcome::kUnknown));
   }
   Finish(why);
@@ -96,44 +101,45 @@
 
 // --- waits -----------------------------------------------------------------
 
-bool ForwardedRequest::WaitToResume() {
-  wait_ = WaitCause::kChain;
-  return LookAgain([](ForwardedRequest* r) { r->Attempt(); });
+bool ForwardedRequest::WaitForChain() {
+  wait_cause_ = WaitCause::kChain;
+  return ScheduleRecheck([](ForwardedRequest* r) { r->StartAttempt(); });
 }
 
 bool ForwardedRequest::WaitForRetry() {
-  wait_ = WaitCause::kRetry;
-  return LookAgain([](ForwardedRequest* r) {
-    if (r->MayTryAgain(r->now(), r->runs_)) {
-      r->Attempt();
-    } else if (r->why_no_more_ != kNoRetryLeft || !r->WaitForRetry()) {
-      r->GiveUp(r->why_no_more_);
+  wait_cause_ = WaitCause::kRetry;
+  return ScheduleRecheck([](ForwardedRequest* r) {
+    if (r->AcquireAttempt(r->now(), r->possible_runs_)) {
+      r->StartAttempt();
+    } else if (r->no_attempt_reason_ != kNoRetryLeft || !r->WaitForRetry()) {
+      r->Fail(r->no_attempt_reason_);
     }
   });
 }
 
-bool ForwardedRequest::WaitForProof() {
-  wait_ = WaitCause::kProof;
-  return LookAgain([](ForwardedRequest* r) {
-    if (r->parts_->proof_holds()) {
-      r->Attempt();
-    } else if (!r->WaitForProof()) {
-      r->GiveUp(kUnproved);
+bool ForwardedRequest::WaitForFreshness() {
+  wait_cause_ = WaitCause::kFreshness;
+  return ScheduleRecheck([](ForwardedRequest* r) {
+    if (r->context_->config_is_fresh()) {
+      r->StartAttempt();
+    } else if (!r->WaitForFreshness()) {
+      r->Fail(kConfigMaybeStale);
     }
   });
 }
 
 // Until its caller leaves or the time limit passes: how long a caller bears a
 // pause is for the caller to say.
-bool ForwardedRequest::LookAgain(void (*look)(ForwardedRequest*)) {
+bool ForwardedRequest::ScheduleRecheck(void (*recheck)(ForwardedRequest*)) {
   if (!order_.exchange->streaming()) return false;
-  resume_timer_ =
-      parts_->loop->After(kResumePause, [look, self = weak_from_this()] {
-        auto r = self.lock();
-        if (r == nullptr || r->over_) return;
-        r->resume_timer_ = 0;
-        look(r.get());
-      });
+  recheck_timer_ = context_->loop->After(kRecheckInterval,
+                                         [recheck, self = weak_from_this()] {
+                                           auto r = self.lock();
+                                           if (r == nullptr || r->finished_)
+                                             return;
+                                           r->recheck_timer_ = 0;
+                                           recheck(r.get());
+                                         });
   return true;
 }
 
--- a/pinford/forwarding/retry_loans.cc
+++ b/pinford/forwarding/retry_loans.cc
@@ -6,34 +6,40 @@
 
 // Of the bounds on asks and answers.
 static constexpr Duration kSecond = seconds(1);
-int RetryLoans::Left(Time now, Duration span, int most, Times* times) {
+int RetryLoans::RemainingInSpan(Time now, Duration span, int max_count,
+                                Times* times) {
   while (!times->empty() && now - times->front() >= span) times->pop_front();
-  return std::max(0, most - static_cast<int>(times->size()));
+  return std::max(0, max_count - static_cast<int>(times->size()));
 }
 
 std::vector<RetryAsk> RetryLoans::Asks(Time now) {
   // Those who were refused before the last asks may be served by them.
-  const Duration look = share_->options().look;
-  if (!ask_times_.empty() && now - ask_times_.back() < look) return {};
-  const RetryShare::Shortage lack = share_->Greatest(now);
-  if (lack.count == 0 || lack.service.size() > kMostAskService) return {};
-  std::erase_if(asked_, [now](const auto& a) { return now >= a.second.until; });
+  const Duration min_shortage_span = share_->options().min_shortage_span;
+  if (!ask_times_.empty() && now - ask_times_.back() < min_shortage_span)
+    return {};
+  const RetryShare::Shortage shortage = share_->FindShortage(now);
+  if (shortage.count == 0 || shortage.service.size() > kMostAskService)
+    return {};
+  std::erase_if(pending_asks_,
+                [now](const auto& a) { return now >= a.second.until; });
   // As many as suffice if each lends. Who is asked beyond that holds back what
   // nobody uses: with one more peer an ask 1 in 100 fewer retries were taken
   // over the tester's runs on a sound network.
-  const int suffice =
-      (lack.count + options_.most_each - 1) / options_.most_each;
-  const int each = (lack.count + suffice - 1) / suffice;
+  const int enough =
+      (shortage.count + options_.max_per_ask - 1) / options_.max_per_ask;
+  const int each = (shortage.count + enough - 1) / enough;
   const int peers =
-      std::min({suffice, share_->boxes() - 1,
-                Left(now, kSecond, options_.asks_a_second, &ask_times_)});
+      std::min({enough, share_->boxes() - 1,
+                RemainingInSpan(now, kSecond, options_.max_asks_per_second,
+                                &ask_times_)});
   std::vector<RetryAsk> asks;
   for (int i = 0; i < peers; i++) {
     RetryAsk& ask = asks.emplace_back();
     ask.nonce = random_();
-    ask.service = lack.service;
+    ask.service = shortage.service;
     ask.count = static_cast<uint8_t>(each);
-    asked_[ask.nonce] = {lack.service, each, now + share_->options().loan};
+    pending_asks_[ask.nonce] = {shortage.service, each,
+                                now + share_->options().loan_validity};
     ask_times_.push_back(now);
     asks_sent_++;
   }
@@ -41,13 +47,14 @@
 }
 
 std::optional<RetryLoan> RetryLoans::OnAsk(Time now, const RetryAsk& ask) {
-  if (Left(now, kSecond, options_.answers_a_second, &answer_times_) == 0) {
+  if (RemainingInSpan(now, kSecond, options_.max_loans_per_second,
+                      &loan_times_) == 0) {
     return std::nullopt;
   }
-  const int most = std::min<int>(ask.count, options_.most_each);
-  const int n = share_->Lend(now, ask.service, most);
+  const int max_count = std::min<int>(ask.count, options_.max_per_ask);
+  const int n = share_->Lend(now, ask.service, max_count);
   if (n == 0) return std::nullopt;
-  answer_times_.push_back(now);
+  loan_times_.push_back(now);
   lent_ += n;
   RetryLoan loan;
   loan.nonce = ask.nonce;
@@ -56,17 +63,18 @@
 }
 
 int RetryLoans::OnLoan(Time now, const RetryLoan& loan) {
-  auto it = asked_.find(loan.nonce);
-  if (it == asked_.end()) return 0;
-  const Asked asked = it->second;
-  asked_.erase(it);
-  if (now >= asked.until) return 0;
-  const int n = std::min({static_cast<int>(loan.count), asked.count,
-                          Left(now, share_->options().window,
-                               options_.most_borrowed, &borrow_times_)});
+  auto it = pending_asks_.find(loan.nonce);
+  if (it == pending_asks_.end()) return 0;
+  const PendingAsk pending = it->second;
+  pending_asks_.erase(it);
+  if (now >= pending.until) return 0;
+  const int n = std::min(
+      {static_cast<int>(loan.count), pending.count,
+       RemainingInSpan(now, share_->options().window,
+                       options_.max_borrowed_per_window, &borrow_times_)});
   borrow_times_.insert(borrow_times_.end(), n, now);
   borrowed_ += n;
-  share_->Borrow(asked.service, n, asked.until);
+  share_->Borrow(pending.service, n, pending.until);
   return n;
 }
 
--- a/pinford/forwarding/retry_loans.h
+++ b/pinford/forwarding/retry_loans.h
@@ -12,10 +12,10 @@
 //   carries the nonce of an ask of this life, once, before the ask's end by
 //   this box's own clock, and for no more than was asked for.
 // - A peer that grants what it does not have adds at most what it was asked
-//   for: `most_each` an ask, and `most_borrowed` a window for each box that
-//   lacks some.
-// - A peer that asks without need is lent at most `most_each` for each of
-//   `answers_a_second`, and never what this box keeps for itself.
+//   for: `max_per_ask` an ask, and `max_borrowed_per_window` a window for each
+//   box that lacks some.
+// - A peer that asks without need is lent at most `max_per_ask` for each of
+//   `max_loans_per_second`, and never what this box keeps for itself.
 //
 // What a box sends is the same for any number of boxes, and nothing while none
 // lacks a retry.
@@ -44,15 +44,15 @@
   struct Options {
     // Asked of one peer: what a box has to spare where it sees three requests
     // a second, since they earn five retries a window.
-    int most_each = 4;
+    int max_per_ask = 4;
     // 32 retries in all: the streams that a box loses at once with a group of
     // runners. Asks and answers together are 920 bytes in a second of need,
-    // with long names (RetryLoans.BytesAreFewAndFlat).
-    int asks_a_second = 8;
+    // with long names (RetryLoans.BytesAreBoundedForAnyNumberOfBoxes).
+    int max_asks_per_second = 8;
     // As many as are asked on average where every box lacks some.
-    int answers_a_second = 8;
+    int max_loans_per_second = 8;
     // In a window: two such losses. Bounds what a lying peer can add.
-    int most_borrowed = 64;
+    int max_borrowed_per_window = 64;
   };
 
   // `share` outlives it.
@@ -71,7 +71,7 @@
   int64_t borrowed() const { return borrowed_; }
 
  private:
-  struct Asked {
+  struct PendingAsk {
     std::string service;
     int count = 0;
     Time until{};
@@ -79,14 +79,15 @@
   // Events of the last while.
   using Times = std::deque<Time>;
   // How many of `most` in a span are left.
-  static int Left(Time now, Duration span, int most, Times* times);
+  static int RemainingInSpan(Time now, Duration span, int max_count,
+                             Times* times);
 
   RetryShare* share_;
   Options options_;
   Random random_;
-  std::unordered_map<uint64_t, Asked> asked_;  // by nonce
+  std::unordered_map<uint64_t, PendingAsk> pending_asks_;  // by nonce
   Times ask_times_;
-  Times answer_times_;
+  Times loan_times_;
   Times borrow_times_;
   int64_t asks_sent_ = 0;
   int64_t lent_ = 0;
--- a/pinford/forwarding/retry_share.cc
+++ b/pinford/forwarding/retry_share.cc
@@ -7,79 +7,82 @@
 
 namespace pinford {
 
-static constexpr EnumName<RetryNeed> kRetryNeedNames[] = {
-    {RetryNeed::kBegunStream, "begun_stream"},
+static constexpr EnumName<RetryNeed> kRetryClassNames[] = {
+    {RetryNeed::kStartedStream, "begun_stream"},
     {RetryNeed::kUrgent, "urgent"},
     {RetryNeed::kOther, "other"},
 };
-static_assert(std::size(kRetryNeedNames) == std::size(kRetryNeeds));
+static_assert(std::size(kRetryClassNames) == std::size(kRetryNeeds));
 
-std::string_view RetryNeedName(RetryNeed need) {
-  return NameIn(kRetryNeedNames, need);
+std::string_view RetryNeedName(RetryNeed retry_class) {
+  return NameIn(kRetryClassNames, retry_class);
 }
 
 // Drops what lies further back than `span`.
-static void DropOld(Time now, Duration span, std::deque<Time>* times) {
+static void DropOlderThan(Time now, Duration span, std::deque<Time>* times) {
   while (!times->empty() && now - times->front() > span) times->pop_front();
 }
 
-static double Number(const std::deque<Time>& times) {
+static double SizeOf(const std::deque<Time>& times) {
   return static_cast<double>(times.size());
 }
 
-void RetryShare::Forget(Time now, Window* w) const {
-  DropOld(now, options_.window, &w->requests);
-  DropOld(now, options_.window, &w->retries);
-  DropOld(now, options_.window + options_.loan, &w->lent);
-  DropOld(now, options_.look, &w->taken);
-  DropOld(now, LackSpan(now), &w->lacked);
+void RetryShare::DropExpired(Time now, Window* w) const {
+  DropOlderThan(now, options_.window, &w->requests);
+  DropOlderThan(now, options_.window, &w->retries);
+  DropOlderThan(now, options_.window + options_.loan_validity, &w->lent);
+  DropOlderThan(now, options_.min_shortage_span, &w->acquired);
+  DropOlderThan(now, ShortageSpan(now), &w->refusals);
   std::erase_if(w->borrowed, [now](Time until) { return now >= until; });
 }
 
-Duration RetryShare::LackSpan(Time now) const {
+Duration RetryShare::ShortageSpan(Time now) const {
   // Who was refused longer than a loan ago could not use one that is asked for
   // now.
-  return std::clamp(now - looked_, options_.look, options_.loan);
+  return std::clamp(now - shortage_checked_, options_.min_shortage_span,
+                    options_.loan_validity);
 }
 
 void RetryShare::OnBoxes(Time now, int n) {
-  if (n < boxes_ && now - boxes_seen_ < options_.remember) return;
+  if (n < boxes_ && now - boxes_updated_at_ < options_.box_count_hold) return;
   boxes_ = std::max(1, n);
-  boxes_seen_ = now;
+  boxes_updated_at_ = now;
 }
 
-double RetryShare::Extra(Time now) const {
+double RetryShare::FixedPart(Time now) const {
   if (now - started_ < options_.settle) return 0;
   return options_.extra / boxes_;
 }
 
-double RetryShare::Bound(Time now, const Window& w) const {
-  return options_.used * (options_.ratio * Number(w.requests) + Extra(now));
+double RetryShare::Limit(Time now, const Window& w) const {
+  return options_.safety_factor *
+         (options_.ratio * SizeOf(w.requests) + FixedPart(now));
 }
 
 void RetryShare::OnRequest(Time now, const std::string& service) {
   Window& w = windows_[service];
-  Forget(now, &w);
+  DropExpired(now, &w);
   w.requests.push_back(now);
 }
 
-bool RetryShare::Take(Time now, const std::string& service, RetryNeed need) {
+bool RetryShare::Acquire(Time now, const std::string& service,
+                         RetryNeed retry_class) {
   Window& w = windows_[service];
-  Forget(now, &w);
-  const bool first = need != RetryNeed::kOther;
-  if (first && !w.borrowed.empty()) {
+  DropExpired(now, &w);
+  const bool preferred = retry_class != RetryNeed::kOther;
+  if (preferred && !w.borrowed.empty()) {
     w.borrowed.pop_front();
-    w.taken.push_back(now);
+    w.acquired.push_back(now);
     return true;
   }
-  const double bound = Bound(now, w) * (first ? 1 : 1 - options_.kept);
-  if (Number(w.retries) + Number(w.lent) + 1 > bound) {
-    refused_[static_cast<int>(need)]++;
-    if (first) w.lacked.push_back(now);
+  const double bound = Limit(now, w) * (preferred ? 1 : 1 - options_.kept);
+  if (SizeOf(w.retries) + SizeOf(w.lent) + 1 > bound) {
+    refused_[static_cast<int>(retry_class)]++;
+    if (preferred) w.refusals.push_back(now);
     return false;
   }
   w.retries.push_back(now);
-  if (first) w.taken.push_back(now);
+  if (preferred) w.acquired.push_back(now);
   return true;
 }
 
@@ -89,51 +92,52 @@
 
 // --- loans -----------------------------------------------------------------
 
-int RetryShare::Lacks(Time now, const Window& w) const {
+int RetryShare::ShortageOf(Time now, const Window& w) const {
   const int borrowed = static_cast<int>(w.borrowed.size());
-  if (!w.lacked.empty()) return static_cast<int>(w.lacked.size()) - borrowed;
-  const double own = Bound(now, w) - Number(w.retries) - Number(w.lent);
-  const int left = borrowed + static_cast<int>(std::max(0.0, own));
-  return static_cast<int>(w.taken.size()) - left;
+  if (!w.refusals.empty())
+    return static_cast<int>(w.refusals.size()) - borrowed;
+  const double remaining = Limit(now, w) - SizeOf(w.retries) - SizeOf(w.lent);
+  const int available = borrowed + static_cast<int>(std::max(0.0, remaining));
+  return static_cast<int>(w.acquired.size()) - available;
 }
 
-RetryShare::Shortage RetryShare::Greatest(Time now) {
+RetryShare::Shortage RetryShare::FindShortage(Time now) {
   Shortage greatest;
   for (auto& [service, w] : windows_) {
-    if (w.taken.empty() && w.lacked.empty()) continue;
-    Forget(now, &w);
-    const int n = Lacks(now, w);
+    if (w.acquired.empty() && w.refusals.empty()) continue;
+    DropExpired(now, &w);
+    const int n = ShortageOf(now, w);
     if (n > greatest.count) greatest = {service, n};
   }
-  looked_ = now;
+  shortage_checked_ = now;
   return greatest;
 }
 
 double RetryShare::EarnedForLoan(Time now, const Window& w) const {
-  const Time from = now + options_.loan - options_.window;
+  const Time from = now + options_.loan_validity - options_.window;
   const auto first =
       std::lower_bound(w.requests.begin(), w.requests.end(), from);
-  return options_.used * options_.ratio *
+  return options_.safety_factor * options_.ratio *
          static_cast<double>(w.requests.end() - first);
 }
 
-int RetryShare::Lend(Time now, const std::string& service, int most) {
-  if (now - started_ < options_.window + options_.loan) return 0;
+int RetryShare::Lend(Time now, const std::string& service, int max_count) {
+  if (now - started_ < options_.window + options_.loan_validity) return 0;
   auto it = windows_.find(service);
   if (it == windows_.end()) return 0;
   Window& w = it->second;
-  Forget(now, &w);
-  if (Lacks(now, w) > 0 || !w.borrowed.empty()) return 0;
-  const double used = Number(w.retries) + Number(w.lent);
-  const double bound = Bound(now, w);
+  DropExpired(now, &w);
+  if (ShortageOf(now, w) > 0 || !w.borrowed.empty()) return 0;
+  const double used = SizeOf(w.retries) + SizeOf(w.lent);
+  const double bound = Limit(now, w);
   // What it needed a moment ago it may need again.
-  const auto lately =
-      std::lower_bound(w.retries.begin(), w.retries.end(), now - options_.loan);
-  const double need =
-      options_.kept * bound + static_cast<double>(w.retries.end() - lately);
-  const double over =
-      std::min(EarnedForLoan(now, w) - used, bound - used - need);
-  const int n = std::clamp(static_cast<int>(over), 0, std::max(0, most));
+  const auto recent = std::lower_bound(w.retries.begin(), w.retries.end(),
+                                       now - options_.loan_validity);
+  const double held_back =
+      options_.kept * bound + static_cast<double>(w.retries.end() - recent);
+  const double spare =
+      std::min(EarnedForLoan(now, w) - used, bound - used - held_back);
+  const int n = std::clamp(static_cast<int>(spare), 0, std::max(0, max_count));
   w.lent.insert(w.lent.end(), n, now);
   return n;
 }
--- a/pinford/forwarding/retry_share.h
+++ b/pinford/forwarding/retry_share.h
@@ -25,7 +25,7 @@
 //   that can fall into a window with what it lends: after a window and a loan.
 //   With lending from `settle` on, the tester's sum exceeded the bound by 2.4
 //   in a window where it kept 3.2 below without loans; so it keeps 2.2 below
-//   (RetryLoans.DeathsAddNothingByWhatWasLent, deaths one by one and of all).
+//   (RetryLoans.RestartsAddNothingThroughLoans, deaths one by one and of all).
 //
 // The last part of a share is kept for those whose callers lose most: streams
 // that have begun, and urgent requests. They alone use what is borrowed: others
@@ -46,14 +46,14 @@
 
 // Who needs a retry.
 enum class RetryNeed {
-  kBegunStream,  // its caller has a part that it would have to throw away
-  kUrgent,       // of the most urgent tier
-  kOther,        // its caller is told at once, and can come back
+  kStartedStream,  // its caller has a part that it would have to throw away
+  kUrgent,         // of the most urgent tier
+  kOther,          // its caller is told at once, and can come back
 };
 inline constexpr RetryNeed kRetryNeeds[] = {
-    RetryNeed::kBegunStream, RetryNeed::kUrgent, RetryNeed::kOther};
+    RetryNeed::kStartedStream, RetryNeed::kUrgent, RetryNeed::kOther};
 
-std::string_view RetryNeedName(RetryNeed need);
+std::string_view RetryNeedName(RetryNeed retry_class);
 
 class RetryShare {
  public:
@@ -63,24 +63,24 @@
     Duration window = seconds(10);
     // Part of the bound that is used: boxes' windows do not begin together,
     // and a box may think that there are fewer boxes than there are.
-    double used = 0.8;
-    Duration settle = seconds(4);     // after the start, to hear of all boxes
-    Duration remember = seconds(60);  // the greatest number of boxes
+    double safety_factor = 0.8;
+    Duration settle = seconds(4);  // after the start, to hear of all boxes
+    Duration box_count_hold = seconds(60);  // the greatest number of boxes
     // Part of the share kept for begun streams and urgent requests. It has to
     // last until a loan comes, for the streams that a lost runner cuts at one
     // box; a greater one would refuse others what nobody needs in most windows.
     double kept = 0.25;
     // A loan ends so long after the ask. A stream waits 2.5 s for a retry;
     // longer loans would be of little use to it and bind the lender for longer.
-    Duration loan = seconds(1);
+    Duration loan_validity = seconds(1);
     // Who is refused within so long is counted once: requests that stand still
     // look for a retry at each tick of the forwarder, streams that wait for one
     // at each third. It is longer where Greatest comes later than that.
-    Duration look = milliseconds(20);
+    Duration min_shortage_span = milliseconds(20);
   };
 
   RetryShare(Time started, const Options& options)
-      : options_(options), started_(started), looked_(started) {}
+      : options_(options), started_(started), shortage_checked_(started) {}
 
   void set_options(const Options& options) { options_ = options; }
   const Options& options() const { return options_; }
@@ -90,11 +90,11 @@
 
   void OnRequest(Time now, const std::string& service);
   // Counts a retry if one may be sent now.
-  bool Take(Time now, const std::string& service,
-            RetryNeed need = RetryNeed::kBegunStream);
+  bool Acquire(Time now, const std::string& service,
+               RetryNeed retry_class = RetryNeed::kStartedStream);
   int64_t refused() const;
-  int64_t refused(RetryNeed need) const {
-    return refused_[static_cast<int>(need)];
+  int64_t refused(RetryNeed retry_class) const {
+    return refused_[static_cast<int>(retry_class)];
   }
 
   // The service for which begun streams and urgent requests lack the most
@@ -104,10 +104,10 @@
     std::string service;
     int count = 0;
   };
-  Shortage Greatest(Time now);
+  Shortage FindShortage(Time now);
   // Counts up to `most` retries as lent, and says how many: none shortly after
   // the start, nor while this box lacks some itself, nor what it may need.
-  int Lend(Time now, const std::string& service, int most);
+  int Lend(Time now, const std::string& service, int max_count);
   // `n` retries that a peer has counted may be used before `until`.
   void Borrow(const std::string& service, int n, Time until);
 
@@ -118,27 +118,27 @@
     std::deque<Time> lent;      // one for each
     std::deque<Time> borrowed;  // ends, one for each
     // Of begun streams and urgent requests.
-    std::deque<Time> taken;   // within the last `look`
-    std::deque<Time> lacked;  // within LackSpan
+    std::deque<Time> acquired;  // within the last `look`
+    std::deque<Time> refusals;  // within ShortageSpan
   };
-  void Forget(Time now, Window* w) const;
+  void DropExpired(Time now, Window* w) const;
   // How far back refusals count. A refusal right after one tick is asked for at
   // the next, which comes late where a box is busy: with `look` alone it was
   // forgotten by then, and 7 of 60 runs of two whole boxes borrowed nothing
-  // (RetryLoans.ARefusalIsAskedForHoweverLateTheNextTickIs).
-  Duration LackSpan(Time now) const;
+  // (RetryLoans.ARefusalIsAskedForAfterALateTick).
+  Duration ShortageSpan(Time now) const;
   // This box's part of the fixed number.
-  double Extra(Time now) const;
-  double Bound(Time now, const Window& w) const;
+  double FixedPart(Time now) const;
+  double Limit(Time now, const Window& w) const;
   // What the requests earn that still count when a loan of now ends.
   double EarnedForLoan(Time now, const Window& w) const;
-  int Lacks(Time now, const Window& w) const;
+  int ShortageOf(Time now, const Window& w) const;
 
   Options options_;
   Time started_;
-  Time looked_;  // when Greatest was last asked
+  Time shortage_checked_;  // when Greatest was last asked
   int boxes_ = 1;
-  Time boxes_seen_{};
+  Time boxes_updated_at_{};
   std::map<std::string, Window> windows_;
   int64_t refused_[std::size(kRetryNeeds)] = {};
 };
--- a/pinford/forwarding/stage_recovery.cc
+++ b/pinford/forwarding/stage_recovery.cc
@@ -9,29 +9,29 @@
 
 // Of the allowed pause, what the usual gap on a slow stage may take. The rest
 // is for the passes that read prompts between two events: of 250 ms, 100.
-static constexpr double kKeptShare = 0.6;
+static constexpr double kMaxSlowGapShare = 0.6;
 
-static constexpr EnumName<RecoveryMove> kMoveNames[] = {
-    {RecoveryMove::kStay, "stay"},
-    {RecoveryMove::kReplace, "replace"},
-    {RecoveryMove::kBeginAnew, "begin anew"},
+static constexpr EnumName<RecoveryAction> kRecoveryActionNames[] = {
+    {RecoveryAction::kStay, "stay"},
+    {RecoveryAction::kReplace, "replace"},
+    {RecoveryAction::kRestart, "begin anew"},
 };
 
-std::string_view RecoveryMoveName(RecoveryMove m) {
-  return NameIn(kMoveNames, m);
+std::string_view RecoveryActionName(RecoveryAction m) {
+  return NameIn(kRecoveryActionNames, m);
 }
 
-Duration TimeForAll(const RecoveryLoad& load) {
+Duration TimeToRecoverAll(const RecoveryLoad& load) {
   if (load.tokens <= 0) return Duration(0);
   if (load.read_per_s <= 0) return Duration::max();
   const double read = load.tokens / load.read_per_s;
-  const double cross = std::max(0, load.more_crossings) * load.tokens *
+  const double cross = std::max(0, load.extra_transfers) * load.tokens *
                        load.crossing_seconds / std::max(1, load.links);
   // Reading begins as tokens arrive, so that the slower of the two binds.
   return FromSeconds(std::max(read, cross));
 }
 
-double PlaceOf(double draw, Tier tier) {
+double QueuePosition(double draw, Tier tier) {
   switch (tier) {
     case Tier::kCritical:
       return draw * draw;
@@ -44,7 +44,7 @@
   return draw;
 }
 
-static Duration Part(double part, Duration of) {
+static Duration Scaled(double part, Duration of) {
   if (of == Duration::max()) return of;
   return FromSeconds(part * ToSeconds(of));
 }
@@ -52,27 +52,29 @@
 // With a stage that is down nothing comes: one of the others it must be.
 static Recovery ChooseForDown(const RecoveryFacts& f) {
   if (!f.replace_all) {
-    return {f.may_begin_anew ? RecoveryMove::kBeginAnew : RecoveryMove::kStay,
-            f.anew};
+    return {f.may_restart ? RecoveryAction::kRestart : RecoveryAction::kStay,
+            f.restart_time};
   }
-  const Duration replace = Part(f.place, *f.replace_all);
-  const Duration left = f.allowed - f.silent;
+  const Duration replace = Scaled(f.queue_position, *f.replace_all);
+  const Duration time_left = f.allowed - f.idle;
   // A retry is spent where it brings the stream on sooner, and in time that
   // the new stages cannot keep.
-  const bool anew = f.may_begin_anew && replace > left && f.anew < replace;
-  if (anew) return {RecoveryMove::kBeginAnew, f.anew};
-  return {RecoveryMove::kReplace, *f.replace_all};
+  const bool restart =
+      f.may_restart && replace > time_left && f.restart_time < replace;
+  if (restart) return {RecoveryAction::kRestart, f.restart_time};
+  return {RecoveryAction::kReplace, *f.replace_all};
 }
 
 static Recovery ChooseForSlow(const RecoveryFacts& f) {
-  const bool kept = f.gap_if_kept <= Part(kKeptShare, f.allowed);
-  if (f.begun && kept) return {RecoveryMove::kStay, f.gap_if_kept};
+  const bool gap_fits =
+      f.gap_if_unchanged <= Scaled(kMaxSlowGapShare, f.allowed);
+  if (f.started && gap_fits) return {RecoveryAction::kStay, f.gap_if_unchanged};
   // What crosses between halls pays for all that its stream still has to say.
-  const bool near = f.replace_all && f.more_crossings <= 0;
-  if (!near) return {RecoveryMove::kStay, f.gap_if_kept};
-  const Duration replace = Part(f.place, *f.replace_all);
-  if (replace > f.allowed) return {RecoveryMove::kStay, f.gap_if_kept};
-  return {RecoveryMove::kReplace, *f.replace_all};
+  const bool no_transfer = f.replace_all && f.extra_transfers <= 0;
+  if (!no_transfer) return {RecoveryAction::kStay, f.gap_if_unchanged};
+  const Duration replace = Scaled(f.queue_position, *f.replace_all);
+  if (replace > f.allowed) return {RecoveryAction::kStay, f.gap_if_unchanged};
+  return {RecoveryAction::kReplace, *f.replace_all};
 }
 
 Recovery ChooseRecovery(const RecoveryFacts& facts) {
--- a/pinford/forwarding/stage_recovery.h
+++ b/pinford/forwarding/stage_recovery.h
@@ -32,51 +32,51 @@
 
 namespace pinford {
 
-enum class RecoveryMove {
-  kStay,       // it goes on with the chain that it has
-  kReplace,    // other runners take the part of the stages
-  kBeginAnew,  // it begins anew, with a retry
+enum class RecoveryAction {
+  kStay,     // it goes on with the chain that it has
+  kReplace,  // other runners take the part of the stages
+  kRestart,  // it begins anew, with a retry
 };
 
-std::string_view RecoveryMoveName(RecoveryMove m);
+std::string_view RecoveryActionName(RecoveryAction m);
 
 // Streams that lose a stage together, as far as a box can know.
 struct RecoveryLoad {
-  double tokens = 0;       // of all streams of the stage, to be read again
-  double read_per_s = 0;   // tokens a second that the new stages read, together
-  int more_crossings = 0;  // hand-overs between halls beyond those before
+  double tokens = 0;      // of all streams of the stage, to be read again
+  double read_per_s = 0;  // tokens a second that the new stages read, together
+  int extra_transfers = 0;      // hand-overs between halls beyond those before
   double crossing_seconds = 0;  // a token takes of a link between two halls
   int links = 1;                // that share what crosses
 };
 
 // Until all streams of the load have been taken up; Duration::max() if they
 // never are.
-Duration TimeForAll(const RecoveryLoad& load);
+Duration TimeToRecoverAll(const RecoveryLoad& load);
 
 // A stream's place among those that are to be taken up, from 0 (first) to 1,
 // by a `draw` in [0, 1) of its own. The urgent tiers stand in front.
-double PlaceOf(double draw, Tier tier);
+double QueuePosition(double draw, Tier tier);
 
 struct RecoveryFacts {
-  bool down = false;   // the stage does not answer; else it is slow
-  bool begun = false;  // events have passed
-  Duration allowed{};  // longest pause between events; of one that has not
-                       // begun, until its first event
-  Duration silent{};   // since the last event
+  bool down = false;     // the stage does not answer; else it is slow
+  bool started = false;  // events have passed
+  Duration allowed{};    // longest pause between events; of one that has not
+                         // begun, until its first event
+  Duration idle{};       // since the last event
   // Gap between events that the chain as it is lets expect.
-  Duration gap_if_kept{};
-  // Until all streams concerned have new stages (TimeForAll); nothing if
+  Duration gap_if_unchanged{};
+  // Until all streams concerned have new stages (TimeToRecoverAll); nothing if
   // nobody can take the part.
   std::optional<Duration> replace_all;
-  int more_crossings = 0;
-  double place = 0;  // PlaceOf
+  int extra_transfers = 0;
+  double queue_position = 0;  // QueuePosition
   // Until the first event of a new run, as is usual.
-  Duration anew{};
-  bool may_begin_anew = false;
+  Duration restart_time{};
+  bool may_restart = false;
 };
 
 struct Recovery {
-  RecoveryMove move = RecoveryMove::kStay;
+  RecoveryAction move = RecoveryAction::kStay;
   // Until its next event with that move; of kReplace, until that of the last
   // one concerned.
   Duration expected{};
--- a/pinford/forwarding/start_queue.h
+++ b/pinford/forwarding/start_queue.h
@@ -25,7 +25,7 @@
   // strictest latency that callers ask for is 120 ms.
   Duration longest = milliseconds(100);
   // Bounds memory: 800 bytes each on the mean, 4 MB at the very most.
-  size_t most = 256;
+  size_t max_items = 256;
 };
 
 template <typename Item>
@@ -35,12 +35,12 @@
 
   // False if it is full.
   bool Add(Time now, Item item) {
-    if (waiting_.size() >= options_.most) return false;
+    if (waiting_.size() >= options_.max_items) return false;
     waiting_.emplace_back(now, std::move(item));
     return true;
   }
   // Those who have waited for as long as they may.
-  std::vector<Item> TakeOverdue(Time now) {
+  std::vector<Item> PopExpired(Time now) {
     std::vector<Item> out;
     while (!waiting_.empty() &&
            now - waiting_.front().first >= options_.longest) {
@@ -50,7 +50,7 @@
     return out;
   }
   // All, in the order in which they came.
-  std::vector<Item> TakeAll() {
+  std::vector<Item> PopAll() {
     std::vector<Item> out;
     for (auto& [since, item] : waiting_) out.push_back(std::move(item));
     waiting_.clear();
--- a/pinford/forwarding/wait_cause.h
+++ b/pinford/forwarding/wait_cause.h
@@ -13,14 +13,14 @@
 namespace pinford {
 
 enum class WaitCause {
-  kNone,      // for nothing that is known: its runners are at work
-  kStart,     // for a run to begin: a slot, and the prompt to be read
-  kReroute,   // for its first stage to take another chain
-  kReading,   // for new stages to read its tokens
-  kCrossing,  // the same, with more hand-overs between halls than before
-  kRetry,     // for a retry to be left
-  kChain,     // for a chain that takes it
-  kProof,     // for a fresh proof of the configuration
+  kNone,          // for nothing that is known: its runners are at work
+  kStart,         // for a run to begin: a slot, and the prompt to be read
+  kReroute,       // for its first stage to take another chain
+  kPrefill,       // for new stages to read its tokens
+  kHallTransfer,  // the same, with more hand-overs between halls than before
+  kRetry,         // for a retry to be left
+  kChain,         // for a chain that takes it
+  kFreshness,     // for a fresh proof of the configuration
 };
 
 std::string_view WaitCauseName(WaitCause c);
--- a/pinford/testing/asked_rest_test.cc
+++ b/pinford/testing/asked_rest_test.cc
@@ -28,14 +28,14 @@
 
 using Fixture = ForwarderFixture;
 
-std::string AsksForRest(const std::string& retry_after) {
+std::string BackoffResponse(const std::string& retry_after) {
   return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nRetry-After: " + retry_after +
          "\r\nContent-Length: 0\r\n\r\n";
 }
 
 // Asks until the answer is there, however busy the machine.
 std::string StatusOfNext(Fixture* f) {
-  std::string answer = f->Ask("GET", "/get/", milliseconds(10));
+  std::string answer = f->SendRequest("GET", "/get/", milliseconds(10));
   for (int i = 0; answer.empty() && i < 200; i++) {
     f->RunFor(milliseconds(10));
     answer = f->got;
@@ -44,10 +44,10 @@
 }
 
 // Endpoint a turns away and asks for two seconds of rest, each time.
-TEST(AskedRest, AnEndpointGetsNothingUntilItsRestIsOver) {
+TEST(RequestedBackoff, AnEndpointGetsNothingUntilItsBackoffEnds) {
   constexpr int kMost = 400;
   Fixture f;
-  f.Script(std::vector<RawEndpoint::Step>(kMost, {AsksForRest("2")}),
+  f.Script(std::vector<RawEndpoint::Step>(kMost, {BackoffResponse("2")}),
            std::vector<RawEndpoint::Step>(kMost, {Sealed("1", "ab")}));
   Time before{};
   while (f.a.requests.empty()) {
@@ -69,7 +69,7 @@
 }
 
 // Whatever else becomes known of an endpoint, and whoever else there is.
-TEST(AskedRest, NothingElseEndsIt) {
+TEST(RequestedBackoff, NoOtherEventEndsIt) {
   const Time start = Time{} + hours(1);
   const ListedEndpoint listed =
       Fixture::Listed("a", EndpointRole::kService, Address{"127.0.0.1", 1});
@@ -125,9 +125,9 @@
 }
 
 // What no endpoint wants is rejected at once, as not run, and reaches nobody.
-TEST(AskedRest, WhereAllRestARequestIsRejectedAtOnce) {
+TEST(RequestedBackoff, RejectsAtOnceWhenAllBackOff) {
   Fixture f;
-  const std::vector<RawEndpoint::Step> refuse(10, {AsksForRest("5")});
+  const std::vector<RawEndpoint::Step> refuse(10, {BackoffResponse("5")});
   f.Script(refuse, refuse);
   EXPECT_EQ(StatusOfNext(&f), "503");
   EXPECT_EQ(f.sends(), 2) << "each of them is tried";
@@ -139,23 +139,25 @@
 
 // A runner that is a chain's first stage, and asks for rest: the next request
 // begins elsewhere or nowhere, and the runner is not asked how it is.
-TEST(AskedRest, AFirstStageIsLeftAloneAndNotAsked) {
+TEST(RequestedBackoff, AFirstStageIsNeitherUsedNorProbed) {
   Fixture f;
   f.MakePool();
-  f.Script(std::vector<RawEndpoint::Step>(10, {AsksForRest("5")}), {});
-  EXPECT_EQ(StatusOf(f.Ask("POST", "/stream/1", milliseconds(100))), "503");
+  f.Script(std::vector<RawEndpoint::Step>(10, {BackoffResponse("5")}), {});
+  EXPECT_EQ(StatusOf(f.SendRequest("POST", "/stream/1", milliseconds(100))),
+            "503");
   EXPECT_EQ(f.a.requests.size(), 1);
   f.RunFor(milliseconds(400));  // longer than a full endpoint is left alone
-  EXPECT_EQ(StatusOf(f.Ask("POST", "/stream/1", milliseconds(100))), "503");
+  EXPECT_EQ(StatusOf(f.SendRequest("POST", "/stream/1", milliseconds(100))),
+            "503");
   EXPECT_EQ(f.a.requests.size(), 1);
-  EXPECT_TRUE(f.asked.empty());
+  EXPECT_TRUE(f.probed.empty());
 }
 
 // The same cause, with another word: an endpoint that leaves says so in all its
 // answers, which may come seconds before its entry in the list changes, or
 // while no list can be had. It counts from the answer's head on: the end of a
 // stream is up to twenty seconds away.
-TEST(SaidLeaving, AnEndpointGetsNothingNewAfterAnAnswerThatSaysSo) {
+TEST(LeavingNotice, AnEndpointGetsNothingNewAfterItsNotice) {
   const std::string leaves = "X-Leaving: 1\r\n";
   const std::string stream =
       "HTTP/1.1 200 OK\r\nX-Pinford-Request: 1\r\nX-Seal: s\r\n" + leaves +
@@ -183,31 +185,31 @@
   };
   for (const auto& c : cases) {
     Fixture f;
-    f.List({"a"});
+    f.SetEndpoints({"a"});
     f.Script({{c.answer}}, {{Sealed("1", "ab")}});
-    f.Ask("GET", c.path, milliseconds(60));
+    f.SendRequest("GET", c.path, milliseconds(60));
     const std::vector<LeavingMark> expected = {{"a", 1}};
     if (c.says_so) {
-      EXPECT_EQ(f.said_leaving, expected) << c.name;
+      EXPECT_EQ(f.leaving_reports, expected) << c.name;
     } else {
-      EXPECT_TRUE(f.said_leaving.empty()) << c.name;
+      EXPECT_TRUE(f.leaving_reports.empty()) << c.name;
       continue;
     }
     // Whoever else there is or is not.
-    EXPECT_EQ(StatusOf(f.Ask("GET", "/get/", milliseconds(40))), "503");
+    EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/", milliseconds(40))), "503");
     EXPECT_EQ(f.a.requests.size(), 1) << c.name;
-    f.List({"a", "b"});
-    EXPECT_EQ(StatusOf(f.Ask("GET", "/get/", milliseconds(40))), "200");
+    f.SetEndpoints({"a", "b"});
+    EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/", milliseconds(40))), "200");
     EXPECT_EQ(f.a.requests.size(), 1) << c.name;
   }
 }
 
 // The answer is of the life that the request was sent to.
-TEST(SaidLeaving, ALaterLifeUnderTheIdStays) {
+TEST(LeavingNotice, ALaterIncarnationIsUnaffected) {
   Fixture f;
-  f.List({"a"});
+  f.SetEndpoints({"a"});
   f.Script({{"", RawEndpoint::Step::Then::kKeep}}, {});
-  f.Ask("GET", "/get/", milliseconds(40));
+  f.SendRequest("GET", "/get/", milliseconds(40));
   ListedEndpoint anew =
       Fixture::Listed("a", EndpointRole::kService, f.b.address());
   anew.incarnation = 2;
@@ -220,14 +222,14 @@
   f.RunFor(milliseconds(40));
   EXPECT_EQ(StatusOf(f.got), "200");
   const std::vector<LeavingMark> expected = {{"a", 1}};
-  EXPECT_EQ(f.said_leaving, expected);
+  EXPECT_EQ(f.leaving_reports, expected);
   EXPECT_TRUE(f.table.TakesNewWork(f.loop.now(), "a"));
 }
 
 // An endpoint is picked before there is a connection to it, which may take
 // hundreds of milliseconds to make. What becomes known meanwhile counts: the
 // request goes elsewhere, and takes no retry for it.
-TEST(AskedRest, WhatIsHeardWhileAConnectionIsMadeCounts) {
+TEST(RequestedBackoff, StateChangesDuringConnectAreHonored) {
   const struct {
     const char* name;
     std::function<void(Fixture*, const std::string&)> heard;
@@ -248,7 +250,7 @@
        }},
       {"is gone",
        [](Fixture* f, const std::string& name) {
-         f->List({name == "a" ? "b" : "a"});
+         f->SetEndpoints({name == "a" ? "b" : "a"});
        }},
   };
   for (const auto& c : cases) {
@@ -258,10 +260,10 @@
       none.ratio = none.extra = 0;
       f.retries.set_options(none);
       f.Script({{Sealed("1", "a")}}, {{Sealed("1", "b")}});
-      int looks = 0;
+      int checks = 0;
       std::string picked;
-      f.parts.proof_holds = [&] {
-        if (++looks != 2) return true;
+      f.context.config_is_fresh = [&] {
+        if (++checks != 2) return true;
         // The connection has just been made.
         for (const auto& [name, row] : f.table.rows()) {
           if (row.own > 0) picked = name;
@@ -269,7 +271,7 @@
         c.heard(&f, picked);
         return true;
       };
-      EXPECT_EQ(StatusOf(f.Ask("GET", path)), "200") << c.name << path;
+      EXPECT_EQ(StatusOf(f.SendRequest("GET", path)), "200") << c.name << path;
       EXPECT_EQ(f.sends(), 1) << c.name << path;
       const RawEndpoint& left = picked == "a" ? f.a : f.b;
       EXPECT_TRUE(left.requests.empty()) << c.name << path;
--- a/pinford/testing/forward_decisions_test.cc
+++ b/pinford/testing/forward_decisions_test.cc
@@ -20,95 +20,95 @@
 
 // --- what an attempt's end says --------------------------------------------
 
-TEST(AttemptResult, NotRunOnlyOnTheEndpointsWordOrWithoutASend) {
+TEST(AttemptResult, NotRunRequiresEndpointReportOrNoSend) {
   const struct {
     const char* name;
     AttemptFacts facts;
-    Ran ran;
-    AttemptUse use;
-    Lesson lesson;
+    Executed executed;
+    ResponseUse use;
+    EndpointFeedback feedback;
   } cases[] = {
       {"no connection",
        {UpstreamEnd::kRefused},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"kept back",
        {UpstreamEnd::kWithdrawn},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kNone},
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kNone},
       {"broken",
        {UpstreamEnd::kBroken},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"no HTTP",
        {UpstreamEnd::kGarbage},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"cut",
        {UpstreamEnd::kCut, 200, false, true},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"cut refusal",
        {UpstreamEnd::kCut, 503, true, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"refused",
        {UpstreamEnd::kComplete, 503, true, false},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kTurnedAway},
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kRejected},
       {"another life",
        {UpstreamEnd::kComplete, 421, false, false},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kTurnedAway},
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kRejected},
       {"503 without the word",
        {UpstreamEnd::kComplete, 503, false, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"429 without the word",
        {UpstreamEnd::kComplete, 429, false, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"answer",
        {UpstreamEnd::kComplete, 200, false, true},
-       Ran::kYes,
-       AttemptUse::kPassOn,
-       Lesson::kNone},
+       Executed::kYes,
+       ResponseUse::kForward,
+       EndpointFeedback::kNone},
       {"answer without seal",
        {UpstreamEnd::kComplete, 200, false, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"encoded answer",
        {UpstreamEnd::kComplete, 200, false, true, true},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"its own error",
        {UpstreamEnd::kComplete, 500, false, true},
-       Ran::kYes,
-       AttemptUse::kPassError,
-       Lesson::kNone},
+       Executed::kYes,
+       ResponseUse::kForwardError,
+       EndpointFeedback::kNone},
       {"a sealed 404",
        {UpstreamEnd::kComplete, 404, false, true},
-       Ran::kYes,
-       AttemptUse::kPassOn,
-       Lesson::kNone},
+       Executed::kYes,
+       ResponseUse::kForward,
+       EndpointFeedback::kNone},
   };
   for (const auto& c : cases) {
-    const AttemptResult r = JudgeAttempt(c.facts);
-    EXPECT_EQ(r.ran, c.ran) << c.name;
+    const AttemptResult r = ClassifyAttempt(c.facts);
+    EXPECT_EQ(r.executed, c.executed) << c.name;
     EXPECT_EQ(r.use, c.use) << c.name;
-    EXPECT_EQ(r.lesson, c.lesson) << c.name;
+    EXPECT_EQ(r.feedback, c.feedback) << c.name;
   }
 }
 
@@ -122,15 +122,15 @@
       for (int bits = 0; bits < 8; bits++) {
         const AttemptFacts f{end, status, (bits & 1) != 0, (bits & 2) != 0,
                              (bits & 4) != 0};
-        const AttemptResult r = JudgeAttempt(f);
+        const AttemptResult r = ClassifyAttempt(f);
         const bool never_sent =
             end == UpstreamEnd::kRefused || end == UpstreamEnd::kWithdrawn;
-        const bool word =
-            end == UpstreamEnd::kComplete && (f.says_not_run || status == 421);
-        EXPECT_EQ(r.ran == Ran::kNo, never_sent || word);
-        if (r.use == AttemptUse::kNone) continue;
+        const bool word = end == UpstreamEnd::kComplete &&
+                          (f.reported_not_run || status == 421);
+        EXPECT_EQ(r.executed == Executed::kNo, never_sent || word);
+        if (r.use == ResponseUse::kNone) continue;
         EXPECT_EQ(end, UpstreamEnd::kComplete);
-        EXPECT_TRUE(f.sealed && !f.encoded && !f.says_not_run);
+        EXPECT_TRUE(f.sealed && !f.encoded && !f.reported_not_run);
       }
     }
   }
@@ -143,7 +143,7 @@
          "\n\n";
 }
 
-TEST(EventStream, PassesWholeEventsOnceWhateverThePieces) {
+TEST(EventStream, ForwardsWholeEventsOnceForAnyChunking) {
   for (int seed = 0; seed < 300; seed++) {
     Random random(seed);
     const int events = 1 + static_cast<int>(random() % 20);
@@ -178,7 +178,7 @@
   }
 }
 
-TEST(EventStream, ReadsLineEndsAndVersionsOfBothForms) {
+TEST(EventStream, AcceptsBothLineEndings) {
   EventStream stream;
   EXPECT_EQ(stream.Feed("version: 3\nid: 4\ndata: a\n\n"),
             "version: 3\nid: 4\ndata: a\n\n");
@@ -192,7 +192,7 @@
 
 // --- routes ----------------------------------------------------------------
 
-TEST(RouteTable, LongestPrefixOfTheHostAgainstASimpleSearch) {
+TEST(RouteTable, LongestPrefixMatchesLinearSearch) {
   for (int seed = 0; seed < 200; seed++) {
     Random random(seed);
     auto word = [&random] { return std::string(1, 'a' + random() % 3); };
@@ -258,7 +258,7 @@
 
 // Boxes with uneven load that all retry as much as they may: in no window do
 // they exceed the bound together, though they hear late how many they are.
-TEST(RetryShare, HoldsOverAllBoxesInEveryWindow) {
+TEST(RetryShare, BoundHoldsAcrossBoxesInEveryWindow) {
   constexpr int kBoxes = 8;
   for (int seed = 0; seed < 20; seed++) {
     Random random(seed);
@@ -278,7 +278,7 @@
           boxes[b].OnRequest(now, "s");
           requests.push_back(now);
         }
-        while (boxes[b].Take(now, "s")) retries.push_back(now);
+        while (boxes[b].Acquire(now, "s")) retries.push_back(now);
       }
     }
     for (int ms = 0; ms < 40000; ms += 500) {
@@ -296,20 +296,20 @@
   }
 }
 
-TEST(RetryShare, ABoxThatHasJustStartedKnowsNoOther) {
+TEST(RetryShare, ANewBoxHasNoFixedShare) {
   RetryShare::Options options;
   RetryShare share(Time{}, options);
   share.OnBoxes(Time{}, 1);
-  EXPECT_FALSE(share.Take(Time{} + seconds(1), "s"));
+  EXPECT_FALSE(share.Acquire(Time{} + seconds(1), "s"));
   for (int i = 0; i < 100; i++) share.OnRequest(Time{} + seconds(1), "s");
   int taken = 0;
-  while (share.Take(Time{} + seconds(2), "s")) taken++;
+  while (share.Acquire(Time{} + seconds(2), "s")) taken++;
   EXPECT_EQ(taken, 16);  // 0.8 x 0.2 x 100
 }
 
 // --- silent endpoints ------------------------------------------------------
 
-TEST(EndpointWatch, AsksWhoIsSilentBeyondItsUsual) {
+TEST(EndpointWatch, ProbesEndpointsIdleBeyondTheirUsualInterval) {
   EndpointWatch watch{EndpointWatch::Options()};
   const Chain fast = {{"a", {0, 4}}, {"b", {4, 8}}};
   const Chain other = {{"a", {0, 4}}, {"c", {4, 8}}};
@@ -354,7 +354,7 @@
   EXPECT_FALSE(watch.IsSlow("c"));
 }
 
-TEST(EndpointWatch, WhoIsDoubtedIsAskedOnceAtATime) {
+TEST(EndpointWatch, OneProbeAtATime) {
   const EndpointWatch::Options options;
   EndpointWatch watch{options};
   Time now = Time{} + seconds(1);
@@ -372,7 +372,7 @@
   EXPECT_TRUE(watch.BeginAsk(now + options.ask_impaired, "a"));
 }
 
-TEST(EndpointWatch, WhoHasNothingToDoIsNotSilent) {
+TEST(EndpointWatch, EndpointsWithoutStreamsAreNotProbed) {
   EndpointWatch watch{EndpointWatch::Options()};
   const Chain chain = {{"a", {0, 8}}};
   Time now{};
@@ -397,7 +397,7 @@
   return pool;
 }
 
-TEST(PoolPlacement, FillsEveryLayerAndRefillsWhatIsLost) {
+TEST(PoolPlacement, CoversEveryLayerAndRefillsAfterLosses) {
   const EnginePool pool = TestPool();
   const PoolPlacementOptions options;
   for (int seed = 0; seed < 50; seed++) {
@@ -464,7 +464,7 @@
 }
 
 // On small pools of one hall, against all placements there are.
-TEST(PoolPlacement, IsNearTheBestOfAllOnSmallPools) {
+TEST(PoolPlacement, IsNearOptimalOnSmallPools) {
   EnginePool pool;
   pool.layers = 6;
   pool.layer_mb = 1000;
@@ -494,7 +494,7 @@
   EXPECT_GT(reached, 0.9 * possible);
 }
 
-TEST(PoolPlacement, WhatIsHeldIsKeptAndTheRestLaidAroundIt) {
+TEST(PoolPlacement, KeepsHeldLayersAndExtendsAroundThem) {
   const EnginePool pool = TestPool();
   const PoolPlacementOptions options;
   for (const LayerRange held : {LayerRange{0, 9}, {30, 39}, {71, 80}}) {
@@ -508,7 +508,7 @@
   }
 }
 
-TEST(PoolPlacement, AMoveCoversWhatNobodyHolds) {
+TEST(PoolPlacement, AMoveCoversUnheldLayers) {
   const EnginePool pool = TestPool();
   const PoolPlacementOptions options;
   // Ranges of 27 layers; nobody holds those from 54 on.
@@ -527,7 +527,7 @@
   EXPECT_FALSE(BestMove(pool, runners, {}, 0, options));
 }
 
-TEST(PoolPlacement, BadKindsGetNothing) {
+TEST(PoolPlacement, UnusableKindsGetNoLayers) {
   EnginePool pool = TestPool();
   pool.kinds.push_back({"tiny", 1000, 1, 1});
   pool.kinds.push_back({"huge", 1e6, 1, 1});
@@ -542,7 +542,7 @@
 
 // --- heads -----------------------------------------------------------------
 
-TEST(ForwardHead, PassesAllButWhatConcernsOneConnectionOrTheKey) {
+TEST(ForwardHead, ForwardsAllButConnectionAndKeyHeaders) {
   ForwardProtocol protocol;
   protocol.write_chain = [](const std::vector<AddressedStage>& chain) {
     return std::to_string(chain.size()) + " stages";
@@ -584,7 +584,7 @@
                 {"Content-Type", "t"}, {"X-Seal", "s"}, {"X-Other", "kept"}}));
 }
 
-TEST(Base64, ThereAndBack) {
+TEST(Base64, RoundTrip) {
   for (int seed = 0; seed < 200; seed++) {
     Random random(seed);
     std::string bytes(random() % 50, '\0');
--- a/pinford/testing/forwarder_fixture.h
+++ b/pinford/testing/forwarder_fixture.h
@@ -29,7 +29,7 @@
   return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 }
 
-inline std::string EventsHead() {
+inline std::string StreamHead() {
   return "HTTP/1.1 200 OK\r\nX-Pinford-Request: 1\r\nX-Seal: s\r\n"
          "Content-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
@@ -55,32 +55,32 @@
         table("h", TableOptions(), Random(1)),
         retries(Time{}, RetryShare::Options()),
         random(1),
-        parts{&loop,
-              &upstream,
-              &table,
-              &retries,
-              &metrics,
-              &random,
-              {},
-              [](const RequestFacts&) { return RequestClass(); },
-              [](const std::string&, const std::string&) { return 1.0; },
-              [this] { return proof; },
-              [] { return Duration(0); },
-              {},
-              [this] { callers_waiting++; },
-              {},
-              [this](const std::string& name, uint64_t incarnation) {
-                said_leaving.emplace_back(name, incarnation);
-                table.OnLeaving(name, incarnation);
-              },
-              {},
-              {}},
-        forwarder(&parts),
+        context{&loop,
+                &upstream,
+                &table,
+                &retries,
+                &metrics,
+                &random,
+                {},
+                [](const RequestFacts&) { return RequestClass(); },
+                [](const std::string&, const std::string&) { return 1.0; },
+                [this] { return config_fresh; },
+                [] { return Duration(0); },
+                {},
+                [this] { callers_waiting++; },
+                {},
+                [this](const std::string& name, uint64_t incarnation) {
+                  leaving_reports.emplace_back(name, incarnation);
+                  table.OnLeaving(name, incarnation);
+                },
+                {},
+                {}},
+        forwarder(&context),
         server(&loop, EntryServer::Limits(),
                [this](EntryPtr e) { forwarder.Handle(std::move(e)); }) {
     address = {"127.0.0.1", static_cast<uint16_t>(FreePorts(1)[0])};
     EXPECT_TRUE(server.Listen(address));
-    List({"a", "b"});
+    SetEndpoints({"a", "b"});
     auto c = std::make_shared<ServiceConfiguration>();
     c->version = 1;
     c->customers = {{{"customer", {"key"}, {}}}};
@@ -119,7 +119,7 @@
     return options;
   }
 
-  void List(const std::vector<std::string>& names) {
+  void SetEndpoints(const std::vector<std::string>& names) {
     std::vector<ListedEndpoint> list;
     list.reserve(names.size());
     for (const std::string& name : names) {
@@ -167,15 +167,15 @@
       report.slots = 8;
       table.OnReport(loop.now(), e.name, report);
     }
-    parts.ask = [this](const std::string& endpoint,
-                       const std::function<void(RunnerHealth)>& fn) {
-      asked.push_back(endpoint);
-      fn(silent.contains(endpoint) ? RunnerHealth() : health);
+    context.ask = [this](const std::string& endpoint,
+                         const std::function<void(RunnerHealth)>& fn) {
+      probed.push_back(endpoint);
+      fn(unresponsive.contains(endpoint) ? RunnerHealth() : health);
     };
-    parts.reroute = [this](const Address&, const std::string&,
-                           const std::vector<AddressedStage>& chain,
-                           const RerouteHandler& fn) {
-      rerouted.push_back({chain, fn});
+    context.reroute = [this](const Address&, const std::string&,
+                             const std::vector<AddressedStage>& chain,
+                             const RerouteHandler& fn) {
+      reroutes.push_back({chain, fn});
     };
   }
 
@@ -195,7 +195,7 @@
   }
 
   // Runners that this box has work at, but a.
-  std::vector<std::string> AtWork() const {
+  std::vector<std::string> BusyRunners() const {
     std::vector<std::string> names;
     for (const auto& [name, row] : table.rows()) {
       if (name != "a" && row.own > 0) names.push_back(name);
@@ -210,9 +210,9 @@
     b.steps = second;
   }
 
-  std::string Ask(const std::string& method, const std::string& path,
-                  Duration d = milliseconds(400),
-                  const std::string& more = "X-Key: key\r\n") {
+  std::string SendRequest(const std::string& method, const std::string& path,
+                          Duration d = milliseconds(400),
+                          const std::string& more = "X-Key: key\r\n") {
     got.clear();
     ended = false;
     caller = TcpConnection::Connect(&loop, address);
@@ -238,25 +238,25 @@
   RawEndpoint a;
   RawEndpoint b;
   Address address;
-  bool proof = true;
+  bool config_fresh = true;
   Metrics metrics;
   UpstreamClient upstream;
   EndpointTable table;
   RetryShare retries;
   Random random;
-  ForwardParts parts;
+  ForwardParts context;
   Forwarder forwarder;
   EntryServer server;
   std::shared_ptr<TcpConnection> caller;
   std::string got;
   bool ended = false;
-  int callers_waiting = 0;                // times that the box was told of one
-  std::vector<std::string> asked;         // runners of the pool, in order
-  std::set<std::string> silent;           // of them, those that do not answer
-  RunnerHealth health{true, true};        // what each of the others says
-  std::vector<LeavingMark> said_leaving;  // by answers
+  int callers_waiting = 0;             // times that the box was told of one
+  std::vector<std::string> probed;     // runners of the pool, in order
+  std::set<std::string> unresponsive;  // of them, those that do not answer
+  RunnerHealth health{true, true};     // what each of the others says
+  std::vector<LeavingMark> leaving_reports;  // by answers
   // Chains that a's request was to go on with, and whom to answer.
-  std::vector<std::pair<std::vector<AddressedStage>, RerouteHandler>> rerouted;
+  std::vector<std::pair<std::vector<AddressedStage>, RerouteHandler>> reroutes;
 };
 
 inline std::string StatusOf(const std::string& answer) {
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -33,13 +33,13 @@
   return share;
 }
 
-int TakeAll(RetryShare* share, Time now, RetryNeed need) {
+int AcquireAll(RetryShare* share, Time now, RetryNeed retry_class) {
   int n = 0;
-  while (share->Take(now, kService, need)) n++;
+  while (share->Acquire(now, kService, retry_class)) n++;
   return n;
 }
 
-TEST(RetryLoans, WhatABoxLends) {
+TEST(RetryLoans, LendsOnlyEarnedSurplus) {
   const struct {
     const char* name;
     int requests;
@@ -67,16 +67,16 @@
     share.OnBoxes(kStart, c.boxes);
     const Time before = kStart - seconds(2);
     for (int i = 0; i < c.requests; i++) share.OnRequest(before, kService);
-    for (int i = 0; i < c.taken; i++) share.Take(before, kService);
+    for (int i = 0; i < c.taken; i++) share.Acquire(before, kService);
     EXPECT_EQ(share.Lend(kStart, kService, c.lent), c.lent);
     const Time lately = kStart - milliseconds(500);
-    for (int i = 0; i < c.lately; i++) share.Take(lately, kService);
+    for (int i = 0; i < c.lately; i++) share.Acquire(lately, kService);
     EXPECT_EQ(share.Lend(kStart, kService, 100), c.lends);
     EXPECT_EQ(share.Lend(kStart, "unknown", 100), 0);
   }
 }
 
-TEST(RetryLoans, ALoanCountsForAsLongAsAUseOfItCanShareAWindow) {
+TEST(RetryLoans, ALoanCountsWhileItsUseCanShareAWindow) {
   const RetryShare::Options options;
   RetryShare share = ShareWith(kStart, 0);
   const auto at = [](int ms) { return kStart + milliseconds(ms); };
@@ -98,40 +98,41 @@
   EXPECT_EQ(old.Lend(kStart + seconds(9) + milliseconds(1), kService, 9), 0);
 }
 
-TEST(RetryLoans, ABoxInNeedDoesNotLend) {
+TEST(RetryLoans, ABoxShortOfRetriesDoesNotLend) {
   RetryShare share = ShareWith(kStart, 30, 2);
-  EXPECT_GT(TakeAll(&share, kStart, RetryNeed::kBegunStream), 80);
+  EXPECT_GT(AcquireAll(&share, kStart, RetryNeed::kStartedStream), 80);
   RetryShare borrower = ShareWith(kStart, 30);
   borrower.Borrow(kService, 3, kStart + seconds(1));
   EXPECT_EQ(share.Lend(kStart, kService, 9), 0);
   EXPECT_EQ(borrower.Lend(kStart, kService, 9), 0);
 }
 
-TEST(RetryLoans, BegunStreamsAndUrgentRequestsGoFirst) {
-  for (const RetryNeed need : {RetryNeed::kBegunStream, RetryNeed::kUrgent}) {
+TEST(RetryLoans, StartedStreamsAndUrgentRequestsGoFirst) {
+  for (const RetryNeed retry_class :
+       {RetryNeed::kStartedStream, RetryNeed::kUrgent}) {
     RetryShare share = ShareWith(kStart, 100, 10);  // 16 + 16
-    EXPECT_EQ(TakeAll(&share, kStart, RetryNeed::kOther), 24);
-    EXPECT_EQ(TakeAll(&share, kStart, need), 8);
+    EXPECT_EQ(AcquireAll(&share, kStart, RetryNeed::kOther), 24);
+    EXPECT_EQ(AcquireAll(&share, kStart, retry_class), 8);
     share.Borrow(kService, 2, kStart + seconds(1));
-    EXPECT_EQ(TakeAll(&share, kStart, RetryNeed::kOther), 0);
-    EXPECT_EQ(TakeAll(&share, kStart, need), 2);
+    EXPECT_EQ(AcquireAll(&share, kStart, RetryNeed::kOther), 0);
+    EXPECT_EQ(AcquireAll(&share, kStart, retry_class), 2);
     EXPECT_EQ(share.refused(RetryNeed::kOther), 2);
-    EXPECT_EQ(share.refused(need), 2);
+    EXPECT_EQ(share.refused(retry_class), 2);
     EXPECT_EQ(share.refused(), 4);
     // What is borrowed ends.
     share.Borrow(kService, 2, kStart + seconds(1));
-    EXPECT_EQ(TakeAll(&share, kStart + seconds(1), need), 0);
+    EXPECT_EQ(AcquireAll(&share, kStart + seconds(1), retry_class), 0);
   }
   EXPECT_EQ(RetryNeedName(RetryNeed::kUrgent), "urgent");
 }
 
 // A box that has just started and lacks `lacks` retries.
-struct Needy {
-  explicit Needy(int lacks, uint64_t seed = 1)
+struct Borrower {
+  explicit Borrower(int lacks, uint64_t seed = 1)
       : share(kStart, RetryShare::Options()),
         loans(&share, RetryLoans::Options(), Random(seed)) {
     share.OnBoxes(kStart, 64);
-    for (int i = 0; i < lacks; i++) share.Take(kStart, kService);
+    for (int i = 0; i < lacks; i++) share.Acquire(kStart, kService);
   }
   RetryShare share;
   RetryLoans loans;
@@ -142,15 +143,15 @@
 // forgotten. With no other load 7 of 60 runs of two whole boxes borrowed
 // nothing; their logs show no ask. Ticks are late wherever a box is busy, which
 // is when retries lack.
-TEST(RetryLoans, ARefusalIsAskedForHoweverLateTheNextTickIs) {
+TEST(RetryLoans, ARefusalIsAskedForAfterALateTick) {
   const Duration tick = milliseconds(20);
   for (const Duration late : {milliseconds(0), milliseconds(1),
                               milliseconds(15), milliseconds(300)}) {
     RetryShare share = ShareWith(kStart, 0, 8);
     SCOPED_TRACE(late.count());
-    Needy box(0);
+    Borrower box(0);
     EXPECT_TRUE(box.loans.Asks(kStart).empty());
-    EXPECT_FALSE(box.share.Take(kStart + milliseconds(1), kService));
+    EXPECT_FALSE(box.share.Acquire(kStart + milliseconds(1), kService));
     const Time next = kStart + tick + milliseconds(2) + late;
     const std::vector<RetryAsk> asks = box.loans.Asks(next);
     ASSERT_EQ(asks.size(), 1u);
@@ -160,7 +161,7 @@
   }
 }
 
-TEST(RetryLoans, AsksForWhatLacksOfNoMorePeersThanThatTakes) {
+TEST(RetryLoans, AsksNoMorePeersThanNeeded) {
   const struct {
     int lacks;
     size_t peers;
@@ -169,7 +170,7 @@
                {8, 2, 4}, {23, 6, 4}, {30, 8, 4}, {500, 8, 4}};
   for (const auto& c : cases) {
     SCOPED_TRACE(c.lacks);
-    Needy box(c.lacks);
+    Borrower box(c.lacks);
     const std::vector<RetryAsk> asks = box.loans.Asks(kStart);
     ASSERT_EQ(asks.size(), c.peers);
     for (const RetryAsk& ask : asks) EXPECT_EQ(ask.count, c.each);
@@ -179,13 +180,13 @@
   // has, 5 go at once, and 5 more would not be left.
   RetryShare share = ShareWith(kStart, 30);
   RetryLoans loans(&share, RetryLoans::Options(), Random(1));
-  for (int i = 0; i < 3; i++) EXPECT_TRUE(share.Take(kStart, kService));
+  for (int i = 0; i < 3; i++) EXPECT_TRUE(share.Acquire(kStart, kService));
   EXPECT_TRUE(loans.Asks(kStart).empty());
-  for (int i = 0; i < 2; i++) EXPECT_TRUE(share.Take(kStart, kService));
+  for (int i = 0; i < 2; i++) EXPECT_TRUE(share.Acquire(kStart, kService));
   EXPECT_FALSE(loans.Asks(kStart).empty());
 }
 
-TEST(RetryLoans, AnAnswerCountsOnceInTimeAndForNoMoreThanWasAsked) {
+TEST(RetryLoans, ALoanCountsOnceInTimeAndUpToTheAsk) {
   const struct {
     const char* name;
     uint64_t nonce_change;
@@ -203,36 +204,36 @@
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
-    Needy box(4);
+    Borrower box(4);
     const RetryAsk ask = box.loans.Asks(kStart).at(0);
     const RetryLoan loan{ask.nonce + c.nonce_change,
                          static_cast<uint8_t>(c.count)};
     const Time now = kStart + c.after;
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.first);
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.second);
-    EXPECT_EQ(TakeAll(&box.share, now, RetryNeed::kBegunStream), c.first);
+    EXPECT_EQ(AcquireAll(&box.share, now, RetryNeed::kStartedStream), c.first);
     // A new life knows nothing of the last one's asks.
-    Needy next(4, 2);
+    Borrower next(4, 2);
     EXPECT_FALSE(next.loans.Asks(kStart).empty());
     EXPECT_EQ(next.loans.OnLoan(now, loan), 0);
   }
 }
 
 // Peers that lie in all that they can: what they add in a window is bounded.
-TEST(RetryLoans, LiarsAddABoundedNumber) {
-  Needy box(0);
+TEST(RetryLoans, ByzantinePeersAddABoundedNumber) {
+  Borrower box(0);
   int granted = 0;
   int asks = 0;
   for (int ms = 0; ms < 9990; ms += 10) {
     const Time now = kStart + milliseconds(ms);
-    for (int i = 0; i < 100; i++) box.share.Take(now, kService);
+    for (int i = 0; i < 100; i++) box.share.Acquire(now, kService);
     for (const RetryAsk& ask : box.loans.Asks(now)) {
       asks++;
       granted += box.loans.OnLoan(now, {ask.nonce, 255});
     }
   }
-  EXPECT_EQ(granted, RetryLoans::Options().most_borrowed);
-  EXPECT_LE(asks, 10 * RetryLoans::Options().asks_a_second);
+  EXPECT_EQ(granted, RetryLoans::Options().max_borrowed_per_window);
+  EXPECT_LE(asks, 10 * RetryLoans::Options().max_asks_per_second);
   // And one that asks all the time gets no more than was earned.
   RetryShare share = ShareWith(kStart, 1000);
   RetryLoans lender(&share, RetryLoans::Options(), Random(1));
@@ -246,9 +247,9 @@
 
 // --- many boxes ------------------------------------------------------------
 
-struct Trouble {
+struct Faults {
   int lost_percent = 0;
-  int doubled_percent = 0;
+  int duplicated_percent = 0;
   int late_percent = 0;  // by up to 3 s
   bool cuts = false;
   bool pauses = false;
@@ -260,10 +261,10 @@
  public:
   using Options = RetryShare::Options;
   Fleet(int boxes, const Options& options, bool lending, uint64_t seed,
-        const Trouble& trouble = {})
+        const Faults& faults = {})
       : options_(options),
         lending_(lending),
-        trouble_(trouble),
+        faults_(faults),
         random_(seed),
         network_(seed + 1),
         boxes_(boxes) {
@@ -274,13 +275,13 @@
   Time now() const { return clock_.now(); }
   void Restart(int b) {
     Box& box = boxes_[b];
-    box.life++;
+    box.incarnation++;
     box.share.emplace(now(), options_);
     box.loans.emplace(&*box.share, RetryLoans::Options(), Random(network_()));
-    box.stands_until = now() + milliseconds(200);
+    box.paused_until = now() + milliseconds(200);
   }
-  bool Take(int b, RetryNeed need) {
-    if (!boxes_[b].share->Take(now(), kService, need)) return false;
+  bool Acquire(int b, RetryNeed retry_class) {
+    if (!boxes_[b].share->Acquire(now(), kService, retry_class)) return false;
     retries_.push_back(now());
     return true;
   }
@@ -292,19 +293,19 @@
       for (int b = 0; b < size(); b++) {
         Box& box = boxes_[b];
         box.share->OnBoxes(now(), box.cut ? size() / 2 : size());
-        if (!Stands(box) && (tick + b) % every == 0) {
+        if (!IsPaused(box) && (tick + b) % every == 0) {
           box.share->OnRequest(now(), kService);
           requests_.push_back(now());
         }
       }
-      MakeTrouble();
+      InjectFaults();
       step();
       for (int b = 0; b < size(); b++) Ask(b);
       clock_.Advance(milliseconds(20));
     }
   }
   int size() const { return static_cast<int>(boxes_.size()); }
-  bool stands(int b) const { return Stands(boxes_[b]); }
+  bool paused(int b) const { return IsPaused(boxes_[b]); }
   int64_t borrowed() const {
     int64_t n = 0;
     for (const Box& box : boxes_) n += box.loans->borrowed();
@@ -316,12 +317,13 @@
 
   // The most retries over the bound in any window that begins at or after
   // `from`; below zero if none exceeds it.
-  double Over(Time from) const {
+  double MaxExcess(Time from) const {
     double most = -1e9;
     for (Time at = from; at + options_.window <= now();
          at += milliseconds(100)) {
-      const double bound = options_.ratio * In(requests_, at) + options_.extra;
-      most = std::max(most, In(retries_, at) - bound);
+      const double bound =
+          options_.ratio * CountIn(requests_, at) + options_.extra;
+      most = std::max(most, CountIn(retries_, at) - bound);
     }
     return most;
   }
@@ -330,41 +332,41 @@
   struct Box {
     std::optional<RetryShare> share;
     std::optional<RetryLoans> loans;
-    int life = 0;
+    int incarnation = 0;
     bool cut = false;
-    Time stands_until{};
+    Time paused_until{};
     size_t bytes = 0;
   };
 
-  double In(const std::vector<Time>& times, Time from) const {
+  double CountIn(const std::vector<Time>& times, Time from) const {
     const auto first = std::lower_bound(times.begin(), times.end(), from);
     const auto last =
         std::lower_bound(first, times.end(), from + options_.window);
     return static_cast<double>(last - first);
   }
-  bool Stands(const Box& box) const { return now() < box.stands_until; }
-  bool Chance(int percent) {
+  bool IsPaused(const Box& box) const { return now() < box.paused_until; }
+  bool RandomPercent(int percent) {
     return static_cast<int>(network_() % 100) < percent;
   }
   // Runs `fn` at the box once the datagram is there and the box runs.
   void Deliver(int from, int to, std::function<void()> fn) {
     boxes_[from].bytes += 100;
     if (boxes_[from].cut != boxes_[to].cut) return;
-    if (Chance(trouble_.lost_percent)) return;
-    for (int copies = Chance(trouble_.doubled_percent) ? 2 : 1; copies > 0;
-         copies--) {
-      const bool late = Chance(trouble_.late_percent);
+    if (RandomPercent(faults_.lost_percent)) return;
+    for (int copies = RandomPercent(faults_.duplicated_percent) ? 2 : 1;
+         copies > 0; copies--) {
+      const bool late = RandomPercent(faults_.late_percent);
       const Duration d = milliseconds(1 + network_() % (late ? 3000 : 4));
       clock_.After(d, [this, to, fn] { Receive(to, fn); });
     }
   }
   void Receive(int to, const std::function<void()>& fn) {
-    const Duration left = boxes_[to].stands_until - now();
+    const Duration left = boxes_[to].paused_until - now();
     if (left <= Duration(0)) return fn();
     clock_.After(left, [this, to, fn] { Receive(to, fn); });
   }
   void Ask(int b) {
-    if (!lending_ || Stands(boxes_[b])) return;
+    if (!lending_ || IsPaused(boxes_[b])) return;
     for (const RetryAsk& ask : boxes_[b].loans->Asks(now())) {
       int to = static_cast<int>(network_() % (size() - 1));
       if (to >= b) to++;
@@ -377,18 +379,18 @@
     }
   }
   // The same for a seed, whatever is lent.
-  void MakeTrouble() {
+  void InjectFaults() {
     const uint64_t dice = random_() % 1000;
     Box& box = boxes_[random_() % boxes_.size()];
     const int b = static_cast<int>(&box - boxes_.data());
-    if (trouble_.cuts && dice < 5) {
+    if (faults_.cuts && dice < 5) {
       for (Box& other : boxes_) other.cut = dice == 0 && (&other < &box);
     }
-    if (trouble_.pauses && dice >= 10 && dice < 30) {
-      box.stands_until = now() + milliseconds(50 * (1 + random_() % 40));
+    if (faults_.pauses && dice >= 10 && dice < 30) {
+      box.paused_until = now() + milliseconds(50 * (1 + random_() % 40));
     }
-    if (trouble_.deaths && dice >= 30 && dice < 40) Restart(b);
-    const int every = trouble_.all_die_every;
+    if (faults_.deaths && dice >= 30 && dice < 40) Restart(b);
+    const int every = faults_.all_die_every;
     if (every > 0 && (now() - kStart) % seconds(every) == Duration(0)) {
       for (int i = 0; i < size(); i++) Restart(i);
     }
@@ -396,7 +398,7 @@
 
   Options options_;
   bool lending_;
-  Trouble trouble_;
+  Faults faults_;
   Random random_;   // of the schedule
   Random network_;  // of datagrams
   PausedClock clock_;
@@ -418,8 +420,8 @@
       }
     }
     for (int b = 0; b < fleet_->size(); b++) {
-      if (!greedy_[b] || fleet_->stands(b)) continue;
-      while (fleet_->Take(b, kRetryNeeds[random_() % 3])) {
+      if (!greedy_[b] || fleet_->paused(b)) continue;
+      while (fleet_->Acquire(b, kRetryNeeds[random_() % 3])) {
       }
     }
   }
@@ -432,34 +434,34 @@
   std::vector<bool> greedy_;
 };
 
-struct Sums {
-  void Add(const Sums& s) {
-    over = std::max(over, s.over);
+struct Totals {
+  void Add(const Totals& s) {
+    max_excess = std::max(max_excess, s.max_excess);
     retries += s.retries;
     borrowed += s.borrowed;
   }
-  double over = -1e9;
+  double max_excess = -1e9;
   size_t retries = 0;
   int64_t borrowed = 0;
 };
 
-Sums Play(const Fleet::Options& options, bool lending, int greedy_percent,
-          int rate, uint64_t seed, const Trouble& trouble) {
-  Fleet fleet(16, options, lending, seed, trouble);
+Totals RunFleet(const Fleet::Options& options, bool lending, int greedy_percent,
+                int rate, uint64_t seed, const Faults& faults) {
+  Fleet fleet(16, options, lending, seed, faults);
   Load load(&fleet, greedy_percent, seed);
   fleet.Run(seconds(50), rate, [&load] { load.Step(); });
-  return {fleet.Over(kStart), fleet.retries(), fleet.borrowed()};
+  return {fleet.MaxExcess(kStart), fleet.retries(), fleet.borrowed()};
 }
 
-TEST(RetryLoans, TheSumKeepsToTheBoundInEveryWindow) {
+TEST(RetryLoans, TheTotalStaysWithinTheBoundInEveryWindow) {
   const struct {
     const char* name;
-    Trouble trouble;
+    Faults faults;
     bool gains;  // where loans mostly arrive
   } cases[] = {
       {"a sound network", {}, true},
       {"lost", {.lost_percent = 40}, false},
-      {"doubled", {.doubled_percent = 50}, true},
+      {"doubled", {.duplicated_percent = 50}, true},
       {"late", {.late_percent = 50}, false},
       {"cuts", {.cuts = true}, true},
       {"pauses", {.pauses = true}, true},
@@ -467,18 +469,18 @@
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
-    Sums with;
-    Sums without;
+    Totals with;
+    Totals without;
     for (const Duration window : {seconds(3), seconds(10), seconds(20)}) {
       for (uint64_t seed = 1; seed <= 6; seed++) {
         Fleet::Options options;
         options.window = window;
         options.extra = 40;
-        with.Add(Play(options, true, 30, 5, seed, c.trouble));
-        without.Add(Play(options, false, 30, 5, seed, c.trouble));
+        with.Add(RunFleet(options, true, 30, 5, seed, c.faults));
+        without.Add(RunFleet(options, false, 30, 5, seed, c.faults));
       }
     }
-    EXPECT_LE(with.over, 0);
+    EXPECT_LE(with.max_excess, 0);
     EXPECT_GT(with.borrowed, 1000);
     if (c.gains) {
       EXPECT_GT(with.retries, without.retries * 108 / 100);
@@ -491,10 +493,10 @@
 // A life forgets what the last one took. What is lent does not make that worse
 // than it is where all boxes take what they may and nothing is lent, and where
 // the sum keeps to the bound without loans it does so with them.
-TEST(RetryLoans, DeathsAddNothingByWhatWasLent) {
+TEST(RetryLoans, RestartsAddNothingThroughLoans) {
   const struct {
     const char* name;
-    Trouble trouble;
+    Faults faults;
   } cases[] = {
       {"one by one", {.deaths = true}},
       {"all each 9 s", {.all_die_every = 9}},
@@ -503,24 +505,24 @@
   };
   for (const auto& c : cases) {
     for (const int rate : {1, 5}) {
-      Sums with;
-      Sums without;
-      Sums greedy;
+      Totals with;
+      Totals without;
+      Totals greedy;
       for (uint64_t seed = 1; seed <= 12; seed++) {
         Fleet::Options options;
         options.extra = 40;
         for (const int percent : {10, 30, 60}) {
-          with.Add(Play(options, true, percent, rate, seed, c.trouble));
-          without.Add(Play(options, false, percent, rate, seed, c.trouble));
+          with.Add(RunFleet(options, true, percent, rate, seed, c.faults));
+          without.Add(RunFleet(options, false, percent, rate, seed, c.faults));
         }
-        greedy.Add(Play(options, false, 100, rate, seed, c.trouble));
+        greedy.Add(RunFleet(options, false, 100, rate, seed, c.faults));
       }
       printf(
           "%s, %d requests a second: over the bound with loans %.1f, without "
           "%.1f, all greedy %.1f\n",
-          c.name, rate, with.over, without.over, greedy.over);
-      EXPECT_LE(with.over, std::max(0.0, greedy.over)) << c.name;
-      EXPECT_LE(with.over, std::max(0.0, without.over)) << c.name;
+          c.name, rate, with.max_excess, without.max_excess, greedy.max_excess);
+      EXPECT_LE(with.max_excess, std::max(0.0, greedy.max_excess)) << c.name;
+      EXPECT_LE(with.max_excess, std::max(0.0, without.max_excess)) << c.name;
     }
   }
 }
@@ -548,18 +550,18 @@
   fleet.Run(milliseconds(2500), 3, [&] {
     if (tick++ % 3 != 0) return;
     for (int i = waiting; i > 0; i--) {
-      if (fleet.Take(0, RetryNeed::kBegunStream)) waiting--;
+      if (fleet.Acquire(0, RetryNeed::kStartedStream)) waiting--;
     }
     served.in_all = 30 - waiting;
     if (tick == 1) served.at_once = served.in_all;
     if (tick <= 10) served.within_200_ms = served.in_all;
   });
   served.asks = fleet.asks(0);
-  EXPECT_LE(fleet.Over(kStart), 0);
+  EXPECT_LE(fleet.MaxExcess(kStart), 0);
   return served;
 }
 
-TEST(RetryLoans, ABoxInNeedIsServedByItsPeers) {
+TEST(RetryLoans, PeersServeABoxShortOfRetries) {
   const struct {
     int boxes;
     Duration since_start;
@@ -582,19 +584,19 @@
         with.in_all, static_cast<long>(with.asks));
     EXPECT_LE(without.in_all, c.without) << c.boxes;
     EXPECT_GE(with.in_all, c.with) << c.boxes;
-    EXPECT_LE(with.asks, 3 * RetryLoans::Options().asks_a_second);
+    EXPECT_LE(with.asks, 3 * RetryLoans::Options().max_asks_per_second);
   }
 }
 
 // What goes over the network for a box in need, whatever the number of boxes.
-TEST(RetryLoans, BytesAreFewAndFlat) {
+TEST(RetryLoans, BytesAreBoundedForAnyNumberOfBoxes) {
   const PeerCodec codec("key");
   RetryAsk ask{1, "[2001:db8::1234:5678]:65535", "a-service-with-a-long-name",
                4};
   const RetryLoans::Options options;
   const size_t a_second =
-      options.asks_a_second * codec.Encode(ask).size() +
-      options.answers_a_second * codec.Encode(RetryLoan{1, 4}).size();
+      options.max_asks_per_second * codec.Encode(ask).size() +
+      options.max_loans_per_second * codec.Encode(RetryLoan{1, 4}).size();
   printf("ask %zu, loan %zu bytes\n", codec.Encode(ask).size(),
          codec.Encode(RetryLoan{1, 4}).size());
   EXPECT_LE(a_second, 1000u);
@@ -633,7 +635,7 @@
   Gossip gossip;
 };
 
-TEST(RetryLoans, GoFromPeerToPeerAndBack) {
+TEST(RetryLoans, AsksAndLoansTravelBetweenPeers) {
   EventLoop loop;
   const std::vector<int> ports = FreePorts(2);
   Node a(&loop, "a", ports[0], ports[1]);
@@ -652,7 +654,7 @@
 }
 
 // Two whole boxes; of the second's requests the first may use what they earn.
-TEST(RetryLoans, AWholeBoxBorrowsUnlessThatIsSwitchedOff) {
+TEST(RetryLoans, ABoxBorrowsUnlessDisabled) {
   for (const bool on : {true, false}) {
     EventLoop loop;
     const std::vector<int> ports = FreePorts(6);
@@ -676,19 +678,20 @@
       std::string error;
       ASSERT_TRUE(boxes[i]->Start(&error)) << error;
     }
-    RetryShare* needy = boxes[0]->parts()->retries;
+    RetryShare* borrower = boxes[0]->context()->retries;
     loop.After(milliseconds(2300), [&] {
       for (int n = 0; n < 100; n++) {
         // Later than now, so that the loan ends before they leave the window.
-        boxes[1]->parts()->retries->OnRequest(loop.now() + seconds(1),
-                                              kService);
+        boxes[1]->context()->retries->OnRequest(loop.now() + seconds(1),
+                                                kService);
       }
       for (int n = 0; n < 3; n++)
-        EXPECT_FALSE(needy->Take(loop.now(), kService));
+        EXPECT_FALSE(borrower->Acquire(loop.now(), kService));
     });
     loop.After(milliseconds(2500), [&loop] { loop.Stop(); });
     loop.Run();
-    EXPECT_EQ(TakeAll(needy, loop.now(), RetryNeed::kBegunStream), on ? 3 : 0);
+    EXPECT_EQ(AcquireAll(borrower, loop.now(), RetryNeed::kStartedStream),
+              on ? 3 : 0);
   }
 }
 
--- a/pinford/testing/stage_recovery_test.cc
+++ b/pinford/testing/stage_recovery_test.cc
@@ -18,87 +18,87 @@
 RecoveryFacts Down() {
   RecoveryFacts f;
   f.down = true;
-  f.begun = true;
+  f.started = true;
   f.allowed = kAllowed;
-  f.silent = milliseconds(60);
-  f.anew = milliseconds(150);
-  f.place = 0.5;
-  f.may_begin_anew = true;
+  f.idle = milliseconds(60);
+  f.restart_time = milliseconds(150);
+  f.queue_position = 0.5;
+  f.may_restart = true;
   return f;
 }
 
 RecoveryFacts Slow() {
   RecoveryFacts f = Down();
   f.down = false;
-  f.silent = Duration(0);
-  f.gap_if_kept = milliseconds(60);
+  f.idle = Duration(0);
+  f.gap_if_unchanged = milliseconds(60);
   f.replace_all = milliseconds(100);
   return f;
 }
 
-TEST(StageRecovery, ADownStageIsLeftByTheSoonerWay) {
+TEST(StageRecovery, ADownStageUsesTheFasterRecovery) {
   const struct {
     const char* name;
     std::optional<Duration> replace_all;
-    double place;
-    bool may_begin_anew;
-    RecoveryMove move;
+    double queue_position;
+    bool may_restart;
+    RecoveryAction move;
   } cases[] = {
-      {"read in time", milliseconds(300), 0.5, true, RecoveryMove::kReplace},
+      {"read in time", milliseconds(300), 0.5, true, RecoveryAction::kReplace},
       {"its place comes too late", milliseconds(900), 0.5, true,
-       RecoveryMove::kBeginAnew},
+       RecoveryAction::kRestart},
       {"the first of many", milliseconds(900), 0.1, true,
-       RecoveryMove::kReplace},
+       RecoveryAction::kReplace},
       {"late, but no run is left", milliseconds(900), 0.5, false,
-       RecoveryMove::kReplace},
+       RecoveryAction::kReplace},
       {"nobody takes the part", std::nullopt, 0.5, true,
-       RecoveryMove::kBeginAnew},
+       RecoveryAction::kRestart},
       {"nobody, and no run is left", std::nullopt, 0.5, false,
-       RecoveryMove::kStay},
-      {"nobody reads it", Duration::max(), 0.5, true, RecoveryMove::kBeginAnew},
+       RecoveryAction::kStay},
+      {"nobody reads it", Duration::max(), 0.5, true, RecoveryAction::kRestart},
   };
   for (const auto& c : cases) {
     RecoveryFacts f = Down();
     f.replace_all = c.replace_all;
-    f.place = c.place;
-    f.may_begin_anew = c.may_begin_anew;
+    f.queue_position = c.queue_position;
+    f.may_restart = c.may_restart;
     EXPECT_EQ(ChooseRecovery(f).move, c.move) << c.name;
   }
 }
 
-TEST(StageRecovery, ASlowStageIsLeftOnlyWhereItsEventsWouldBeLate) {
+TEST(StageRecovery, ASlowStageIsReplacedOnlyIfEventsWouldBeLate) {
   const struct {
     const char* name;
-    Duration gap_if_kept;
-    int more_crossings;
+    Duration gap_if_unchanged;
+    int extra_transfers;
     Duration replace_all;
-    bool begun;
-    RecoveryMove move;
+    bool started;
+    RecoveryAction move;
   } cases[] = {
       {"well within", milliseconds(60), 0, milliseconds(100), true,
-       RecoveryMove::kStay},
+       RecoveryAction::kStay},
       {"too near", milliseconds(200), 0, milliseconds(100), true,
-       RecoveryMove::kReplace},
+       RecoveryAction::kReplace},
       {"would cross", milliseconds(200), 2, milliseconds(100), true,
-       RecoveryMove::kStay},
+       RecoveryAction::kStay},
       {"reading takes as long", milliseconds(200), 0, seconds(1), true,
-       RecoveryMove::kStay},
+       RecoveryAction::kStay},
       {"has not begun", milliseconds(60), 0, milliseconds(100), false,
-       RecoveryMove::kReplace},
+       RecoveryAction::kReplace},
       {"has not begun, would cross", milliseconds(60), 2, milliseconds(100),
-       false, RecoveryMove::kStay},
+       false, RecoveryAction::kStay},
   };
   for (const auto& c : cases) {
     RecoveryFacts f = Slow();
-    f.gap_if_kept = c.gap_if_kept;
-    f.more_crossings = c.more_crossings;
+    f.gap_if_unchanged = c.gap_if_unchanged;
+    f.extra_transfers = c.extra_transfers;
     f.replace_all = c.replace_all;
-    f.begun = c.begun;
+    f.started = c.started;
     EXPECT_EQ(ChooseRecovery(f).move, c.move) << c.name;
   }
 }
 
-TEST(StageRecovery, TheTimeForAllIsThatOfTheSlowerPart) {
+TEST(StageRecovery, RecoveryTimeIsTheSlowerOfPrefillAndTransfer) {
   const struct {
     const char* name;
     RecoveryLoad load;
@@ -113,19 +113,19 @@
       {"nobody reads", {100, 0, 0, 0, 1}, Duration::max()},
   };
   for (const auto& c : cases) {
-    EXPECT_NEAR(ToSeconds(TimeForAll(c.load)), ToSeconds(c.time), 1e-6)
+    EXPECT_NEAR(ToSeconds(TimeToRecoverAll(c.load)), ToSeconds(c.time), 1e-6)
         << c.name;
   }
 }
 
-TEST(StageRecovery, UrgentStreamsStandInFront) {
+TEST(StageRecovery, UrgentStreamsQueueFirst) {
   Random random(1);
   std::uniform_real_distribution<double> draws(0, 1);
   for (int i = 0; i < 1000; i++) {
     const double draw = draws(random);
-    const double urgent = PlaceOf(draw, Tier::kCritical);
-    const double usual = PlaceOf(draw, Tier::kStandard);
-    const double patient = PlaceOf(draw, Tier::kBackground);
+    const double urgent = QueuePosition(draw, Tier::kCritical);
+    const double usual = QueuePosition(draw, Tier::kStandard);
+    const double patient = QueuePosition(draw, Tier::kBackground);
     EXPECT_LE(0, urgent);
     EXPECT_LE(urgent, usual);
     EXPECT_LE(usual, patient);
@@ -135,7 +135,7 @@
 
 // Whatever the facts: nothing is chosen that is not there, and a stage that is
 // down is never kept while something can be done.
-TEST(StageRecovery, NeverChoosesWhatIsNotThere) {
+TEST(StageRecovery, NeverChoosesAnUnavailableAction) {
   Random random(2);
   const auto some = [&random](int most) {
     return milliseconds(std::uniform_int_distribution<int>(0, most)(random));
@@ -144,20 +144,20 @@
   for (int i = 0; i < 20000; i++) {
     RecoveryFacts f;
     f.down = either();
-    f.begun = either();
+    f.started = either();
     f.allowed = some(1000);
-    f.silent = some(2000);
-    f.gap_if_kept = some(1000);
+    f.idle = some(2000);
+    f.gap_if_unchanged = some(1000);
     if (either()) f.replace_all = either() ? some(5000) : Duration::max();
-    f.more_crossings = std::uniform_int_distribution<int>(-2, 2)(random);
-    f.place = std::uniform_real_distribution<double>(0, 1)(random);
-    f.anew = some(500);
-    f.may_begin_anew = either();
-    const RecoveryMove move = ChooseRecovery(f).move;
-    const bool something = f.replace_all || f.may_begin_anew;
-    EXPECT_TRUE(move != RecoveryMove::kReplace || f.replace_all);
-    EXPECT_TRUE(move != RecoveryMove::kBeginAnew || f.may_begin_anew);
-    EXPECT_TRUE(move != RecoveryMove::kStay || !f.down || !something);
+    f.extra_transfers = std::uniform_int_distribution<int>(-2, 2)(random);
+    f.queue_position = std::uniform_real_distribution<double>(0, 1)(random);
+    f.restart_time = some(500);
+    f.may_restart = either();
+    const RecoveryAction move = ChooseRecovery(f).move;
+    const bool something = f.replace_all || f.may_restart;
+    EXPECT_TRUE(move != RecoveryAction::kReplace || f.replace_all);
+    EXPECT_TRUE(move != RecoveryAction::kRestart || f.may_restart);
+    EXPECT_TRUE(move != RecoveryAction::kStay || !f.down || !something);
   }
 }
 
@@ -174,14 +174,14 @@
 };
 
 struct Outcome {
-  int in_time = 0;
+  int on_time = 0;
   int late = 0;
   int left = 0;  // after two seconds
 };
 
 constexpr Duration kNoticed = milliseconds(75);
 
-Outcome Play(const Loss& loss, bool timed) {
+Outcome RunLoss(const Loss& loss, bool timed) {
   Outcome out;
   double link_busy = 0;
   double read_busy = 0;
@@ -189,32 +189,33 @@
   RecoveryLoad load;
   load.tokens = loss.streams * loss.tokens;
   load.read_per_s = loss.read_per_s;
-  load.more_crossings = 2;
+  load.extra_transfers = 2;
   load.crossing_seconds = loss.crossing_seconds;
   load.links = loss.links;
   for (int i = 0; i < loss.streams; i++) {
     RecoveryFacts f = Down();
-    f.silent = kNoticed;
-    f.replace_all = TimeForAll(load);
-    f.more_crossings = load.more_crossings;
-    f.place = PlaceOf(UnitHash(std::to_string(i)), Tier::kStandard);
-    f.may_begin_anew = retries > 0;
-    const bool anew =
-        timed && ChooseRecovery(f).move == RecoveryMove::kBeginAnew;
+    f.idle = kNoticed;
+    f.replace_all = TimeToRecoverAll(load);
+    f.extra_transfers = load.extra_transfers;
+    f.queue_position =
+        QueuePosition(UnitHash(std::to_string(i)), Tier::kStandard);
+    f.may_restart = retries > 0;
+    const bool restart =
+        timed && ChooseRecovery(f).move == RecoveryAction::kRestart;
     double done = 0;
-    if (anew) {
+    if (restart) {
       retries--;
       read_busy += loss.tokens / loss.read_per_s;
       constexpr double kWholeChain = 0.06;  // seconds, of one by itself
       done = kWholeChain + read_busy;
     } else {
-      link_busy += load.more_crossings * loss.tokens * loss.crossing_seconds /
+      link_busy += load.extra_transfers * loss.tokens * loss.crossing_seconds /
                    loss.links;
       done = link_busy;
     }
     const Duration pause = kNoticed + FromSeconds(done);
     if (pause <= kAllowed) {
-      out.in_time++;
+      out.on_time++;
     } else if (pause < seconds(2)) {
       out.late++;
     } else {
@@ -224,18 +225,18 @@
   return out;
 }
 
-TEST(StageRecovery, AHallWithoutItsOnlyHolderGoesOn) {
-  const Outcome all_cross = Play(Loss(), false);
-  EXPECT_EQ(all_cross.in_time, 5);
+TEST(StageRecovery, AHallThatLostItsOnlyHolderRecovers) {
+  const Outcome all_cross = RunLoss(Loss(), false);
+  EXPECT_EQ(all_cross.on_time, 5);
   EXPECT_EQ(all_cross.left, 28);
-  const Outcome timed = Play(Loss(), true);
+  const Outcome timed = RunLoss(Loss(), true);
   EXPECT_EQ(timed.left, 0);
-  EXPECT_GE(timed.in_time, 45);
+  EXPECT_GE(timed.on_time, 45);
   // With few retries less is gained, and nothing lost.
   Loss few;
   few.retries = 30;
-  const Outcome some = Play(few, true);
-  EXPECT_GE(some.in_time, 30);
+  const Outcome some = RunLoss(few, true);
+  EXPECT_GE(some.on_time, 30);
   EXPECT_LE(some.left, 5);
 }
 
