--- a/pinford/forwarding/attempt_result.cc
+++ b/pinford/forwarding/attempt_result.cc
@@ -30,15 +30,15 @@
     return {Executed::kNo, ResponseUse::kNone, EndpointFeedback::kRejected};
   }
   const bool success = f.status >= 200 && f.status < 300;
-  // Without its seal, or encoded, it is not the endpoint's answer.
+  // Without a seal, or encoded, the response is not from the endpoint itself.
   if (!f.sealed || f.encoded) {
     return {Executed::kMaybe, ResponseUse::kNone, EndpointFeedback::kFailed};
   }
   if (success)
     return {Executed::kYes, ResponseUse::kForward, EndpointFeedback::kNone};
   const bool server_error = f.status >= 500;
-  // An error of its own says nothing of its health: some requests have one
-  // wherever they run.
+  // An error response says nothing about the endpoint's health: some requests
+  // fail wherever they run.
   return {Executed::kYes,
           server_error ? ResponseUse::kForwardError : ResponseUse::kForward,
           EndpointFeedback::kNone};
--- a/pinford/forwarding/attempt_result.h
+++ b/pinford/forwarding/attempt_result.h
@@ -1,16 +1,17 @@
-// What the end of one attempt says: whether the request ran, what may be done
-// next, and what it teaches of the endpoints.
+// Classifies how one attempt to forward a request ended: whether the request
+// was executed, what may be done with the response, and what the outcome says
+// about the endpoints involved.
 //
-// This is the only place that decides it. "Not run" is a promise to the
-// caller, so it follows only from a request that was never sent or from an
-// endpoint's own word; whatever else was seen, the request may have run.
+// All such decisions are made here. "Not run" is a guarantee to the caller, so
+// it follows only if the request was never sent or if the endpoint reported
+// that it did not run it. In every other case the request may have run.
 //
-// A refusal is ambiguous: the endpoint that it names may be full, dead, leaving
-// or giving its layers up. So it teaches a short rest, and to ask that endpoint
-// at once; only the answer, or none, says which of them it is. Boxes that took
-// each refusal for "full" sent 778 requests to four dead runners in the 3.4 s
-// until their entries lapsed (64 boxes, 190 requests a second), and spent their
-// retries on it.
+// A rejection is ambiguous: the endpoint that it names may be full, down,
+// leaving or unloading its layers. It therefore causes a short backoff and an
+// immediate probe of that endpoint, whose result tells these cases apart. When
+// boxes treated every rejection as "full", they sent 778 requests to four dead
+// runners in the 3.4 s until those were removed from the list (64 boxes, 190
+// requests a second), and used up their retries.
 
 #ifndef PINFORD_FORWARDING_ATTEMPT_RESULT_H_
 #define PINFORD_FORWARDING_ATTEMPT_RESULT_H_
@@ -21,35 +22,38 @@
 
 namespace pinford {
 
-// What was seen of an attempt.
+// What was observed of an attempt.
 struct AttemptFacts {
   UpstreamEnd end = UpstreamEnd::kRefused;
-  int status = 0;                 // of the answer's head; 0 without one
-  bool reported_not_run = false;  // the endpoint's word that it did not run it
-  bool sealed = false;            // the answer bears an endpoint's seal
-  bool encoded = false;           // its body is in an encoding nobody asked for
+  int status = 0;                 // of the response; 0 without a response
+  bool reported_not_run = false;  // the endpoint says that it did not run it
+  bool sealed = false;            // the response carries an endpoint's seal
+  bool encoded = false;           // it has a content encoding (none is asked)
 };
 
+// Whether the request was executed at the endpoint.
 enum class Executed {
-  kNo,     // it has not run there and will not
-  kMaybe,  // nothing certain is known
-  kYes,    // it ran
+  kNo,     // it was not and will not be
+  kMaybe,  // unknown
+  kYes,
 };
 
+// What to do with the response.
 enum class ResponseUse {
-  kForward,       // the answer is the caller's
-  kForwardError,  // a failure of the endpoint's own; another may do better
-  kNone,          // there is nothing to pass on
+  kForward,       // forward it to the caller
+  kForwardError,  // an error of the endpoint: forward it if no retry succeeds
+  kNone,          // there is no usable response
 };
 
+// What the endpoint table should record.
 enum class EndpointFeedback {
   kNone,
-  // The endpoint that it was sent to seems at fault. Unsaid by its next
-  // success; its own answer to a question says whether it is down.
+  // The endpoint that the request was sent to may be faulty. Cleared by its
+  // next success; a probe decides whether it is down.
   kFailed,
-  // The endpoint that the answer names, or that gave it, takes nothing now.
-  // Holds for EndpointTable::Options::full_rest, unless its answer to a
-  // question says that it is down, which lasts until it answers again.
+  // The endpoint named in the response, or else the one that sent it, accepts
+  // no work now. Lasts for EndpointTable::Options::full_rest, or, if a probe
+  // finds it down, until it responds again.
   kRejected,
 };
 
--- a/pinford/forwarding/event_stream.cc
+++ b/pinford/forwarding/event_stream.cc
@@ -5,7 +5,8 @@
 
 namespace pinford {
 
-// Where the first event of `text` ends, just after its empty line.
+// Returns the position after the empty line that ends the first event of
+// `text`, or npos.
 static size_t EndOfEvent(std::string_view text) {
   const size_t lf = text.find("\n\n");
   const size_t crlf = text.find("\r\n\r\n");
@@ -14,7 +15,7 @@
   return std::min(after_lf, after_crlf);
 }
 
-// The number in the event's "id:" line.
+// Returns the number in the event's "id:" line.
 static std::optional<uint64_t> ParseId(std::string_view event) {
   constexpr std::string_view kId = "id:";
   size_t at = 0;
--- a/pinford/forwarding/event_stream.h
+++ b/pinford/forwarding/event_stream.h
@@ -1,9 +1,9 @@
-// Splits the body of a streamed answer into whole events.
+// Splits the body of a streamed response into complete events.
 //
-// An event ends with an empty line (the text/event-stream format). Only whole
-// events are handed on, so what a caller has read always ends where a stream
-// can be taken up again: after the event whose id was read last. Events up to
-// an id that was passed on already are dropped.
+// An event ends with an empty line (the text/event-stream format). Only
+// complete events are forwarded, so a stream that is interrupted can always be
+// resumed after the last event id that its caller has received. Events with an
+// id at or below the last one forwarded are duplicates and are dropped.
 
 #ifndef PINFORD_FORWARDING_EVENT_STREAM_H_
 #define PINFORD_FORWARDING_EVENT_STREAM_H_
@@ -17,14 +17,14 @@
 
 class EventStream {
  public:
-  // Takes bytes in. Returns the whole events among them that are new.
+  // Adds bytes of the body. Returns the new complete events, if any.
   std::string Feed(std::string_view bytes);
 
-  // Drops the bytes of an event that was broken off: another run goes on.
+  // Discards an incomplete event, before another attempt resumes the stream.
   void DropPartial() { partial_.clear(); }
   bool has_partial() const { return !partial_.empty(); }
 
-  // The id of the last event that was passed on; nothing before the first.
+  // The id of the last event returned; nothing before the first.
   std::optional<uint64_t> last_id() const { return last_id_; }
   // Starts after an event that the caller already has.
   void set_last_id(uint64_t id) { last_id_ = id; }
--- a/pinford/forwarding/forward_target.cc
+++ b/pinford/forwarding/forward_target.cc
@@ -25,7 +25,7 @@
 bool ForwardTarget::PickEndpoint(Time now, const std::set<std::string>& tried) {
   std::optional<std::string> name =
       table_->PickService(now, options_.service, tried);
-  // Where all were tried, one of them once more is better than none.
+  // If all were tried, trying one again is better than none.
   if (!name) name = table_->PickService(now, options_.service, {});
   if (!name) return false;
   endpoint_ = *name;
@@ -74,14 +74,14 @@
 }
 
 void ForwardTarget::ReserveChain(Time now, const Chain& chain) {
-  constexpr double kTokens = 1000;  // layer_work counts in thousands
+  constexpr double kTokens = 1000;  // layer_work is in thousands
   const double crossing = HallTransfers(chain) * options_.layer_work * kTokens;
   table_->OnCrossing(now, crossing);
   table_->OnCrossingWaiting(crossing);
   pending_transfer_ += crossing;
   for (const Stage& stage : chain) {
     table_->OnSent(stage.endpoint, WorkOf(stage));
-    // Stages that stay keep what they have read.
+    // Stages that stay keep their prefilled tokens.
     if (Uses(stage.endpoint)) continue;
     const double tokens = options_.prompt * stage.range.size();
     table_->OnPrompt(now, stage.endpoint, tokens);
@@ -123,7 +123,7 @@
 
 Address ForwardTarget::address() const {
   const std::optional<Address> at = table_->AddressOf(endpoint_);
-  // A row stays in the table while this box has work there.
+  // A row stays in the table while this box has load there.
   assert(at);
   return *at;
 }
@@ -208,8 +208,8 @@
   return pick(options_.hall_weight);
 }
 
-// Runners for a stage's part. A slow stage is worth replacing only by runners
-// that are not slow.
+// Picks replacements for a stage. Replacing a slow stage is worthwhile only if
+// none of them is slow.
 std::optional<Chain> ForwardTarget::PickReplacements(
     Time now, const std::string& version, const Stage& stage,
     const std::set<std::string>& avoid) const {
@@ -270,7 +270,7 @@
   return nominal > 0 ? actual / nominal : 1;
 }
 
-// Stages of one chain that another has not.
+// Returns the stages of `chain` that are not in `other`.
 static Chain StagesNotIn(const Chain& chain, const Chain& other) {
   Chain out;
   for (const Stage& s : chain) {
@@ -282,7 +282,7 @@
 
 RecoveryLoad ForwardTarget::RecoveryLoadFor(
     Time now, const Chain& next, const PoolCapacity& capacity) const {
-  constexpr double kTokens = 1000;  // work counts in thousands
+  constexpr double kTokens = 1000;  // work is in thousands
   RecoveryLoad load;
   for (const Stage& s : StagesNotIn(chain_, next)) {
     const double work = table_->LayerWorkOf(now, s.endpoint);
--- a/pinford/forwarding/forward_target.h
+++ b/pinford/forwarding/forward_target.h
@@ -1,11 +1,11 @@
-// Where one request runs: the endpoint it is sent to and, for a pool of
-// runners, the chain behind it.
+// The place where one request runs: the endpoint that it is sent to and, for a
+// pool of runners, the chain behind it.
 //
-// A target is picked from the endpoint table and counted there until it is
-// released, so that this box and its peers see what is where. The endpoint
-// watch hears of each event that has passed through its stages. A stage that
-// is down or slow can be given to other runners while the first one, which
-// holds the request, stays.
+// A target is picked from the endpoint table and counts as load there until it
+// is released, so that this box and its peers know the load of each endpoint.
+// Every event that passes through its stages is reported to the endpoint
+// watch. The layers of a stage that is down or slow can be moved to other
+// runners while the first stage, which holds the request, stays.
 
 #ifndef PINFORD_FORWARDING_FORWARD_TARGET_H_
 #define PINFORD_FORWARDING_FORWARD_TARGET_H_
@@ -28,94 +28,97 @@
  public:
   struct Options {
     std::string service;
-    std::string version;    // of a pool's weights; "" for the newest
-    int layers = 0;         // of a pool's model; 0 for a plain service
-    double layer_work = 1;  // thousands of tokens that pass each layer
-    int prompt = 0;         // tokens of them that are read first
+    std::string version;    // of the pool's weights; "" for the newest
+    int layers = 0;         // of the pool's model; 0 for a plain service
+    double layer_work = 1;  // thousands of tokens that pass through each layer
+    int prompt = 0;         // tokens of them to be prefilled
     EndpointTable::HallWeight hall_weight;
   };
 
   ForwardTarget(EndpointTable* table, EndpointWatch* watch,
                 const Options& options);
 
-  // One for the same request that has not been picked.
+  // Returns another target for the same request, not yet picked.
   ForwardTarget CloneUnpicked() const { return {table_, watch_, options_}; }
 
-  // Picks and counts a target; of a plain service one of `tried` only if
-  // there is no other. False if nobody takes the request.
+  // Picks a target and counts its load. For a plain service, endpoints in
+  // `tried` are used only if there is no other. Returns false if no endpoint
+  // accepts the request.
   bool Pick(Time now, const std::set<std::string>& tried);
-  // Counts it off. `worked`: it answered; `sent` is when it was sent to.
+  // Removes its load. `succeeded`: it responded; `sent`: when the request was
+  // sent.
   void Release(Time now, Time sent, bool succeeded);
 
   bool pool() const { return options_.layers > 0; }
-  // "" when there is none.
+  // "" if there is none.
   const std::string& endpoint() const { return endpoint_; }
   const Chain& chain() const { return chain_; }
-  // When it was picked, and the endpoint's life then.
+  // When it was picked, and the endpoint's incarnation at that time.
   Time picked_at() const { return picked_at_; }
   uint64_t incarnation() const { return incarnation_; }
-  // Part of the room of its fullest stage that was taken when it was picked,
-  // by this box's estimate.
+  // Used part of the memory of its fullest stage when it was picked, by this
+  // box's estimate.
   double max_memory_use() const { return max_memory_use_; }
-  // Where the pool was shortest of room when nobody took the request.
+  // Where the pool had the least free memory when no chain was found.
   const std::optional<EndpointTable::Shortage>& shortage() const {
     return shortage_;
   }
-  // The same of its busiest stage's time, by prompts.
+  // Part of its busiest stage's time that went to prefill when it was picked.
   double max_prefill_load() const { return max_prefill_load_; }
   Address address() const;
   std::vector<AddressedStage> WithAddresses(const Chain& chain) const;
-  // The stage at that address, or the endpoint itself.
+  // The stage at that address, or else the endpoint itself.
   std::string EndpointAt(std::string_view address) const;
-  // The stage of `chain` at that address, "" if there is none.
+  // The stage of `chain` at that address; "" if there is none.
   std::string StageAt(const Chain& chain, std::string_view address) const;
 
-  // Hand-overs between halls in the present chain, and in another one.
+  // Number of handoffs between halls in the present chain, and in another one.
   int hall_transfers() const { return HallTransfers(chain_); }
   int HallTransfers(const Chain& chain) const;
 
-  // Events have just passed through the chain.
+  // Records that events have just passed through the chain.
   void OnEvents(Time now);
-  // Whether some stage has shown no sign of life, to any request, after `t`.
+  // Whether some stage has made no progress, for any request, after `t`.
   bool AnyStageIdleSince(Time t) const;
   std::vector<std::string> StagesIdleSince(Time t) const;
-  // Counts a failure against the stages that have shown none, or the endpoint.
+  // Records a failure of those stages, or of a plain service's endpoint.
   void FailStagesIdleSince(Time t, Time now, Time sent);
 
   bool Uses(const std::string& endpoint) const;
-  // The version that its stages must have now, if some is whole.
+  // The version that its stages must have now; nothing if the runners do not
+  // cover all layers of any version.
   std::optional<std::string> Version(Time now) const;
-  // Whether some stage, or just the first, is down.
+  // Whether any stage, or the first one, is down.
   bool HasDownStage() const;
   bool FirstStageIsDown() const;
-  // Which stages others are to take the place of.
+  // Which stages to replace.
   enum class Impaired { kDown, kDownOrSlow };
-  // The chain with others in the place of such stages. Nothing if the first is
-  // down, or if nobody can stand in for one that is.
+  // Returns the chain with such stages replaced. Nothing if the first stage is
+  // down, or if a stage that is down has no replacement.
   std::optional<Chain> ChainWithoutImpaired(Time now, Impaired which) const;
-  // How many times as long as it should a step of the whole chain takes.
+  // Time of a step of the whole chain, in multiples of its nominal time.
   double Slowdown() const;
-  // The streams that lose the stages which `next` replaces, and what can be
-  // done for them.
+  // Estimates the work to recover all streams that lose the stages which `next`
+  // replaces.
   RecoveryLoad RecoveryLoadFor(Time now, const Chain& next,
                                const PoolCapacity& capacity) const;
-  // A chain that may come in the place of the present one is counted too.
+  // Adds, or removes, the load of a chain that may replace the present one.
   void ReserveChain(Time now, const Chain& chain);
   void ReleaseChain(const Chain& chain);
-  // The held `chain` has come in the place of the present one.
+  // Replaces the present chain by the reserved `chain`.
   void SwitchTo(Time now, const Chain& chain);
 
  private:
   bool PickEndpoint(Time now, const std::set<std::string>& tried);
   bool PickChainTarget(Time now);
   int WorkOf(const Stage& stage) const;
-  // What its stages were to read has been read, or is waited for no more.
+  // Removes the prefill and transfer load that is done or no longer needed.
   void ClearPendingLoad();
-  // Runners for a stage's part: of its own hall if those can, since from any
-  // other all tokens so far would have to cross twice. Priced without its
-  // neighbours, 116 of 273 streams of a lost group were given runners of other
-  // halls though their own had some; they paused for 351 ms (median), for 141
-  // where they did not cross.
+  // Picks runners for a stage's layers, from the stage's own hall if possible:
+  // in any other hall, all tokens so far would have to be transferred twice.
+  // When the cost ignored the neighboring stages, 116 of 273 streams of a lost
+  // group were moved to other halls though their own had runners; those streams
+  // paused for 351 ms (median), the others for 141 ms.
   std::optional<Chain> PickRunnersFor(Time now, const std::string& version,
                                       const Stage& stage,
                                       const std::set<std::string>& avoid) const;
@@ -130,15 +133,14 @@
   Chain chain_;
   Time picked_at_{};
   uint64_t incarnation_ = 0;
-  // Tokens times layers that its stages have been sent and have not shown to
-  // have read.
+  // By stage, tokens times layers that were sent and not yet prefilled.
   std::vector<std::pair<std::string, double>> pending_prefill_;
-  double pending_transfer_ = 0;  // tokens that have not crossed between halls
+  double pending_transfer_ = 0;  // tokens not yet transferred between halls
   double max_memory_use_ = 0;
   double max_prefill_load_ = 0;
   std::optional<EndpointTable::Shortage> shortage_;
   bool timed_recovery_;   // Mechanism::kTimedRecovery
-  bool watched_ = false;  // its stages are watched for their events
+  bool watched_ = false;  // the endpoint watch follows its stages
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarded_request.cc
+++ b/pinford/forwarding/forwarded_request.cc
@@ -6,10 +6,10 @@
 
 namespace pinford {
 
-// Kept connections that rested for longer may be closed by the other side as
-// a request is written; one that may not run twice goes on a fresh one.
+// The endpoint may close a connection that was idle for longer just as a
+// request is written, so a request that may not run twice uses a new one.
 static constexpr milliseconds kMaxIdleForOnce{500};
-// A caller that reads slowly gets no more than this into its buffer.
+// Reading from the endpoint pauses while more is unsent to a slow caller.
 static constexpr size_t kMaxUnsentBytes = 256 << 10;
 
 ForwardedRequest::ForwardedRequest(ForwardParts* context, Forwarder* owner,
@@ -56,7 +56,7 @@
   }
 }
 
-// What was counted when the target was picked is counted off.
+// Removes the load that was counted when the target was picked.
 void ForwardedRequest::Release(bool succeeded) {
   target_.Release(now(), sent_, succeeded);
 }
@@ -111,8 +111,9 @@
       context_->upstream->Send(std::move(request), std::move(handlers));
 }
 
-// The last moment at which the request can be kept back: its key may have been
-// taken away, or its endpoint may take nothing more, since it was picked.
+// The last point at which the request can be withheld: since the endpoint was
+// picked, the request's key may have been revoked, or the endpoint may have
+// stopped accepting requests.
 bool ForwardedRequest::BeforeSend() {
   config_fresh_ = !order_.keyed || context_->config_is_fresh();
   if (!config_fresh_) return false;
@@ -196,13 +197,13 @@
 
 // --- the end of an attempt -------------------------------------------------
 
-// What was seen of the attempt that has just ended.
+// Collects what was observed of the attempt that has just ended.
 AttemptFacts ForwardedRequest::FactsOf(UpstreamEnd end) const {
   const ForwardHeaders& names = context_->protocol.headers;
   AttemptFacts facts;
   facts.end = end;
   if (phase_ == Phase::kWaiting) return facts;
-  // An event that was begun and never ended belongs to no whole answer.
+  // A response that ends within an event is incomplete.
   const bool cut = phase_ == Phase::kEvents && events_.has_partial();
   if (end == UpstreamEnd::kComplete && cut) facts.end = UpstreamEnd::kCut;
   facts.status = answer_.status;
@@ -223,7 +224,7 @@
   switch (result.use) {
     case ResponseUse::kForward:
       if (phase_ != Phase::kEvents && order_.exchange->streaming()) {
-        // The caller has the head of a stream: no other answer fits behind it.
+        // The caller already has the head of a stream.
         Fail("an answer that is no stream");
         return;
       }
@@ -239,7 +240,7 @@
   AfterFailure(facts, result);
 }
 
-// Tells the table what the attempt's end teaches, and asks who is in doubt.
+// Records the feedback in the table and probes the endpoint concerned.
 void ForwardedRequest::ApplyFeedback(EndpointFeedback feedback) {
   switch (feedback) {
     case EndpointFeedback::kNone:
@@ -258,7 +259,8 @@
 void ForwardedRequest::OnRejected(const std::string& endpoint) {
   if (endpoint.empty()) return;
   context_->table->OnFull(now(), endpoint);
-  // One that asks for rest has said how it is, and wants no question either.
+  // An endpoint that asked this box to back off has reported its state and is
+  // not probed either.
   if (context_->table->RestLeft(now(), endpoint) > Duration(0)) return;
   if (target_.pool()) owner_->Doubt(endpoint);
 }
@@ -271,7 +273,7 @@
 void ForwardedRequest::LogAttempt(UpstreamEnd end,
                                   const AttemptResult& result) {
   if (result.use == ResponseUse::kForward) return;
-  // What an earlier attempt was answered is not this one's.
+  // Without a response, answer_ is still that of an earlier attempt.
   const bool answered = phase_ != Phase::kWaiting;
   const ForwardHeaders& names = context_->protocol.headers;
   const int status = answered ? answer_.status : 0;
@@ -297,7 +299,7 @@
   Finish(kComplete);
 }
 
-// --- time ------------------------------------------------------------------
+// --- stalls, deadline and end ----------------------------------------------
 
 void ForwardedRequest::Tick(Time t) {
   if (finished_ || upstream_id_ == 0 || replacing_) return;
@@ -336,7 +338,8 @@
   if (timed_recovery_ && first_event_ == Time{}) ProbeIdleStages();
 }
 
-// What is at work, though slow or silent, may still end well; nothing does not.
+// Keeps the present attempt unless there is another target: a slow or stalled
+// attempt may still succeed.
 bool ForwardedRequest::RestartElsewhere(std::string_view event, Time t) {
   ForwardTarget next = target_.CloneUnpicked();
   if (!next.Pick(t, tried_)) return false;
@@ -395,7 +398,7 @@
   end.first =
       first_event_ != Time{} ? first_event_ - exchange.begun() : end.took;
   end.first_wait = first_event_ != Time{} ? first_wait_ : wait_cause_;
-  // A caller that leaves in the middle of a pause has waited for its end.
+  // The pause in which a caller disconnects counts too.
   if (first_event_ != Time{}) RecordGap(t - last_event_);
   end.longest_gap = longest_gap_;
   end.gap_wait = gap_wait_;
--- a/pinford/forwarding/forwarded_request.h
+++ b/pinford/forwarding/forwarded_request.h
@@ -1,17 +1,17 @@
-// One request in a box's care, from its arrival to its last byte.
+// One request that a box forwards, from its arrival to its last byte.
 //
-// It is sent to one endpoint, or to a chain of runners, at a time. What the
-// end of an attempt says is decided by ClassifyAttempt alone; whether another
-// follows depends on the route (may it run twice, how many attempts), on the
-// time left and on the share of retries.
+// At any time it is sent to at most one endpoint or chain of runners.
+// ClassifyAttempt() decides what the end of an attempt means. Whether another
+// attempt follows depends on the route (whether the request may run twice, and
+// how many attempts it may have), on the time left and on the retry share.
 //
-// Streams: events pass on whole, as they come. A stream that breaks, or stands
-// still for so long that its next event would be late, is taken up by another
-// chain after the last event that was passed on, under the head that the
+// Streams: complete events are forwarded as they arrive. If a stream breaks, or
+// stalls for so long that its next event would be late, another chain resumes
+// it after the last event that was forwarded, under the response head that the
 // caller already has.
 //
-// Invariants: at most one attempt is under way; a request that may not be
-// repeated is sent once; the caller gets one answer, and "not run" only while
+// Invariants: at most one attempt is in progress; a request that may not be
+// repeated is sent once; the caller gets one response, and "not run" only while
 // may_have_run_ is false.
 
 #ifndef PINFORD_FORWARDING_FORWARDED_REQUEST_H_
@@ -42,21 +42,22 @@
   ~ForwardedRequest();
 
   void Start();
-  // Ends an attempt that stands still. Called every Forwarder::kTick.
+  // Abandons an attempt that has stalled. Called every Forwarder::kTick.
   void Tick(Time now);
-  // An endpoint that may be one of its stages does not answer, or is slow.
+  // An endpoint, possibly one of its stages, does not respond or is slow.
   void OnStageImpaired(const std::string& endpoint);
-  // The box has no more time for it.
+  // The box's grace period to stop has ended.
   void OnShutdown();
 
  private:
   enum class Phase {
-    kWaiting,  // no answer has begun
-    kAnswer,   // a whole answer is being collected
-    kEvents,   // events are passing
+    kWaiting,  // no response yet
+    kAnswer,   // a response is being collected as a whole
+    kEvents,   // events are being forwarded
   };
 
-  // How often a begun stream looks again for a chain, or for a retry.
+  // How often a started stream checks again for a chain, a retry, or a current
+  // configuration.
   static constexpr milliseconds kRecheckInterval{60};
   static constexpr std::string_view kNoRetryLeft = "no retry is left";
   static constexpr std::string_view kConfigMaybeStale =
@@ -68,71 +69,74 @@
   bool BeforeSend();
   void OnHead(const HttpHead& head);
   void OnBody(std::string bytes);
-  // What the endpoint says of itself in the answer's head.
+  // Applies what the endpoint reports of itself in the response head.
   void ApplyNotice(const EndpointNotice& notice);
   AttemptFacts FactsOf(UpstreamEnd end) const;
   void OnEnd(UpstreamEnd end);
   void ApplyFeedback(EndpointFeedback feedback);
   void OnRejected(const std::string& endpoint);
   void ForwardEvents(const std::string& bytes);
-  // Time since the last event, or since it was sent where none has come.
+  // Time since the last event, or since the request was sent if there was none.
   Duration SinceEvent(Time now) const {
     return now - (last_event_ != Time{} ? last_event_ : sent_);
   }
-  // The longest gap between events, and what was waited for then.
+  // Keeps the longest gap between events and its cause.
   void RecordGap(Duration gap);
   void ForwardAnswer();
   void OnStalled(Time now);
 
-  // --- what follows an attempt that gave no answer: request_retry.cc
+  // --- after an attempt without a usable response: request_retry.cc
 
-  // Sends the request again if that is allowed, else gives it up.
+  // Sends the request again if that is allowed, or fails it.
   void AfterFailure(const AttemptFacts& facts, const AttemptResult& result);
-  // Whether the request may run once more after it may have run.
+  // Whether the request may run again after it may have run.
   bool MayRepeat() const;
-  // Whether another attempt is allowed after `runs` that may have run; counts
-  // it if so, once until it is sent.
+  // Returns whether another attempt is allowed after `runs` attempts that may
+  // have run. If it needs a retry, acquires one, at most one until it is sent.
   bool AcquireAttempt(Time now, int runs);
   RetryNeed retry_class() const;
-  // A stream that has begun waits for a chain, for a retry, or for a fresh
-  // proof of the configuration. False if it does not.
+  // Makes a started stream wait for a chain, for a retry, or for the
+  // configuration to be confirmed. Returns false if the request is no started
+  // stream.
   bool WaitForChain();
   bool WaitForRetry();
   bool WaitForFreshness();
   bool ScheduleRecheck(void (*recheck)(ForwardedRequest*));
   void Fail(std::string_view why, bool timed_out = false);
 
-  // --- what becomes of it where a stage is down or slow: request_recovery.cc
+  // --- recovery when a stage is down or slow: request_recovery.cc
 
-  // Asks the stages that have shown no sign of life since it was sent.
+  // Probes the stages that have made no progress since the request was sent.
   void ProbeIdleStages();
-  // Looks again what can be done where a stage is down. True if something is.
+  // Decides again on a recovery while a stage is down. Returns true if one was
+  // started.
   bool ReevaluateRecovery(Time now);
-  // Puts other runners in the place of stages that are down or slow, while
-  // the rest of the chain keeps what it has read.
+  // Replaces stages that are down or slow, while the other stages keep their
+  // prefilled tokens; or restarts the request on another chain.
   void ReplaceStages(Time now);
-  // Asks the entry to go on with `chain` in the place of the present one.
+  // Asks the first stage to continue with `chain`.
   void RequestReroute(Time now, const Chain& chain, Duration expected);
   void OnRerouted(const Chain& chain, const RerouteResult& result,
                   Duration expected);
-  // What becomes of it, where `next` is the chain without the impaired stages:
-  // by the time it takes, and as it is without that.
+  // Chooses the recovery, where `next` is the chain without the impaired
+  // stages: by estimated time, and with Mechanism::kTimedRecovery switched off.
   Recovery DecideRecovery(Time now, const std::optional<Chain>& next) const;
   Recovery DefaultRecovery(const std::optional<Chain>& next) const;
-  // Whether it waits a moment for a retry rather than cross with `next`.
+  // Whether to wait for a retry for a short time rather than use `next`, which
+  // has more cross-hall transfers.
   bool ShouldAwaitRetry(Time now, const std::optional<Chain>& next);
 
   // ---
 
-  // Leaves the attempt under way for another one, and logs it as `event`.
-  // False, and it stays, if no endpoint takes the other one.
+  // Abandons the attempt in progress for another one and logs it as `event`.
+  // Returns false, and keeps the attempt, if no endpoint accepts another one.
   bool RestartElsewhere(std::string_view event, Time t);
-  // Counts its silence against its stages, once.
+  // Records a failure of the idle stages, once per stall.
   void RecordStall(Time t);
   Duration SilenceLimit() const;
   void Release(bool succeeded);
   void OnDeadline();
-  // Ends the attempt under way, and the request with it.
+  // Cancels the attempt in progress and fails the request.
   void CancelAndFail(std::string_view why, bool timed_out);
   void OnCallerDisconnect();
   void Finish(std::string_view outcome);
@@ -147,34 +151,33 @@
   const Route& route_;
   RequestLog log_;
 
-  // The attempt under way.
+  // The attempt in progress.
   UpstreamId upstream_id_ = 0;
   ForwardTarget target_;
   Time sent_{};
-  Duration backoff_left_{};   // of its endpoint's rest, when it was to be sent
-  bool config_fresh_ = true;  // the configuration, when it was to be sent
+  Duration backoff_left_{};   // of its endpoint, when about to be sent
+  bool config_fresh_ = true;  // when about to be sent
   bool was_sent_ = false;
   Phase phase_ = Phase::kWaiting;
   HttpHead answer_;
   std::string body_;
-  Time last_progress_{};  // the last sign of life of this attempt
+  Time last_progress_{};  // of this attempt
   bool paused_ = false;
-  bool replacing_ = false;      // a change of the chain is under way
-  Time recovery_decided_at_{};  // when it was last decided what becomes of it
-  Time stall_check_after_{};    // until then new stages are expected to read
-  Time stall_recorded_for_{};   // the last_progress_ since which silence was
-                                // counted
+  bool replacing_ = false;      // a change of the chain is in progress
+  Time recovery_decided_at_{};  // time of the last decision on a recovery
+  Time stall_check_after_{};    // until then new stages may be prefilling
+  Time stall_recorded_for_{};   // the last_progress_ of the last recorded stall
 
-  std::string last_target_;  // where it runs, or ran last, for the log
+  std::string last_target_;  // where it runs or ran last, for the log
   WaitCause wait_cause_ = WaitCause::kNone;  // since the last event
-  int picks_ = 0;     // endpoints picked, also those that were never sent to
-  int attempts_ = 0;  // sends
-  int possible_runs_ = 0;    // sends that may have run
-  int resume_refusals_ = 0;  // of an attempt to go on with a begun stream
+  int picks_ = 0;            // endpoints picked, including those never sent to
+  int attempts_ = 0;         // attempts that were sent
+  int possible_runs_ = 0;    // attempts that may have run
+  int resume_refusals_ = 0;  // rejected attempts to resume a started stream
   bool timed_recovery_;      // Mechanism::kTimedRecovery
   bool may_have_run_ = false;
   bool retry_acquired_ = false;         // for the next send
-  std::string_view no_attempt_reason_;  // why AcquireAttempt last said no
+  std::string_view no_attempt_reason_;  // why AcquireAttempt returned false
   bool finished_ = false;
   std::set<std::string> tried_;
   EventStream events_;
@@ -183,7 +186,7 @@
   WaitCause gap_wait_ = WaitCause::kNone;    // of the longest gap
   WaitCause first_wait_ = WaitCause::kNone;  // of the first event
   Time last_event_{};
-  // The endpoint's own failure, for want of anything better.
+  // An endpoint's error response, forwarded if no later attempt succeeds.
   std::optional<HttpHead> endpoint_error_;
   std::string endpoint_error_body_;
   TimerId deadline_timer_ = 0;
--- a/pinford/forwarding/forwarder.cc
+++ b/pinford/forwarding/forwarder.cc
@@ -8,9 +8,9 @@
 
 namespace pinford {
 
-// When a caller that is refused should come back. A box without a proved
-// configuration gets one with the store's next answer; both are well inside
-// the time that the callers of a plain service wait.
+// The Retry-After of refusals, in seconds. A box without a current
+// configuration gets one with the store's next response. Both are well within
+// the time that callers of a plain service wait.
 static constexpr std::string_view kRetryAfter = "0.3";
 
 struct Forwarder::Refusal {
@@ -49,7 +49,7 @@
                   ErrorBody(why.code, why.message, Outcome::kNotRun));
 }
 
-// The caller's limit in ms, if the header holds one.
+// Returns the caller's time limit in ms, if the header has one.
 static std::optional<int64_t> ParseMillis(std::string_view text) {
   int64_t ms = 0;
   const auto [p, ec] =
@@ -66,7 +66,8 @@
 
 void Forwarder::Enqueue(const EntryPtr& exchange) {
   if (!start_queue_.Add(context_->loop->now(), exchange)) {
-    Refuse(exchange, {503, "starting", "too many wait for a configuration"});
+    Refuse(exchange,
+           {503, "starting", "too many requests wait for a configuration"});
     return;
   }
   if (context_->on_caller_waiting) context_->on_caller_waiting();
@@ -88,17 +89,18 @@
   }
   if (head.CountOf("Host") != 1 || head.target.empty() ||
       head.target[0] != '/') {
-    Refuse(exchange, {400, "malformed", "one Host and a path are needed"});
+    Refuse(exchange, {400, "malformed",
+                      "exactly one Host header and a path are required"});
     return;
   }
   if (head.CountOf(names.request_id) != 1) {
-    Refuse(exchange, {400, "malformed", "one request id is needed"});
+    Refuse(exchange, {400, "malformed", "exactly one request id is required"});
     return;
   }
   const bool config_fresh = context_->config_is_fresh();
   const Route* route = routes_->Find(head.header("Host"), head.target);
   if (route == nullptr && config_fresh) {
-    Refuse(exchange, {404, "no_route", "no route has this host and path"});
+    Refuse(exchange, {404, "no_route", "no route matches this host and path"});
     return;
   }
   const std::string_view key = head.header(names.key);
@@ -114,7 +116,7 @@
     return;
   }
   if (!EndsBeforeStop(*route, context_->loop->now())) {
-    Refuse(exchange, {503, "stopping", "this box stops"});
+    Refuse(exchange, {503, "stopping", "this box is stopping"});
     return;
   }
   ForwardOrder order;
@@ -134,7 +136,7 @@
   exchange->set_log_id(order.id);
   order.treatment = context_->classify(FactsOf(order));
   if (order.treatment.refuse) {
-    Refuse(exchange, {503, "policy", "the policy refuses it now"});
+    Refuse(exchange, {503, "policy", "refused by the policy"});
     return;
   }
   Duration limit = route->timeout;
@@ -150,7 +152,8 @@
   request->Start();
 }
 
-// A stream may take as long as its route allows, which is longer than a stop.
+// Streams never do: they may take as long as their route allows, which is
+// longer than the grace period.
 bool Forwarder::EndsBeforeStop(const Route& route, Time now) const {
   if (now < refuse_from_) return true;
   return route.kind != RequestKind::kStream &&
@@ -165,7 +168,7 @@
 void Forwarder::OnRequestDone(ForwardedRequest* request) {
   for (auto it = active_.begin(); it != active_.end(); ++it) {
     if (it->get() != request) continue;
-    // It is still at work: it goes with the next turn of the loop.
+    // The caller is one of its methods: destroy it in the next loop iteration.
     context_->loop->After(Duration(0), [kept = std::move(*it)] {});
     active_.erase(it);
     return;
@@ -184,7 +187,7 @@
   for (const std::string& name : watch_.ToAsk(now)) SendProbe(name);
 }
 
-// A moving mean over about the last fifty.
+// Updates a moving mean over about the last 50 samples.
 template <typename T>
 void Forwarder::UpdateMean(T sample, T* mean) {
   constexpr int kSpan = 50;
@@ -213,8 +216,7 @@
   if (!watch_.IsDown(endpoint)) evidence_.OnSent(sent);
   context_->ask(endpoint,
                 [this, endpoint, restarted, sent](const RunnerHealth& health) {
-                  // An answer of a life that is over says nothing of the next
-                  // one.
+                  // The result is of an earlier incarnation.
                   if (context_->table->LifeBegun(endpoint) != restarted) return;
                   OnProbeResult(endpoint, sent, health);
                 });
@@ -270,9 +272,9 @@
                     ToMillis(context_->loop->delays().LongestSince(sent)))
                .Add("ms", ToMillis(took)));
   if (change != EndpointWatch::Change::kWorse) return;
-  // One that is slow holds up all prompts that go on to be sent to it: of 64
-  // boxes 51 found by themselves that a first stage had become twelve times too
-  // slow.
+  // A slow runner delays all prompts that are still sent to it, so peers are
+  // notified of it too: without that, 51 of 64 boxes had to find by themselves
+  // that a first stage had become twelve times too slow.
   const bool notify =
       !health.works || context_->off.on(Mechanism::kTimedRecovery);
   if (notify && context_->on_impaired) context_->on_impaired(endpoint);
--- a/pinford/forwarding/forwarder.h
+++ b/pinford/forwarding/forwarder.h
@@ -1,13 +1,14 @@
-// Takes callers' requests in and forwards each by the configuration in force.
+// Accepts callers' requests and forwards each according to the current
+// configuration.
 //
-// What decides whether and where a request goes is here: the route, the
-// customer, whether the configuration is known well enough, and how many
-// requests of a service may be under way. What becomes of it then is
-// ForwardedRequest's.
+// This class decides whether a request is forwarded and to which service: by
+// the route, the customer, and whether the configuration is known to be
+// current. ForwardedRequest handles the request from there on.
 //
-// A configuration that may be out of date says nothing for sure. While its
-// proof is older than the bound, requests that need a key are refused as not
-// run, and nobody is told that a route or key does not exist.
+// A configuration that may be out of date is no basis for a refusal that is
+// final. While it has not been confirmed for longer than the limit, requests
+// that need a key are refused as not run, and no caller gets a response that a
+// route or key does not exist.
 
 #ifndef PINFORD_FORWARDING_FORWARDER_H_
 #define PINFORD_FORWARDING_FORWARDER_H_
@@ -36,7 +37,7 @@
 
 class ForwardedRequest;
 
-// What forwarded requests share. All outlive them.
+// What forwarded requests share. All of it must outlive them.
 struct ForwardParts {
   EventLoop* loop;
   UpstreamClient* upstream;
@@ -45,26 +46,28 @@
   Metrics* metrics;
   Random* random;
   ForwardProtocol protocol;
-  // The operators' policy: how a request is treated, and how much each hall
-  // draws for a service.
+  // The operators' policy: the class of a request, and the weight of each hall
+  // for a service.
   std::function<RequestClass(const RequestFacts&)> classify;
   std::function<double(const std::string& service, const std::string& hall)>
       hall_weight;
-  // Whether the configuration is proved to be recent enough to act on keys.
+  // Whether the configuration was confirmed as current recently enough to act
+  // on keys.
   std::function<bool()> config_is_fresh;
-  // The age of that proof, for the log.
+  // Time since that confirmation, for the log.
   std::function<Duration()> freshness_age;
+  // Queries a runner for its health.
   std::function<void(const std::string& endpoint,
                      std::function<void(RunnerHealth)>)>
       ask;
-  // A caller waits for the first configuration or list of endpoints.
+  // A request waits for the first configuration or list of endpoints.
   std::function<void()> on_caller_waiting;
-  // This box's own question found a runner down, or slow.
+  // This box's own probe found a runner down or slow.
   std::function<void(const std::string& endpoint)> on_impaired;
-  // An answer of that life of the endpoint says that it leaves.
+  // A response of that incarnation of the endpoint says that it is leaving.
   std::function<void(const std::string& endpoint, uint64_t incarnation)>
       on_leaving;
-  // As PoolClient::Reroute.
+  // See PoolClient::Reroute.
   std::function<void(const Address& entry, const std::string& request,
                      const std::vector<AddressedStage>& chain, RerouteHandler)>
       reroute;
@@ -81,51 +84,53 @@
   }
   const RouteTable* routes() const { return routes_.get(); }
 
-  // The box stops: what could not end before `end` is refused as not run
-  // once `since` has passed, when the balancer looks elsewhere.
+  // The box is stopping: from `refuse_from` on, when the balancer no longer
+  // sends requests here, those that could not end before `deadline` are refused
+  // as not run.
   void BeginStop(Time refuse_from, Time deadline) {
     refuse_from_ = refuse_from;
     stop_deadline_ = deadline;
   }
 
-  // The box ends: whoever still waits is told so, and the log says why.
+  // Fails all requests in progress because the box exits.
   void GiveUpAll();
 
   void Handle(EntryPtr exchange);
-  // A configuration or a list of endpoints has come: who waited for the first
-  // of each goes on.
+  // A configuration or a list of endpoints was received. Handles the requests
+  // that waited for the first of each.
   void AdmitWaiting();
-  // Looks for requests that stand still. Call it every kTick.
+  // Checks for stalled requests, among others. Call it every kTick.
   void Tick();
 
   EndpointWatch* watch() { return &watch_; }
-  // A request has reason to doubt that the runner works: it is asked at once,
-  // unless it was of late.
+  // Probes a runner that a request suspects to be faulty, unless it was probed
+  // recently.
   void Doubt(const std::string& endpoint);
-  // What is usual of late, over all requests: the time to a first event, and
-  // between two.
+  // Update the moving means over all requests: of the time to the first event
+  // and of the gap between two events.
   void OnFirstEvent(Duration took);
-  // `allowed` is the longest that the caller allows.
+  // `allowed` is the longest gap that the caller allows; 0 if unlimited.
   void OnGap(Duration gap, Duration allowed);
   Duration mean_first_event() const { return mean_first_event_; }
   Duration mean_gap() const { return mean_gap_; }
-  // What the pool can read, as of some milliseconds ago at most.
+  // The pool's prefill capacity, at most kTick old.
   const PoolCapacity& CapacityOf(const std::string& service,
                                  const std::string& version);
   void ForgetEndpoint(const std::string& endpoint) { watch_.Forget(endpoint); }
-  // It has started anew: what ran there is lost, and goes elsewhere at once.
+  // The endpoint has restarted: requests that ran there are lost and move to
+  // other runners at once.
   void OnNewLife(const std::string& endpoint);
 
   size_t active() const { return active_.size(); }
 
-  // Short against the shortest gap between events that is noticed.
+  // Short compared with the shortest gap between events that counts as a stall.
   static constexpr Duration kTick = milliseconds(20);
 
  private:
   friend class ForwardedRequest;
   struct Refusal;
 
-  // Whether a configuration and endpoints are known, or were once.
+  // Whether a configuration and endpoints are known, or once were.
   bool IsInitialized();
   void Enqueue(const EntryPtr& exchange);
   void Refuse(const EntryPtr& exchange, const Refusal& why);
@@ -144,14 +149,14 @@
   Time refuse_from_ = Time::max();
   Time stop_deadline_ = Time::max();
   void SendProbe(const std::string& endpoint);
-  // It has not answered, and neither have those that were asked with it: asks
-  // it again, beside one more that nothing is suspected of.
+  // Probes the endpoint again after it and all others probed with it did not
+  // respond, together with one that is not suspected, as a control.
   void ProbeAgain(const std::string& endpoint);
   void ProbeControlRunner();
-  // What came of the question that was put at `asked`.
+  // Applies the result of the probe that was sent at `sent`.
   void OnProbeResult(const std::string& endpoint, Time sent,
                      const RunnerHealth& health);
-  // Requests that run there go elsewhere.
+  // Moves the requests that run there to other runners.
   void MoveRequests(const std::string& endpoint);
 
   EndpointWatch watch_;
@@ -161,7 +166,7 @@
   std::map<std::pair<std::string, std::string>, PoolCapacity> capacities_;
   Duration mean_first_event_{};
   Duration mean_gap_{};
-  double mean_gap_ratio_ = 0;  // of the longest that is allowed
+  double mean_gap_ratio_ = 0;  // to the longest gap allowed
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/request_log.cc
+++ b/pinford/forwarding/request_log.cc
@@ -67,11 +67,11 @@
                                 const RecoveryFacts& f,
                                 const Recovery& r) const {
   context_->metrics->Count("recoveries_total",
-                           Label("move", RecoveryActionName(r.move)));
+                           Label("move", RecoveryActionName(r.action)));
   Write("recovery", LogFields()
                         .Add("id", order_->id)
                         .Add("endpoint", target.endpoint())
-                        .Add("move", RecoveryActionName(r.move))
+                        .Add("move", RecoveryActionName(r.action))
                         .Add("expected_ms", ToMillis(r.expected))
                         .Add("down", f.down)
                         .Add("begun", f.started)
@@ -119,7 +119,8 @@
         .Add("short_holders", s->holders)
         .Add("short_taken", s->taken);
   }
-  // Each cut answer has to be found again, however much else is logged.
+  // Warnings have a rate limit of their own, so that an interrupted response
+  // stays in the log however much else is logged.
   const LogLevel level = e.cut ? LogLevel::kWarn : LogLevel::kInfo;
   LogEvent(LogPart::kCallers, level, "request_ended", fields);
 }
--- a/pinford/forwarding/request_log.h
+++ b/pinford/forwarding/request_log.h
@@ -1,5 +1,5 @@
-// What a forwarded request tells the log and the metrics: a line for each
-// attempt that did not end well, for each change of its chain, and at its end.
+// Writes a forwarded request's log lines and metrics: for each attempt that did
+// not succeed, for each change of its chain, and for its end.
 // docs/OPERATIONS.md shows how to read them together.
 
 #ifndef PINFORD_FORWARDING_REQUEST_LOG_H_
@@ -20,69 +20,69 @@
 
 class RequestLog {
  public:
-  // Both must outlive it.
+  // Both must outlive the log.
   RequestLog(const ForwardParts* context, const ForwardOrder* order)
       : context_(context), order_(order) {}
 
-  // An attempt that ended, as far as it came.
+  // An attempt that did not succeed.
   struct AttemptEnd {
     int attempt = 0;
     const ForwardTarget* target = nullptr;
     UpstreamEnd end = UpstreamEnd::kComplete;
-    int status = 0;  // 0: none came
+    int status = 0;  // 0 without a response
     Executed executed = Executed::kNo;
-    std::string_view at_fault;     // the stage that the answer names
-    std::string_view retry_after;  // as the answer has it
-    // When it was to be sent: what was left of the rest that the endpoint had
-    // asked for, and how long before the endpoint had been picked.
+    std::string_view at_fault;     // the stage that the response names
+    std::string_view retry_after;  // as the response has it
+    // When the attempt was about to be sent: the rest of the backoff that the
+    // endpoint had asked for, and the time since the endpoint was picked.
     Duration backoff_left{};
     Duration since_pick{};
     Duration took{};
   };
   void AttemptFailed(const AttemptEnd& a) const;
 
-  // Its endpoint wants nothing from this box for so long.
+  // The endpoint asked this box to back off for that long.
   void BackoffRequested(const ForwardTarget& target, Duration rest) const;
 
-  // An attempt was left for another one; `event` says why.
+  // An attempt was abandoned for another one; `event` says why.
   struct AbandonedAttempt {
     int attempt = 0;
     const ForwardTarget* target = nullptr;
     int64_t events = 0;
     Duration idle{};
-    Duration process_delay{};  // this box, at most, within that silence
+    Duration process_delay{};  // longest scheduling delay of this box in `idle`
     Duration took{};
   };
   void Restarted(std::string_view event, const AbandonedAttempt& l) const;
 
-  // The entry was asked to go on with `chain` in the place of the present one.
+  // The first stage was asked to continue with `chain`.
   struct Replaced {
     const ForwardTarget* target = nullptr;
     const Chain& chain;
     RerouteStatus status = RerouteStatus::kUnknown;
-    int extra_transfers = 0;  // hand-overs between halls, beyond those before
+    int extra_transfers = 0;  // cross-hall handoffs beyond those before
     int64_t events = 0;
     Duration since_event{};
   };
   void StagesReplaced(const Replaced& r) const;
 
-  // What becomes of it after a stage went down or slow, and why.
+  // The recovery chosen after a stage went down or became slow, and why.
   void RecoveryChosen(const ForwardTarget& target, const RecoveryFacts& f,
                       const Recovery& r) const;
 
   struct End {
     std::string_view outcome;
     int attempts = 0;
-    std::string last_target;  // an endpoint, or a chain; "" for none
+    std::string last_target;  // an endpoint or a chain; "" for none
     const ForwardTarget* target = nullptr;
     bool may_have_run = false;
     int64_t events = 0;
-    Duration first{};  // from its arrival to its first byte
+    Duration first{};  // from the request's arrival to its first byte
     WaitCause first_wait = WaitCause::kNone;
     Duration longest_gap{};
     WaitCause gap_wait = WaitCause::kNone;
-    Duration process_delay{};  // this box, at most, since its arrival
-    bool cut = false;  // its caller got a part, and the rest never comes
+    Duration process_delay{};  // longest scheduling delay since its arrival
+    bool cut = false;  // its caller got a part and will not get the rest
     std::optional<TcpEnd> caller_end;
     Duration took{};
   };
--- a/pinford/forwarding/request_recovery.cc
+++ b/pinford/forwarding/request_recovery.cc
@@ -1,6 +1,6 @@
-// ForwardedRequest's part in what becomes of a stream whose stage is down or
-// slow. The choice itself is ChooseRecovery's (stage_recovery.h); here its
-// facts are gathered and it is carried out.
+// The part of ForwardedRequest that recovers a stream whose stage is down or
+// slow: it collects the facts for ChooseRecovery() (stage_recovery.h) and
+// carries out the recovery chosen.
 
 #include <algorithm>
 
@@ -9,13 +9,14 @@
 
 namespace pinford {
 
-// While new stages read, a stream does not count as standing still for so long:
-// else it would be begun anew, and all of it read again.
+// A stream does not count as stalled for at most this long while new stages
+// prefill. Otherwise it would restart and all its tokens be prefilled again.
 static constexpr Duration kMaxStallGrace = milliseconds(500);
-// A run that begins anew does so beside the others that lost the same runner,
-// and waits so many times as long for its next event.
+// A restarted stream competes with all others that lost the same runner, and
+// waits this many times longer for its next event.
 static constexpr int kContentionFactor = 3;
-// How long a stream waits for a retry before it crosses between halls instead.
+// How long a stream waits for a retry before it uses a chain with more
+// cross-hall transfers.
 static constexpr Duration kMaxWaitForRetry = milliseconds(500);
 
 void ForwardedRequest::OnStageImpaired(const std::string& endpoint) {
@@ -33,12 +34,12 @@
   if (next && *next == target_.chain()) return;
   const Recovery recovery =
       timed_recovery_ ? DecideRecovery(t, next) : DefaultRecovery(next);
-  switch (recovery.move) {
+  switch (recovery.action) {
     case RecoveryAction::kStay:
       return;
     case RecoveryAction::kRestart:
-      // The entry itself is down, or nobody can stand in soon enough: the
-      // request begins anew, if it may.
+      // The first stage is down, or no replacement is ready soon enough: the
+      // request restarts, if that is allowed.
       if (MayRepeat() && AcquireAttempt(t, possible_runs_ + 1) &&
           RestartElsewhere("attempt_abandoned", t)) {
         return;
@@ -48,12 +49,13 @@
     case RecoveryAction::kReplace:
       break;
   }
-  // Without a stand-in its silence, or its connection's end, decides.
+  // Without a replacement, the stall check or the end of the connection
+  // decides.
   if (next && was_sent_) RequestReroute(t, *next, recovery.expected);
 }
 
-// A chain that crosses more holds up all that cross with it: better is to look
-// for a retry again, for a while.
+// A chain with more cross-hall transfers delays all streams that share the
+// links, so the stream first waits for a retry for a while.
 bool ForwardedRequest::ShouldAwaitRetry(Time t,
                                         const std::optional<Chain>& next) {
   if (no_attempt_reason_ != kNoRetryLeft || first_event_ == Time{})
@@ -130,8 +132,8 @@
         extra_transfers > 0 ? WaitCause::kHallTransfer : WaitCause::kPrefill;
     last_progress_ = t;
     stall_check_after_ = t + std::min(expected, kMaxStallGrace);
-    // Another stage may have failed meanwhile. If nobody can stand in for it,
-    // its silence decides: a retry is dearer than a look.
+    // Another stage may have failed in the meantime. If it has no replacement,
+    // the stall check decides: a retry costs more than checking again.
     if (!target_.HasDownStage()) return;
     const auto next =
         target_.ChainWithoutImpaired(t, ForwardTarget::Impaired::kDown);
@@ -147,8 +149,8 @@
   RestartElsewhere("attempt_abandoned", t);
 }
 
-// A stream whose stage is down gets nothing by itself. Where nothing could be
-// done for it, runners may have been found, loaded or regained meanwhile.
+// A stream whose stage is down makes no progress by itself. If it could not be
+// recovered before, runners may have joined, loaded layers or come back since.
 bool ForwardedRequest::ReevaluateRecovery(Time t) {
   if (!timed_recovery_ || !context_->off.on(Mechanism::kStageReplacement))
     return false;
@@ -160,8 +162,9 @@
   return replacing_ || upstream_id_ != before;
 }
 
-// Where no event has passed, no stage has shown a sign of life that could be
-// missed: prompts went on to a runner twelve times too slow, unasked, for 9 s.
+// Before the first event, the endpoint watch has no progress of these stages
+// that could stop. Without these probes, prompts went to a runner twelve times
+// too slow for 9 s.
 void ForwardedRequest::ProbeIdleStages() {
   for (const std::string& endpoint : target_.StagesIdleSince(sent_)) {
     owner_->Doubt(endpoint);
--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -1,31 +1,32 @@
-// What ForwardedRequest does after an attempt that gave no answer: another one
-// at once, a wait until one may be made, or the end of the request.
+// The part of ForwardedRequest that handles an attempt without a usable
+// response: it starts another attempt, waits until one is possible, or fails
+// the request.
 
 #include "pinford/error_body.h"
 #include "pinford/forwarding/forwarded_request.h"
 
 namespace pinford {
 
-// With less time left nothing is begun any more.
+// No attempt is started with less time left.
 static constexpr milliseconds kMinTimeLeft{30};
-// Sends that endpoints refused, beyond the route's attempts: what was refused
-// has not run there. A stream that has begun has no such bound.
+// Picks beyond the route's attempts, since a rejected attempt has not run.
+// There is no such limit for a started stream.
 static constexpr int kMaxExtraRefusals = 2;
-// When a caller whose request has not run should come back.
+// The Retry-After for requests that have not run, in seconds.
 static constexpr std::string_view kRetryAfter = "0.2";
 
-// Why the last attempt is the end of its request.
+// Why the last attempt ends its request.
 static std::string_view FailureReason(UpstreamEnd end) {
-  // It came whole, and was not the endpoint's answer to this request.
+  // It was complete, but not the endpoint's response to this request.
   if (end == UpstreamEnd::kComplete) return "an answer that cannot be used";
   return UpstreamEndName(end);
 }
 
 void ForwardedRequest::AfterFailure(const AttemptFacts& facts,
                                     const AttemptResult& result) {
-  // That its key may have been taken away does not change with another
-  // endpoint. The next proof is there within milliseconds where the store
-  // answers: no reason to cut a stream whose caller has a part of it.
+  // Another endpoint would not help if the key may have been revoked. If the
+  // store responds, the configuration is confirmed within milliseconds, so a
+  // started stream waits for that rather than being cut.
   if (facts.end == UpstreamEnd::kWithdrawn && !config_fresh_) {
     if (!WaitForFreshness()) Fail(kConfigMaybeStale);
     return;
@@ -38,8 +39,8 @@
                                           : FailureReason(facts.end));
     return;
   }
-  // A chain that was full is full for a while. One whose stage is down is not:
-  // that stage is left out of the next pick.
+  // A chain that was full stays full for a while, so the request waits. If the
+  // rejection was due to a stage that is down, the next pick leaves it out.
   const bool rejected = facts.reported_not_run && order_.exchange->streaming();
   const bool full = rejected && !(timed_recovery_ && resume_refusals_++ == 0);
   if (!full || !WaitForChain()) StartAttempt();
@@ -57,7 +58,7 @@
   const bool begun = order_.exchange->streaming();
   if (!begun && picks_ >= route_.max_attempts + kMaxExtraRefusals) return false;
   if (order_.limit - t < kMinTimeLeft) return false;
-  // What never arrived anywhere is no retry to anybody.
+  // An attempt that was never sent needs no retry.
   if (!was_sent_ || retry_acquired_) return true;
   retry_acquired_ =
       context_->retries->Acquire(t, order_.service, retry_class());
@@ -128,8 +129,8 @@
   });
 }
 
-// Until its caller leaves or the time limit passes: how long a caller bears a
-// pause is for the caller to say.
+// A started stream waits until its caller disconnects or the time limit passes:
+// the caller decides how long a pause it accepts.
 bool ForwardedRequest::ScheduleRecheck(void (*recheck)(ForwardedRequest*)) {
   if (!order_.exchange->streaming()) return false;
   recheck_timer_ = context_->loop->After(kRecheckInterval,
--- a/pinford/forwarding/retry_loans.cc
+++ b/pinford/forwarding/retry_loans.cc
@@ -4,7 +4,7 @@
 
 namespace pinford {
 
-// Of the bounds on asks and answers.
+// The span of the limits on asks and loans.
 static constexpr Duration kSecond = seconds(1);
 int RetryLoans::RemainingInSpan(Time now, Duration span, int max_count,
                                 Times* times) {
@@ -13,7 +13,7 @@
 }
 
 std::vector<RetryAsk> RetryLoans::Asks(Time now) {
-  // Those who were refused before the last asks may be served by them.
+  // Refusals before the last asks may still be served by these.
   const Duration min_shortage_span = share_->options().min_shortage_span;
   if (!ask_times_.empty() && now - ask_times_.back() < min_shortage_span)
     return {};
@@ -22,9 +22,9 @@
     return {};
   std::erase_if(pending_asks_,
                 [now](const auto& a) { return now >= a.second.until; });
-  // As many as suffice if each lends. Who is asked beyond that holds back what
-  // nobody uses: with one more peer an ask 1 in 100 fewer retries were taken
-  // over the tester's runs on a sound network.
+  // As many peers as are enough if each lends. A peer asked beyond that counts
+  // retries that are never used: with one more peer per ask, the test's runs on
+  // a fault-free network used 1 in 100 fewer retries.
   const int enough =
       (shortage.count + options_.max_per_ask - 1) / options_.max_per_ask;
   const int each = (shortage.count + enough - 1) / enough;
--- a/pinford/forwarding/retry_loans.h
+++ b/pinford/forwarding/retry_loans.h
@@ -1,27 +1,27 @@
-// Retries that move: a box that lacks some asks a few peers, drawn at random,
-// and one that has more than it is likely to need lends.
+// Moves retries between boxes: a box that lacks retries asks a few peers, drawn
+// at random, and a peer with more than it is likely to need lends some.
 //
-// Losses are not even. A group of runners takes with it the streams of the few
-// boxes that had most there, whose shares last for a few retries each while
-// most boxes need none; and a box that has just started has no share but what
-// its own requests earn.
+// Losses are uneven. A failing group of runners takes down the streams of the
+// few boxes that had most of them there. The shares of those boxes last for a
+// few retries each while most boxes need none; and a box that has just started
+// has no share but what its own requests earn.
 //
-// Why the sum over boxes keeps to the bound is told in retry_share.h, whose
-// accounts these are. Here is what a datagram may do to them:
-// - An ask carries a random nonce, one for each peer. An answer counts if it
-//   carries the nonce of an ask of this life, once, before the ask's end by
-//   this box's own clock, and for no more than was asked for.
+// retry_share.h, which does the accounting, explains why the total over all
+// boxes stays within the bound. This class limits what a datagram can do:
+// - Each ask to a peer carries a random nonce. A loan counts only if it carries
+//   the nonce of an ask of this incarnation, only once, only before the ask
+//   expires by this box's own clock, and for no more than was asked for.
 // - A peer that grants what it does not have adds at most what it was asked
-//   for: `max_per_ask` an ask, and `max_borrowed_per_window` a window for each
-//   box that lacks some.
-// - A peer that asks without need is lent at most `max_per_ask` for each of
-//   `max_loans_per_second`, and never what this box keeps for itself.
+//   for: `max_per_ask` per ask, and `max_borrowed_per_window` per window for
+//   each box that lacks retries.
+// - A peer that asks without need gets at most `max_per_ask` for each of
+//   `max_loans_per_second` asks, and never what this box reserves for itself.
 //
-// What a box sends is the same for any number of boxes, and nothing while none
-// lacks a retry.
+// The traffic of a box does not depend on the number of boxes, and there is
+// none while no box lacks a retry.
 //
-// No I/O: the owner sends each of Asks to another peer, and OnAsk's answer
-// back.
+// The class does no I/O: the owner sends each result of Asks() to a different
+// peer and returns the result of OnAsk() to the sender.
 
 #ifndef PINFORD_FORWARDING_RETRY_LOANS_H_
 #define PINFORD_FORWARDING_RETRY_LOANS_H_
@@ -42,28 +42,30 @@
 class RetryLoans {
  public:
   struct Options {
-    // Asked of one peer: what a box has to spare where it sees three requests
-    // a second, since they earn five retries a window.
+    // Retries asked of one peer: what a box can spare at three requests a
+    // second, which earn five retries a window.
     int max_per_ask = 4;
-    // 32 retries in all: the streams that a box loses at once with a group of
-    // runners. Asks and answers together are 920 bytes in a second of need,
+    // Allows 32 retries in all: the streams that a box loses at once with a
+    // group of runners. Asks and loans together take 920 bytes in such a second
     // with long names (RetryLoans.BytesAreBoundedForAnyNumberOfBoxes).
     int max_asks_per_second = 8;
-    // As many as are asked on average where every box lacks some.
+    // The average number of asks that a box receives if every box lacks
+    // retries.
     int max_loans_per_second = 8;
-    // In a window: two such losses. Bounds what a lying peer can add.
+    // Two such losses. Limits what a peer that grants too much can add.
     int max_borrowed_per_window = 64;
   };
 
-  // `share` outlives it.
+  // `share` must outlive the object.
   RetryLoans(RetryShare* share, const Options& options, Random random)
       : share_(share), options_(options), random_(random) {}
 
-  // The asks to send now, each to another peer. Call it often.
+  // Returns the asks to send now, each to a different peer. Call it at every
+  // tick.
   std::vector<RetryAsk> Asks(Time now);
-  // The answer to a peer's ask, if this box lends.
+  // Returns the response to a peer's ask, if this box lends.
   std::optional<RetryLoan> OnAsk(Time now, const RetryAsk& ask);
-  // Takes an answer in; returns how many retries were borrowed.
+  // Accepts a loan. Returns how many retries were borrowed.
   int OnLoan(Time now, const RetryLoan& loan);
 
   int64_t asks() const { return asks_sent_; }
@@ -76,9 +78,9 @@
     int count = 0;
     Time until{};
   };
-  // Events of the last while.
+  // Times of recent events.
   using Times = std::deque<Time>;
-  // How many of `most` in a span are left.
+  // Drops times older than `span` and returns how many of `max_count` are left.
   static int RemainingInSpan(Time now, Duration span, int max_count,
                              Times* times);
 
--- a/pinford/forwarding/retry_share.cc
+++ b/pinford/forwarding/retry_share.cc
@@ -18,7 +18,7 @@
   return NameIn(kRetryClassNames, retry_class);
 }
 
-// Drops what lies further back than `span`.
+// Drops times that are older than `span`.
 static void DropOlderThan(Time now, Duration span, std::deque<Time>* times) {
   while (!times->empty() && now - times->front() > span) times->pop_front();
 }
@@ -37,8 +37,8 @@
 }
 
 Duration RetryShare::ShortageSpan(Time now) const {
-  // Who was refused longer than a loan ago could not use one that is asked for
-  // now.
+  // Requests refused longer than a loan's validity ago could not use a loan
+  // that is asked for now.
   return std::clamp(now - shortage_checked_, options_.min_shortage_span,
                     options_.loan_validity);
 }
@@ -130,7 +130,7 @@
   if (ShortageOf(now, w) > 0 || !w.borrowed.empty()) return 0;
   const double used = SizeOf(w.retries) + SizeOf(w.lent);
   const double bound = Limit(now, w);
-  // What it needed a moment ago it may need again.
+  // The box may need again what it has used recently.
   const auto recent = std::lower_bound(w.retries.begin(), w.retries.end(),
                                        now - options_.loan_validity);
   const double held_back =
--- a/pinford/forwarding/stage_recovery.cc
+++ b/pinford/forwarding/stage_recovery.cc
@@ -7,8 +7,8 @@
 
 namespace pinford {
 
-// Of the allowed pause, what the usual gap on a slow stage may take. The rest
-// is for the passes that read prompts between two events: of 250 ms, 100.
+// Part of the allowed pause that the usual gap on a slow stage may take. The
+// rest is for prefill passes between two events: 100 of 250 ms.
 static constexpr double kMaxSlowGapShare = 0.6;
 
 static constexpr EnumName<RecoveryAction> kRecoveryActionNames[] = {
@@ -24,11 +24,11 @@
 Duration TimeToRecoverAll(const RecoveryLoad& load) {
   if (load.tokens <= 0) return Duration(0);
   if (load.read_per_s <= 0) return Duration::max();
-  const double read = load.tokens / load.read_per_s;
-  const double cross = std::max(0, load.extra_transfers) * load.tokens *
-                       load.crossing_seconds / std::max(1, load.links);
-  // Reading begins as tokens arrive, so that the slower of the two binds.
-  return FromSeconds(std::max(read, cross));
+  const double prefill = load.tokens / load.read_per_s;
+  const double transfer = std::max(0, load.extra_transfers) * load.tokens *
+                          load.crossing_seconds / std::max(1, load.links);
+  // Prefill starts as tokens arrive, so the slower of the two is the limit.
+  return FromSeconds(std::max(prefill, transfer));
 }
 
 double QueuePosition(double draw, Tier tier) {
@@ -49,7 +49,8 @@
   return FromSeconds(part * ToSeconds(of));
 }
 
-// With a stage that is down nothing comes: one of the others it must be.
+// No events come through a stage that is down, so the stream has to leave it if
+// it can.
 static Recovery ChooseForDown(const RecoveryFacts& f) {
   if (!f.replace_all) {
     return {f.may_restart ? RecoveryAction::kRestart : RecoveryAction::kStay,
@@ -57,8 +58,7 @@
   }
   const Duration replace = Scaled(f.queue_position, *f.replace_all);
   const Duration time_left = f.allowed - f.idle;
-  // A retry is spent where it brings the stream on sooner, and in time that
-  // the new stages cannot keep.
+  // A retry is used where the new stages would be late and a restart is faster.
   const bool restart =
       f.may_restart && replace > time_left && f.restart_time < replace;
   if (restart) return {RecoveryAction::kRestart, f.restart_time};
@@ -69,7 +69,7 @@
   const bool gap_fits =
       f.gap_if_unchanged <= Scaled(kMaxSlowGapShare, f.allowed);
   if (f.started && gap_fits) return {RecoveryAction::kStay, f.gap_if_unchanged};
-  // What crosses between halls pays for all that its stream still has to say.
+  // A cross-hall chain would slow down every remaining token of the stream.
   const bool no_transfer = f.replace_all && f.extra_transfers <= 0;
   if (!no_transfer) return {RecoveryAction::kStay, f.gap_if_unchanged};
   const Duration replace = Scaled(f.queue_position, *f.replace_all);
--- a/pinford/forwarding/stage_recovery.h
+++ b/pinford/forwarding/stage_recovery.h
@@ -1,25 +1,27 @@
-// What a stream does when one of its stages is down or slow: it goes on where
-// it is, other runners take the stage's part, or it begins anew elsewhere.
+// Decides how a stream recovers when one of its stages is down or slow: it
+// stays on its chain, other runners take over the stage's layers, or the
+// request restarts on another chain.
 //
-// All streams of a lost runner decide at the same moment, in boxes that know
-// nothing of each other's. Taken one by one, each choice is right and all
-// together are wrong: where a hall lost its only holder of some layers, 84
-// streams of 900 tokens each were handed to other halls and back, over links
-// that carry 29 of them a second; all stood still for 1.95 s, until their
-// callers left. So the time is estimated for all of them: every box knows from
-// the digests how much work the lost runner had, what the other holders of its
-// layers read, and what the links carry. A stream's draw is its place among
-// them. Whose place comes up in time goes on with the new stages; the others
-// begin anew where layers are at hand, which costs a retry and no crossing.
+// All streams of a lost runner decide at the same moment, in boxes that do not
+// coordinate. A choice that is best for each stream alone can be wrong for all
+// together: when a hall lost its only holder of some layers, 84 streams of 900
+// tokens each were handed to other halls and back, over links that carry 29 of
+// them a second, and all stalled for 1.95 s until their callers disconnected.
+// The recovery time is therefore estimated for all affected streams. Every box
+// knows from the digests how much work the lost runner had, how fast the other
+// holders of its layers prefill, and what the links carry. A stream's random
+// draw gives its position among the affected streams. Streams whose turn comes
+// in time continue with the replacement stages; the others restart where the
+// layers are available, which costs a retry but no cross-hall transfer.
 //
-// A slow stage is not lost: it goes on, late. A stream stays with it for as
-// long as its events still come well within the allowed pause, since its
-// tokens have been read there; only those that would be late leave. When 13
-// runners of 99 ran twelve times slower, replacing them made some 800 callers
-// leave in 9 s, while their own steps would have lengthened the usual gap of
-// 29 ms to some 60 of 250 ms allowed.
+// A slow stage is late but not lost. A stream stays with it while its events
+// arrive well within the allowed pause, because its tokens have already been
+// prefilled there; only streams that would be late leave. When 13 runners of 99
+// ran twelve times slower, replacing them made some 800 callers disconnect in
+// 9 s, while staying would have lengthened the mean gap of 29 ms to some 60 of
+// the 250 ms allowed.
 //
-// No state, no clock, no network.
+// These functions have no state and use no clock or network.
 
 #ifndef PINFORD_FORWARDING_STAGE_RECOVERY_H_
 #define PINFORD_FORWARDING_STAGE_RECOVERY_H_
@@ -33,52 +35,52 @@
 namespace pinford {
 
 enum class RecoveryAction {
-  kStay,     // it goes on with the chain that it has
-  kReplace,  // other runners take the part of the stages
-  kRestart,  // it begins anew, with a retry
+  kStay,     // continue on the present chain
+  kReplace,  // other runners take over the impaired stages' layers
+  kRestart,  // restart on another chain, with a retry
 };
 
 std::string_view RecoveryActionName(RecoveryAction m);
 
-// Streams that lose a stage together, as far as a box can know.
+// The streams that lose a stage together, as far as a box can know.
 struct RecoveryLoad {
-  double tokens = 0;      // of all streams of the stage, to be read again
-  double read_per_s = 0;  // tokens a second that the new stages read, together
-  int extra_transfers = 0;      // hand-overs between halls beyond those before
-  double crossing_seconds = 0;  // a token takes of a link between two halls
-  int links = 1;                // that share what crosses
+  double tokens = 0;      // of all streams of the stage, to be prefilled again
+  double read_per_s = 0;  // prefill rate of the new stages together, tokens/s
+  int extra_transfers = 0;      // cross-hall handoffs beyond those before
+  double crossing_seconds = 0;  // link time of one token between two halls
+  int links = 1;                // that share the transfers
 };
 
-// Until all streams of the load have been taken up; Duration::max() if they
-// never are.
+// Time until all streams of the load have been recovered; Duration::max() if
+// they never are.
 Duration TimeToRecoverAll(const RecoveryLoad& load);
 
-// A stream's place among those that are to be taken up, from 0 (first) to 1,
-// by a `draw` in [0, 1) of its own. The urgent tiers stand in front.
+// A stream's position among those to be recovered, from 0 (first) to 1, given
+// its own random `draw` in [0, 1). More urgent tiers come earlier.
 double QueuePosition(double draw, Tier tier);
 
 struct RecoveryFacts {
-  bool down = false;     // the stage does not answer; else it is slow
-  bool started = false;  // events have passed
-  Duration allowed{};    // longest pause between events; of one that has not
-                         // begun, until its first event
+  bool down = false;     // the stage does not respond; otherwise it is slow
+  bool started = false;  // events have been forwarded
+  Duration allowed{};    // longest pause between events, or, if it has not
+                         // started, until its first event
   Duration idle{};       // since the last event
-  // Gap between events that the chain as it is lets expect.
+  // Expected gap between events on the present chain.
   Duration gap_if_unchanged{};
-  // Until all streams concerned have new stages (TimeToRecoverAll); nothing if
-  // nobody can take the part.
+  // Until all affected streams have new stages (TimeToRecoverAll); nothing if
+  // no runners can take over the layers.
   std::optional<Duration> replace_all;
   int extra_transfers = 0;
-  double queue_position = 0;  // QueuePosition
-  // Until the first event of a new run, as is usual.
+  double queue_position = 0;  // see QueuePosition()
+  // Usual time from a restart until its first event.
   Duration restart_time{};
   bool may_restart = false;
 };
 
 struct Recovery {
-  RecoveryAction move = RecoveryAction::kStay;
-  // Until its next event with that move; of kReplace, until that of the last
-  // one concerned.
+  RecoveryAction action = RecoveryAction::kStay;
+  // Until the stream's next event with that action; for kReplace, until that of
+  // the last affected stream.
   Duration expected{};
 };
 
--- a/pinford/forwarding/start_queue.h
+++ b/pinford/forwarding/start_queue.h
@@ -1,13 +1,14 @@
-// Requests that reach a box before it knows a configuration and its endpoints.
+// Holds requests that reach a box before it knows a configuration and its
+// endpoints.
 //
-// After a loss of power callers come within milliseconds of a box's start, and
-// it can serve them some 30 ms later. Refused, they would come back after a
-// pause that is many times longer, and only once. So they wait, but for a small
-// part of the latency that they ask for and in bounded number; who has waited
-// that long is refused as not run.
+// After a power failure callers connect within milliseconds of a box's start,
+// and the box can serve them some 30 ms later. If refused, they would retry
+// after a much longer pause, and only once. Requests therefore wait, but only
+// for a small part of the latency that they ask for, and in limited number. A
+// request that has waited for the maximum time is refused as not run.
 //
-// The queue answers nobody: its owner takes out who may go on and whose time is
-// over.
+// The queue sends no responses. Its owner removes requests that can proceed or
+// have expired.
 
 #ifndef PINFORD_FORWARDING_START_QUEUE_H_
 #define PINFORD_FORWARDING_START_QUEUE_H_
@@ -21,10 +22,10 @@
 namespace pinford {
 
 struct StartQueueOptions {
-  // A question to a seed, or to the store, and its answer take 10 to 30 ms; the
-  // strictest latency that callers ask for is 120 ms.
+  // A round trip to a seed or to the store takes 10 to 30 ms; the strictest
+  // latency that callers ask for is 120 ms.
   Duration longest = milliseconds(100);
-  // Bounds memory: 800 bytes each on the mean, 4 MB at the very most.
+  // Limits memory: 800 bytes each on average, 4 MB in the worst case.
   size_t max_items = 256;
 };
 
@@ -33,13 +34,13 @@
  public:
   explicit StartQueue(const StartQueueOptions& options) : options_(options) {}
 
-  // False if it is full.
+  // Returns false if the queue is full.
   bool Add(Time now, Item item) {
     if (waiting_.size() >= options_.max_items) return false;
     waiting_.emplace_back(now, std::move(item));
     return true;
   }
-  // Those who have waited for as long as they may.
+  // Removes the items that have waited for the maximum time.
   std::vector<Item> PopExpired(Time now) {
     std::vector<Item> out;
     while (!waiting_.empty() &&
@@ -49,7 +50,7 @@
     }
     return out;
   }
-  // All, in the order in which they came.
+  // Removes all items, in the order in which they were added.
   std::vector<Item> PopAll() {
     std::vector<Item> out;
     for (auto& [since, item] : waiting_) out.push_back(std::move(item));
--- a/pinford/forwarding/wait_cause.h
+++ b/pinford/forwarding/wait_cause.h
@@ -1,9 +1,9 @@
-// What a stream that pauses waits for, as far as its box knows.
+// What a paused stream waits for, as far as its box knows.
 //
-// It is set when the wait begins, so that the line at a request's end can name
-// the cause of the longest pause. Without it the logs of a hall that stood
-// still for two seconds showed replacements that were "done", and not that all
-// their tokens had to cross between halls first.
+// The cause is set when the wait begins, so that the log line at the end of a
+// request can name the cause of its longest pause. Without it, the logs of a
+// hall that stalled for two seconds showed replacements that were "done", but
+// not that every token had to be transferred between halls first.
 
 #ifndef PINFORD_FORWARDING_WAIT_CAUSE_H_
 #define PINFORD_FORWARDING_WAIT_CAUSE_H_
@@ -13,14 +13,14 @@
 namespace pinford {
 
 enum class WaitCause {
-  kNone,          // for nothing that is known: its runners are at work
-  kStart,         // for a run to begin: a slot, and the prompt to be read
-  kReroute,       // for its first stage to take another chain
-  kPrefill,       // for new stages to read its tokens
-  kHallTransfer,  // the same, with more hand-overs between halls than before
-  kRetry,         // for a retry to be left
-  kChain,         // for a chain that takes it
-  kFreshness,     // for a fresh proof of the configuration
+  kNone,          // no known cause: its runners are working
+  kStart,         // an attempt to start: a slot and the prefill
+  kReroute,       // the first stage to accept another chain
+  kPrefill,       // replacement stages to prefill its tokens
+  kHallTransfer,  // the same, with more cross-hall transfers than before
+  kRetry,         // a retry to become available
+  kChain,         // a chain that accepts it
+  kFreshness,     // the configuration to be confirmed as current
 };
 
 std::string_view WaitCauseName(WaitCause c);
--- a/pinford/testing/stage_recovery_test.cc
+++ b/pinford/testing/stage_recovery_test.cc
@@ -42,7 +42,7 @@
     std::optional<Duration> replace_all;
     double queue_position;
     bool may_restart;
-    RecoveryAction move;
+    RecoveryAction action;
   } cases[] = {
       {"read in time", milliseconds(300), 0.5, true, RecoveryAction::kReplace},
       {"its place comes too late", milliseconds(900), 0.5, true,
@@ -62,7 +62,7 @@
     f.replace_all = c.replace_all;
     f.queue_position = c.queue_position;
     f.may_restart = c.may_restart;
-    EXPECT_EQ(ChooseRecovery(f).move, c.move) << c.name;
+    EXPECT_EQ(ChooseRecovery(f).action, c.action) << c.name;
   }
 }
 
@@ -73,7 +73,7 @@
     int extra_transfers;
     Duration replace_all;
     bool started;
-    RecoveryAction move;
+    RecoveryAction action;
   } cases[] = {
       {"well within", milliseconds(60), 0, milliseconds(100), true,
        RecoveryAction::kStay},
@@ -94,7 +94,7 @@
     f.extra_transfers = c.extra_transfers;
     f.replace_all = c.replace_all;
     f.started = c.started;
-    EXPECT_EQ(ChooseRecovery(f).move, c.move) << c.name;
+    EXPECT_EQ(ChooseRecovery(f).action, c.action) << c.name;
   }
 }
 
@@ -153,7 +153,7 @@
     f.queue_position = std::uniform_real_distribution<double>(0, 1)(random);
     f.restart_time = some(500);
     f.may_restart = either();
-    const RecoveryAction move = ChooseRecovery(f).move;
+    const RecoveryAction action = ChooseRecovery(f).action;
     const bool something = f.replace_all || f.may_restart;
     EXPECT_TRUE(move != RecoveryAction::kReplace || f.replace_all);
     EXPECT_TRUE(move != RecoveryAction::kRestart || f.may_restart);
@@ -201,7 +201,7 @@
         QueuePosition(UnitHash(std::to_string(i)), Tier::kStandard);
     f.may_restart = retries > 0;
     const bool restart =
-        timed && ChooseRecovery(f).move == RecoveryAction::kRestart;
+        timed && ChooseRecovery(f).action == RecoveryAction::kRestart;
     double done = 0;
     if (restart) {
       retries--;
