--- a/pinford/forwarding/forward_target.cc
+++ b/pinford/forwarding/forward_target.cc
@@ -41,10 +41,10 @@
       now, options_.service, *version, {0, options_.layers},
       options_.hall_weight, options_.layer_work);
   if (!chain || chain->empty()) {
-    shortage_ = table_->ShortestOf(now, options_.service, *version);
+    memory_bottleneck_ = table_->ShortestOf(now, options_.service, *version);
     return false;
   }
-  shortage_.reset();
+  memory_bottleneck_.reset();
   max_memory_use_ = max_prefill_load_ = 0;
   for (const Stage& stage : *chain) {
     max_memory_use_ =
--- a/pinford/forwarding/forward_target.h
+++ b/pinford/forwarding/forward_target.h
@@ -60,8 +60,8 @@
   // box's estimate.
   double max_memory_use() const { return max_memory_use_; }
   // Where the pool had the least free memory when no chain was found.
-  const std::optional<EndpointTable::Shortage>& shortage() const {
-    return shortage_;
+  const std::optional<EndpointTable::Shortage>& memory_bottleneck() const {
+    return memory_bottleneck_;
   }
   // Part of its busiest stage's time that went to prefill when it was picked.
   double max_prefill_load() const { return max_prefill_load_; }
@@ -138,7 +138,7 @@
   double pending_transfer_ = 0;  // tokens not yet transferred between halls
   double max_memory_use_ = 0;
   double max_prefill_load_ = 0;
-  std::optional<EndpointTable::Shortage> shortage_;
+  std::optional<EndpointTable::Shortage> memory_bottleneck_;
   bool timed_recovery_;   // Mechanism::kTimedRecovery
   bool watched_ = false;  // the endpoint watch follows its stages
 };
--- a/pinford/forwarding/request_log.cc
+++ b/pinford/forwarding/request_log.cc
@@ -114,7 +114,7 @@
       .Add("held_up_ms", ToMillis(e.process_delay))
       .Add("caller_end", e.caller_end ? TcpEndName(*e.caller_end) : "")
       .Add("ms", ToMillis(e.took));
-  if (const auto& s = e.target->shortage()) {
+  if (const auto& s = e.target->memory_bottleneck()) {
     fields.Add("short_layer", s->layer)
         .Add("short_holders", s->holders)
         .Add("short_taken", s->taken);
--- a/pinford/testing/asked_rest_test.cc
+++ b/pinford/testing/asked_rest_test.cc
@@ -1,23 +1,16 @@
-// Endpoints that ask for rest are left alone.
+// An endpoint that asks a box to back off (503, not run, with Retry-After) gets
+// no request from it until the backoff ends.
 //
-// What users saw: an endpoint had turned a box away and asked it for three
-// seconds of rest, and got five requests from it within them. Each was refused
-// once more and took a repeat to be served elsewhere; some callers had none
-// left and were refused.
-//
-// The order of events: the endpoint answers 503, not run, with Retry-After; the
-// box sends the request elsewhere, leaves the endpoint alone for 0.3 s, picks
-// it again for the next request, is turned away again, and so on for as long
-// as the endpoint refuses. As it takes nothing it looks idle, and so draws as
-// much as before: 10 to 17 requests a second from eight boxes in the 9 s of
-// such a span, as in the 6 s before it.
-//
-// The cause: Retry-After was read by no decision. That a refusal holds for
-// 0.3 s was the box's own guess at how long a full endpoint stays full,
-// whatever the endpoint said. The evidence: in the test below, before its
-// cause was mended, each request but the first was sent with most of the rest
+// The failure: an endpoint had asked for three seconds of backoff and got five
+// requests within them, because Retry-After was ignored. A rejection excluded
+// an endpoint for 0.3 s, the box's own estimate of how long an endpoint stays
+// full. After that the endpoint was picked and rejected again: since it
+// accepted nothing it looked idle, and in the 9 s of such a span it drew as
+// many requests as in the 6 s before, 10 to 17 a second from eight boxes. Each
+// of them needed a retry; callers without one were refused. In the test below,
+// before the fix, every request but the first was sent with most of the backoff
 // left (rest_left_ms 1,663 to 1,699 of 2,000) to an endpoint picked in the same
-// millisecond (since_pick_ms 0), while the other one was idle.
+// millisecond (since_pick_ms 0), while the other endpoint was idle.
 
 #include <gtest/gtest.h>
 
@@ -33,7 +26,7 @@
          "\r\nContent-Length: 0\r\n\r\n";
 }
 
-// Asks until the answer is there, however busy the machine.
+// Waits for the response, however busy the machine is.
 std::string StatusOfNext(Fixture* f) {
   std::string answer = f->SendRequest("GET", "/get/", milliseconds(10));
   for (int i = 0; answer.empty() && i < 200; i++) {
@@ -43,24 +36,24 @@
   return StatusOf(answer);
 }
 
-// Endpoint a turns away and asks for two seconds of rest, each time.
+// Endpoint a rejects every request and asks for two seconds of backoff.
 TEST(RequestedBackoff, AnEndpointGetsNothingUntilItsBackoffEnds) {
-  constexpr int kMost = 400;
+  constexpr int kMaxRequests = 400;
   Fixture f;
-  f.Script(std::vector<RawEndpoint::Step>(kMost, {BackoffResponse("2")}),
-           std::vector<RawEndpoint::Step>(kMost, {Sealed("1", "ab")}));
+  f.Script(std::vector<RawEndpoint::Step>(kMaxRequests, {BackoffResponse("2")}),
+           std::vector<RawEndpoint::Step>(kMaxRequests, {Sealed("1", "ab")}));
   Time before{};
   while (f.a.requests.empty()) {
     before = f.loop.now();
     ASSERT_EQ(StatusOfNext(&f), "200");
   }
-  // A half second is left for a request that was let in before the end.
+  // Half a second of margin for a request admitted before the end.
   while (f.loop.now() < before + milliseconds(1500)) {
     ASSERT_EQ(StatusOfNext(&f), "200");
   }
   EXPECT_EQ(f.a.requests.size(), 1);
   EXPECT_EQ(f.metrics.counter("rests_asked_total", ""), 1);
-  // It is no outcast: what follows its rest may go there.
+  // After the backoff, requests may go there again.
   const size_t got = f.a.requests.size();
   while (f.a.requests.size() == got && f.loop.now() < before + seconds(10)) {
     StatusOfNext(&f);
@@ -68,7 +61,7 @@
   EXPECT_EQ(f.a.requests.size(), got + 1);
 }
 
-// Whatever else becomes known of an endpoint, and whoever else there is.
+// Neither other reports about the endpoint nor the lack of another one end it.
 TEST(RequestedBackoff, NoOtherEventEndsIt) {
   const Time start = Time{} + hours(1);
   const ListedEndpoint listed =
@@ -85,20 +78,20 @@
       {"a failure",
        [](EndpointTable* t, Time now) { t->OnFailure(now, "a", now); }},
       {"a refusal", [](EndpointTable* t, Time now) { t->OnFull(now, "a"); }},
-      {"a shorter rest",
+      {"a shorter backoff",
        [](EndpointTable* t, Time now) {
          t->OnRestAsked(now, "a", milliseconds(10));
        }},
       {"a list", [&](EndpointTable* t, Time) { t->OnList({listed}); }},
       {"a report",
        [&](EndpointTable* t, Time now) { t->OnReport(now, "a", report); }},
-      {"gone from the list, and back",
+      {"removed from the list and added again",
        [&](EndpointTable* t, Time now) {
          t->OnList({});
          t->OnList({listed});
          t->OnReport(now, "a", report);
        }},
-      {"a new life",
+      {"a restart",
        [&](EndpointTable* t, Time now) {
          t->OnNewLife(now, "a");
          t->OnReport(now, "a", report);
@@ -124,21 +117,22 @@
   }
 }
 
-// What no endpoint wants is rejected at once, as not run, and reaches nobody.
+// A request is refused at once, as not run and unsent, if all endpoints back
+// off.
 TEST(RequestedBackoff, RejectsAtOnceWhenAllBackOff) {
   Fixture f;
   const std::vector<RawEndpoint::Step> refuse(10, {BackoffResponse("5")});
   f.Script(refuse, refuse);
   EXPECT_EQ(StatusOfNext(&f), "503");
-  EXPECT_EQ(f.sends(), 2) << "each of them is tried";
-  f.RunFor(milliseconds(400));  // longer than a full endpoint is left alone
+  EXPECT_EQ(f.sends(), 2) << "each endpoint is tried";
+  f.RunFor(milliseconds(400));  // longer than the backoff after a rejection
   EXPECT_EQ(StatusOfNext(&f), "503");
   EXPECT_NE(f.got.find("Retry-After"), std::string::npos);
   EXPECT_EQ(f.sends(), 2);
 }
 
-// A runner that is a chain's first stage, and asks for rest: the next request
-// begins elsewhere or nowhere, and the runner is not asked how it is.
+// A chain's first stage asks for backoff: the next request does not start
+// there, and the runner is not probed.
 TEST(RequestedBackoff, AFirstStageIsNeitherUsedNorProbed) {
   Fixture f;
   f.MakePool();
@@ -146,17 +140,17 @@
   EXPECT_EQ(StatusOf(f.SendRequest("POST", "/stream/1", milliseconds(100))),
             "503");
   EXPECT_EQ(f.a.requests.size(), 1);
-  f.RunFor(milliseconds(400));  // longer than a full endpoint is left alone
+  f.RunFor(milliseconds(400));  // longer than the backoff after a rejection
   EXPECT_EQ(StatusOf(f.SendRequest("POST", "/stream/1", milliseconds(100))),
             "503");
   EXPECT_EQ(f.a.requests.size(), 1);
   EXPECT_TRUE(f.probed.empty());
 }
 
-// The same cause, with another word: an endpoint that leaves says so in all its
-// answers, which may come seconds before its entry in the list changes, or
-// while no list can be had. It counts from the answer's head on: the end of a
-// stream is up to twenty seconds away.
+// An endpoint that is leaving says so in all its responses, possibly seconds
+// before its entry in the list changes, or while no list is available. The
+// notice counts from the response head on, since a stream may last for another
+// twenty seconds.
 TEST(LeavingNotice, AnEndpointGetsNothingNewAfterItsNotice) {
   const std::string leaves = "X-Leaving: 1\r\n";
   const std::string stream =
@@ -195,7 +189,7 @@
       EXPECT_TRUE(f.leaving_reports.empty()) << c.name;
       continue;
     }
-    // Whoever else there is or is not.
+    // With and without another endpoint.
     EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/", milliseconds(40))), "503");
     EXPECT_EQ(f.a.requests.size(), 1) << c.name;
     f.SetEndpoints({"a", "b"});
@@ -204,17 +198,17 @@
   }
 }
 
-// The answer is of the life that the request was sent to.
+// The notice concerns the incarnation that the request was sent to.
 TEST(LeavingNotice, ALaterIncarnationIsUnaffected) {
   Fixture f;
   f.SetEndpoints({"a"});
   f.Script({{"", RawEndpoint::Step::Then::kKeep}}, {});
   f.SendRequest("GET", "/get/", milliseconds(40));
-  ListedEndpoint anew =
+  ListedEndpoint restarted =
       Fixture::Listed("a", EndpointRole::kService, f.b.address());
-  anew.incarnation = 2;
+  restarted.incarnation = 2;
   f.table.OnNewLife(f.loop.now(), "a");
-  f.table.OnList({anew});
+  f.table.OnList({restarted});
   LoadReport report;
   report.incarnation = 2;
   f.table.OnReport(f.loop.now(), "a", report);
@@ -226,15 +220,15 @@
   EXPECT_TRUE(f.table.TakesNewWork(f.loop.now(), "a"));
 }
 
-// An endpoint is picked before there is a connection to it, which may take
-// hundreds of milliseconds to make. What becomes known meanwhile counts: the
-// request goes elsewhere, and takes no retry for it.
+// An endpoint is picked before the connection to it is made, which may take
+// hundreds of milliseconds. If the endpoint becomes unusable in the meantime,
+// the request goes to another one without using a retry.
 TEST(RequestedBackoff, StateChangesDuringConnectAreHonored) {
   const struct {
     const char* name;
-    std::function<void(Fixture*, const std::string&)> heard;
+    std::function<void(Fixture*, const std::string&)> change;
   } cases[] = {
-      {"asks for rest",
+      {"asks for backoff",
        [](Fixture* f, const std::string& name) {
          f->table.OnRestAsked(f->loop.now(), name, seconds(1));
        }},
@@ -248,7 +242,7 @@
        [](Fixture* f, const std::string& name) {
          f->table.SetDown(name, true);
        }},
-      {"is gone",
+      {"is removed",
        [](Fixture* f, const std::string& name) {
          f->SetEndpoints({name == "a" ? "b" : "a"});
        }},
@@ -264,17 +258,17 @@
       std::string picked;
       f.context.config_is_fresh = [&] {
         if (++checks != 2) return true;
-        // The connection has just been made.
+        // The second check follows the connect.
         for (const auto& [name, row] : f.table.rows()) {
           if (row.own > 0) picked = name;
         }
-        c.heard(&f, picked);
+        c.change(&f, picked);
         return true;
       };
       EXPECT_EQ(StatusOf(f.SendRequest("GET", path)), "200") << c.name << path;
       EXPECT_EQ(f.sends(), 1) << c.name << path;
-      const RawEndpoint& left = picked == "a" ? f.a : f.b;
-      EXPECT_TRUE(left.requests.empty()) << c.name << path;
+      const RawEndpoint& rejected = picked == "a" ? f.a : f.b;
+      EXPECT_TRUE(rejected.requests.empty()) << c.name << path;
     }
   }
 }
--- a/pinford/testing/stage_recovery_test.cc
+++ b/pinford/testing/stage_recovery_test.cc
@@ -1,5 +1,5 @@
-// What becomes of streams whose stage is down or slow: each choice, and what
-// callers get of all of them together when a hall loses its only holder.
+// Recovery of streams whose stage is down or slow: each choice, and the
+// combined result for callers when a hall loses the only holder of some layers.
 
 #include "pinford/forwarding/stage_recovery.h"
 
@@ -44,18 +44,19 @@
     bool may_restart;
     RecoveryAction action;
   } cases[] = {
-      {"read in time", milliseconds(300), 0.5, true, RecoveryAction::kReplace},
-      {"its place comes too late", milliseconds(900), 0.5, true,
+      {"prefilled in time", milliseconds(300), 0.5, true,
+       RecoveryAction::kReplace},
+      {"its position is too late", milliseconds(900), 0.5, true,
        RecoveryAction::kRestart},
       {"the first of many", milliseconds(900), 0.1, true,
        RecoveryAction::kReplace},
-      {"late, but no run is left", milliseconds(900), 0.5, false,
+      {"late, but no attempt is left", milliseconds(900), 0.5, false,
        RecoveryAction::kReplace},
-      {"nobody takes the part", std::nullopt, 0.5, true,
-       RecoveryAction::kRestart},
-      {"nobody, and no run is left", std::nullopt, 0.5, false,
+      {"no replacement", std::nullopt, 0.5, true, RecoveryAction::kRestart},
+      {"no replacement, and no attempt is left", std::nullopt, 0.5, false,
        RecoveryAction::kStay},
-      {"nobody reads it", Duration::max(), 0.5, true, RecoveryAction::kRestart},
+      {"no prefill capacity", Duration::max(), 0.5, true,
+       RecoveryAction::kRestart},
   };
   for (const auto& c : cases) {
     RecoveryFacts f = Down();
@@ -75,18 +76,18 @@
     bool started;
     RecoveryAction action;
   } cases[] = {
-      {"well within", milliseconds(60), 0, milliseconds(100), true,
+      {"well within the limit", milliseconds(60), 0, milliseconds(100), true,
        RecoveryAction::kStay},
-      {"too near", milliseconds(200), 0, milliseconds(100), true,
+      {"too close to the limit", milliseconds(200), 0, milliseconds(100), true,
        RecoveryAction::kReplace},
-      {"would cross", milliseconds(200), 2, milliseconds(100), true,
+      {"would be transferred", milliseconds(200), 2, milliseconds(100), true,
        RecoveryAction::kStay},
-      {"reading takes as long", milliseconds(200), 0, seconds(1), true,
+      {"prefill takes too long", milliseconds(200), 0, seconds(1), true,
        RecoveryAction::kStay},
-      {"has not begun", milliseconds(60), 0, milliseconds(100), false,
+      {"has not started", milliseconds(60), 0, milliseconds(100), false,
        RecoveryAction::kReplace},
-      {"has not begun, would cross", milliseconds(60), 2, milliseconds(100),
-       false, RecoveryAction::kStay},
+      {"has not started, would be transferred", milliseconds(60), 2,
+       milliseconds(100), false, RecoveryAction::kStay},
   };
   for (const auto& c : cases) {
     RecoveryFacts f = Slow();
@@ -105,12 +106,12 @@
     Duration time;
   } cases[] = {
       {"nothing lost", {}, Duration(0)},
-      {"reading binds", {45000, 200000, 0, 0, 2}, milliseconds(225)},
-      {"links bind", {75600, 1e6, 2, 38e-6, 2}, microseconds(2872800)},
-      {"fewer crossings cost nothing",
+      {"prefill is the limit", {45000, 200000, 0, 0, 2}, milliseconds(225)},
+      {"links are the limit", {75600, 1e6, 2, 38e-6, 2}, microseconds(2872800)},
+      {"fewer transfers cost nothing",
        {100, 1000, -2, 38e-6, 2},
        milliseconds(100)},
-      {"nobody reads", {100, 0, 0, 0, 1}, Duration::max()},
+      {"no prefill capacity", {100, 0, 0, 0, 1}, Duration::max()},
   };
   for (const auto& c : cases) {
     EXPECT_NEAR(ToSeconds(TimeToRecoverAll(c.load)), ToSeconds(c.time), 1e-6)
@@ -133,8 +134,8 @@
   }
 }
 
-// Whatever the facts: nothing is chosen that is not there, and a stage that is
-// down is never kept while something can be done.
+// For random facts: only available actions are chosen, and a stage that is down
+// is left if any other action is available.
 TEST(StageRecovery, NeverChoosesAnUnavailableAction) {
   Random random(2);
   const auto some = [&random](int most) {
@@ -161,30 +162,30 @@
   }
 }
 
-// A hall has lost its only holder of some layers. Streams that get stages in
-// other halls cross one after the other; those that begin anew are read there,
-// over `read_per_s`.
+// A hall has lost its only holder of some layers. Streams with replacement
+// stages in other halls are transferred one after the other; restarted streams
+// are prefilled there, at `read_per_s`.
 struct Loss {
   int streams = 84;
-  double tokens = 900;  // of each
+  double tokens = 900;  // per stream
   double crossing_seconds = 38e-6;
   int links = 2;
-  double read_per_s = 400000;  // of other halls, whole chains
+  double read_per_s = 400000;  // whole chains of other halls
   int retries = 84;
 };
 
 struct Outcome {
   int on_time = 0;
   int late = 0;
-  int left = 0;  // after two seconds
+  int abandoned = 0;  // by their callers, after two seconds
 };
 
-constexpr Duration kNoticed = milliseconds(75);
+constexpr Duration kDetectionTime = milliseconds(75);
 
 Outcome RunLoss(const Loss& loss, bool timed) {
   Outcome out;
   double link_busy = 0;
-  double read_busy = 0;
+  double prefill_busy = 0;
   int retries = loss.retries;
   RecoveryLoad load;
   load.tokens = loss.streams * loss.tokens;
@@ -194,7 +195,7 @@
   load.links = loss.links;
   for (int i = 0; i < loss.streams; i++) {
     RecoveryFacts f = Down();
-    f.idle = kNoticed;
+    f.idle = kDetectionTime;
     f.replace_all = TimeToRecoverAll(load);
     f.extra_transfers = load.extra_transfers;
     f.queue_position =
@@ -205,39 +206,39 @@
     double done = 0;
     if (restart) {
       retries--;
-      read_busy += loss.tokens / loss.read_per_s;
-      constexpr double kWholeChain = 0.06;  // seconds, of one by itself
-      done = kWholeChain + read_busy;
+      prefill_busy += loss.tokens / loss.read_per_s;
+      constexpr double kWholeChain = 0.06;  // seconds, for a single stream
+      done = kWholeChain + prefill_busy;
     } else {
       link_busy += load.extra_transfers * loss.tokens * loss.crossing_seconds /
                    loss.links;
       done = link_busy;
     }
-    const Duration pause = kNoticed + FromSeconds(done);
+    const Duration pause = kDetectionTime + FromSeconds(done);
     if (pause <= kAllowed) {
       out.on_time++;
     } else if (pause < seconds(2)) {
       out.late++;
     } else {
-      out.left++;
+      out.abandoned++;
     }
   }
   return out;
 }
 
 TEST(StageRecovery, AHallThatLostItsOnlyHolderRecovers) {
-  const Outcome all_cross = RunLoss(Loss(), false);
-  EXPECT_EQ(all_cross.on_time, 5);
-  EXPECT_EQ(all_cross.left, 28);
+  const Outcome untimed = RunLoss(Loss(), false);
+  EXPECT_EQ(untimed.on_time, 5);
+  EXPECT_EQ(untimed.abandoned, 28);
   const Outcome timed = RunLoss(Loss(), true);
-  EXPECT_EQ(timed.left, 0);
+  EXPECT_EQ(timed.abandoned, 0);
   EXPECT_GE(timed.on_time, 45);
-  // With few retries less is gained, and nothing lost.
+  // With few retries the gain is smaller, but nothing is lost.
   Loss few;
   few.retries = 30;
   const Outcome some = RunLoss(few, true);
   EXPECT_GE(some.on_time, 30);
-  EXPECT_LE(some.left, 5);
+  EXPECT_LE(some.abandoned, 5);
 }
 
 }  // namespace
