--- a/pinford/box.cc
+++ b/pinford/box.cc
@@ -159,9 +159,9 @@
   FetchReply reply;
   switch (request.kind) {
     case FetchKind::kConfiguration:
-      return documents_.Body(DocumentKind::kConfiguration);
+      return documents_.MakeFetchReply(DocumentKind::kConfiguration);
     case FetchKind::kEndpoints:
-      return documents_.Body(DocumentKind::kEndpoints);
+      return documents_.MakeFetchReply(DocumentKind::kEndpoints);
     case FetchKind::kTimeline:
       reply.kind = request.kind;
       reply.events = parts_.timeline.Events(request.request);
@@ -195,9 +195,9 @@
   HallPlannerEvents events;
   events.view = [this] { return ViewOfHall(); };
   // Without a wish of the policy nobody needs the lease.
-  events.on_duty = [this] {
+  events.is_candidate = [this] {
     return informed_ && !parts_.stopping && !wanted_.empty() &&
-           parts_.membership.OnDuty(parts_.loop->now(), "planner", 1);
+           parts_.membership.IsElected(parts_.loop->now(), "planner", 1);
   };
   events.on_lease = [this](uint64_t token) {
     parts_.timeline.Add(
--- a/pinford/call_api.cc
+++ b/pinford/call_api.cc
@@ -59,14 +59,14 @@
   events.on_leaving = parts_->spread_leaving;
   events.on_end = [this, exchange, id](const CallEnd& end) {
     active_--;
-    exchange->set_on_hang_up(nullptr);
+    exchange->set_on_disconnect(nullptr);
     Answer(exchange, id, end);
   };
   const std::weak_ptr<Call> running =
       Call::Start(&parts_->store, &parts_->services, parts_->loop,
                   &parts_->table, &parts_->retries, CallOptions(),
                   std::move(call), repeatable, id, std::move(events));
-  exchange->set_on_hang_up([this, running] {
+  exchange->set_on_disconnect([this, running] {
     parts_->metrics.Count("hang_ups_total");
     if (Call::Ptr p = running.lock()) p->Abandon();
   });
--- a/pinford/caller_api.cc
+++ b/pinford/caller_api.cc
@@ -41,7 +41,7 @@
 CallerApi::CallerApi(BoxParts* parts) : parts_(parts), calls_(parts) {}
 
 CallerApi::~CallerApi() {
-  for (auto& [item, c] : completions_) c->exchange->set_on_hang_up(nullptr);
+  for (auto& [item, c] : completions_) c->exchange->set_on_disconnect(nullptr);
 }
 
 int CallerApi::waiting() const {
@@ -98,7 +98,7 @@
   c->item = next_item_++;
   active_++;
   completions_[c->item] = c;
-  exchange->set_on_hang_up([this, c] { OnHangUp(c); });
+  exchange->set_on_disconnect([this, c] { OnHangUp(c); });
 
   Findings findings;
   std::optional<CallerRequest> request = ParseCallerRequest(
@@ -239,11 +239,13 @@
   events.on_token = [this, p](std::string_view text) { OnToken(p, text); };
   events.on_end = [this, p](const CompletionEnd& end) { OnEnd(p, end); };
   events.on_repair = [this, p](const Repair& repair) {
-    parts_->metrics.Observe("repair_seconds", "", ToSeconds(repair.silence));
+    parts_->metrics.Observe("repair_seconds", "",
+                            ToSeconds(repair.interruption));
     parts_->timeline.Add(
         EventKind::kStageRepaired, p->id,
         repair.endpoint + " " + std::string(StepStatusName(repair.cause)) +
-            ", silent for " + std::to_string(ToMillis(repair.silence)) + " ms");
+            ", silent for " + std::to_string(ToMillis(repair.interruption)) +
+            " ms");
   };
   events.on_leaving = parts_->spread_leaving;
   c->driver = std::make_unique<Driver>(
@@ -305,7 +307,7 @@
 
 void CallerApi::Answer(Completion* c, const CompletionEnd& end) {
   HttpExchange* exchange = c->exchange.get();
-  exchange->set_on_hang_up(nullptr);
+  exchange->set_on_disconnect(nullptr);
   const std::string_view outcome = OutcomeName(end.outcome);
   const FinishReason reason =
       end.reached_limit ? FinishReason::kLength : FinishReason::kStop;
@@ -344,7 +346,7 @@
 
 void CallerApi::Refuse(Completion* c, int status, std::string_view code,
                        std::string_view message, Duration retry_after) {
-  c->exchange->set_on_hang_up(nullptr);
+  c->exchange->set_on_disconnect(nullptr);
   c->exchange->Reply(
       status, kJsonType,
       WriteCallerError(c->id, OutcomeName(Outcome::kNotRun), code, message),
--- a/pinford/completion_driver.h
+++ b/pinford/completion_driver.h
@@ -72,7 +72,7 @@
 struct Repair {
   std::string endpoint;  // the one that was lost
   StepStatus cause = StepStatus::kLost;
-  Duration silence{};  // from the last good reply to the next token
+  Duration interruption{};  // from the last good reply to the next token
 };
 
 struct CompletionEvents {
@@ -264,7 +264,7 @@
   void OnToken() {
     const Time now = clock_->now();
     if (repair_) {
-      repair_->silence = now - silent_since_;
+      repair_->interruption = now - silent_since_;
       if (events_.on_repair) events_.on_repair(*repair_);
       repair_.reset();
     }
@@ -290,7 +290,8 @@
   void NoteTrouble(const std::string& endpoint, const Result& result) {
     const Time now = clock_->now();
     last_trouble_ = result.status;
-    if (result.rest) table_->OnRestAsked(now, endpoint, *result.rest);
+    if (result.backoff)
+      table_->OnBackoffRequested(now, endpoint, *result.backoff);
     switch (result.status) {
       case StepStatus::kRefusedLeaving:
         if (table_->OnLeaving(endpoint) && events_.on_leaving) {
@@ -298,7 +299,7 @@
         }
         return;
       case StepStatus::kRefusedRange:
-        table_->OnReportWrong(endpoint);
+        table_->InvalidateReport(endpoint);
         return;
       case StepStatus::kLost:
       case StepStatus::kNotSent:
--- a/pinford/configuration.cc
+++ b/pinford/configuration.cc
@@ -49,8 +49,9 @@
   return c;
 }
 
-Configuration Succeed(const Configuration& base, std::string submission,
-                      std::string author, std::vector<PolicyFile> policy) {
+Configuration MakeSuccessor(const Configuration& base, std::string submission,
+                            std::string author,
+                            std::vector<PolicyFile> policy) {
   Configuration next;
   next.generation = base.generation + 1;
   next.submission = std::move(submission);
--- a/pinford/configuration.h
+++ b/pinford/configuration.h
@@ -48,8 +48,8 @@
 std::optional<Configuration> ParseConfiguration(std::string_view json);
 
 // `next` as the successor of `base`.
-Configuration Succeed(const Configuration& base, std::string submission,
-                      std::string author, std::vector<PolicyFile> policy);
+Configuration MakeSuccessor(const Configuration& base, std::string submission,
+                            std::string author, std::vector<PolicyFile> policy);
 
 }  // namespace pinford
 
--- a/pinford/documents.cc
+++ b/pinford/documents.cc
@@ -86,7 +86,7 @@
   }
 }
 
-FetchReply Documents::Body(DocumentKind kind) const {
+FetchReply Documents::MakeFetchReply(DocumentKind kind) const {
   FetchReply reply;
   reply.kind = static_cast<FetchKind>(kind);
   reply.version = documents_[IndexOf(kind)].version();
@@ -172,7 +172,7 @@
   for (DocumentKind kind : kAllKinds) {
     FetchFromPeers(kind);
     if (watching_[IndexOf(kind)]) continue;
-    if (parts_->membership.OnDuty(now, KeyOf(kind), kWatchers)) Watch(kind);
+    if (parts_->membership.IsElected(now, KeyOf(kind), kWatchers)) Watch(kind);
   }
 }
 
--- a/pinford/documents.h
+++ b/pinford/documents.h
@@ -41,7 +41,7 @@
   // Whether each document is known, if only to be absent.
   bool ready() const { return known_[0] && known_[1]; }
   // Answers a peer.
-  FetchReply Body(DocumentKind kind) const;
+  FetchReply MakeFetchReply(DocumentKind kind) const;
 
   // Tells the peers of a new version at once.
   void set_announce(std::function<void()> fn) { announce_ = std::move(fn); }
--- a/pinford/endpoint.h
+++ b/pinford/endpoint.h
@@ -61,10 +61,10 @@
   double layer_seconds = 0;  // idle, one layer of one position
   // To read one token of a prompt in one layer, at the pace of full passes; 0
   // if that is not known.
-  double read_seconds = 0;
+  double prefill_seconds = 0;
   // Work that fits into its memory, as EndpointTable counts it; 0 if that is
   // not known.
-  double room = 0;
+  double memory_capacity = 0;
 };
 
 std::optional<LoadReport> ParseLoadReport(std::string_view json);
--- a/pinford/endpoint_rests.cc
+++ b/pinford/endpoint_backoffs.cc
@@ -1,4 +1,4 @@
-#include "pinford/endpoint_rests.h"
+#include "pinford/endpoint_backoffs.h"
 
 #include <algorithm>
 
--- a/pinford/endpoint_rests.h
+++ b/pinford/endpoint_backoffs.h
@@ -12,8 +12,8 @@
 //
 // Rests are this box's own: an endpoint asks the one that it turned away.
 
-#ifndef PINFORD_ENDPOINT_RESTS_H_
-#define PINFORD_ENDPOINT_RESTS_H_
+#ifndef PINFORD_ENDPOINT_BACKOFFS_H_
+#define PINFORD_ENDPOINT_BACKOFFS_H_
 
 #include <string>
 #include <unordered_map>
@@ -43,4 +43,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_ENDPOINT_RESTS_H_
+#endif  // PINFORD_ENDPOINT_BACKOFFS_H_
--- a/pinford/endpoint_choice.cc
+++ b/pinford/endpoint_choice.cc
@@ -70,7 +70,7 @@
     Time now, const std::string& model, const std::string& wanted) const {
   auto version = WholeVersion(
       model, wanted, [&](const Row& row) { return TakesNewWork(now, row); });
-  if (version || !on(Mechanism::kServeAtNeed)) return version;
+  if (version || !enabled(Mechanism::kLastResort)) return version;
   return WholeVersion(
       model, wanted, [&](const Row& row) { return TakesWorkAtNeed(now, row); });
 }
@@ -98,19 +98,19 @@
     const std::string& hall = row->listed.hall;
     const int number =
         halls.emplace(hall, static_cast<int>(halls.size())).first->second;
-    const bool far = hall != hall_ && !options_.hand_over_directly;
-    const double hop = far ? options_.other_hall_seconds : options_.hop_seconds;
+    const bool far = hall != hall_ && !options_.direct_handoff;
+    const double hop = far ? options_.cross_hall_seconds : options_.hop_seconds;
     const double price = PriceOf(now, *row, means) *
                          std::pow(options_.price.factor, jitter(random_));
-    const bool elsewhere = hall != hall_ && options_.hand_over_directly;
-    const double first = options_.hand_over_directly
+    const bool elsewhere = hall != hall_ && options_.direct_handoff;
+    const double first = options_.direct_handoff
                              ? EntryPrice(now, *row) +
-                                   (elsewhere ? options_.other_hall_seconds : 0)
+                                   (elsewhere ? options_.cross_hall_seconds : 0)
                              : 0;
     candidates.push_back({row->listed.name, row->report->holds,
                           price / hall_weight(hall), hop, number, first});
   }
-  if (!options_.hand_over_directly) return PickChain(candidates, range);
+  if (!options_.direct_handoff) return PickChain(candidates, range);
   const double crossing = CrossingPrice(now, static_cast<int>(halls.size()));
   return PickSimpleChain(candidates, range, crossing);
 }
@@ -134,9 +134,9 @@
   return PickAmong(now, at_need, range, hall_weight);
 }
 
-EndpointTable::Shortage EndpointTable::ShortestOf(
+EndpointTable::MemoryBottleneck EndpointTable::MemoryBottleneckOf(
     Time now, const std::string& model, const std::string& version) const {
-  std::vector<Shortage> at_layer(LayersOf(model, version));
+  std::vector<MemoryBottleneck> at_layer(LayersOf(model, version));
   for (size_t l = 0; l < at_layer.size(); l++) {
     at_layer[l].layer = static_cast<int>(l);
   }
@@ -144,16 +144,18 @@
     if (!Holds(row, model, version) || !TakesWorkAtNeed(now, row)) continue;
     const LayerRange& r = row.report->holds;
     for (int l = r.begin; l < r.end; l++) {
-      Shortage& s = at_layer[l];
-      s.taken = s.holders++ == 0 ? TakenOf(now, row)
-                                 : std::min(s.taken, TakenOf(now, row));
+      MemoryBottleneck& s = at_layer[l];
+      s.memory_used =
+          s.holders++ == 0
+              ? MemoryUtilizationOf(now, row)
+              : std::min(s.memory_used, MemoryUtilizationOf(now, row));
     }
   }
-  const auto less = [](const Shortage& a, const Shortage& b) {
-    return a.holders > 0 && (b.holders == 0 || a.taken < b.taken);
+  const auto less = [](const MemoryBottleneck& a, const MemoryBottleneck& b) {
+    return a.holders > 0 && (b.holders == 0 || a.memory_used < b.memory_used);
   };
   const auto most = std::max_element(at_layer.begin(), at_layer.end(), less);
-  return most == at_layer.end() ? Shortage() : *most;
+  return most == at_layer.end() ? MemoryBottleneck() : *most;
 }
 
 std::optional<std::string> EndpointTable::PickService(
--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <cstring>
 
-#include "pinford/runner_price.h"
+#include "pinford/runner_cost.h"
 
 namespace pinford {
 
@@ -93,7 +93,7 @@
   return row != nullptr && OnLeaving(name, IncarnationOf(*row));
 }
 
-void EndpointTable::OnNewLife(Time now, const std::string& name) {
+void EndpointTable::OnRestart(Time now, const std::string& name) {
   Row* row = Find(name);
   if (row == nullptr) return;
   Row fresh;
@@ -109,7 +109,7 @@
   *row = std::move(fresh);
 }
 
-Time EndpointTable::LifeBegun(const std::string& name) const {
+Time EndpointTable::LastRestartOf(const std::string& name) const {
   const Row* row = Find(name);
   return row != nullptr ? row->begun : Time{};
 }
@@ -124,12 +124,12 @@
   row->lost.work = 0;
 }
 
-void EndpointTable::OnReportWrong(const std::string& name) {
+void EndpointTable::InvalidateReport(const std::string& name) {
   if (Row* row = Find(name)) row->reported = Time::min();
 }
 
 void EndpointTable::OnPeerCounts(const PeerCounts& counts) {
-  if (!on(Mechanism::kPeerCounts)) return;
+  if (!enabled(Mechanism::kPeerCounts)) return;
   for (auto& [name, row] : rows_) {
     const auto it = counts.find(row.id);
     row.peers = it != counts.end() ? it->second : PeerCount();
@@ -141,7 +141,7 @@
   Row* row = Find(name);
   if (row == nullptr) return;
   row->observed = now;
-  if (!on(Mechanism::kObservedRoom)) return;
+  if (!enabled(Mechanism::kObservedMemory)) return;
   row->unknown_work = work - WorkOf(*row);
   row->unknown_entries = entries - row->own_entries - row->peers.entries;
 }
@@ -176,29 +176,30 @@
   row->own_work = std::max(0, row->own_work - work);
 }
 
-void EndpointTable::OnPrompt(Time now, const std::string& name, double tokens) {
+void EndpointTable::OnPrefillSent(Time now, const std::string& name,
+                                  double tokens) {
   Row* row = Find(name);
   if (row == nullptr || !row->report) return;
-  if (!on(Mechanism::kReadingAccount)) return;
-  row->reading.Add(now, tokens * row->report->read_seconds,
+  if (!enabled(Mechanism::kPrefillLoad)) return;
+  row->reading.Add(now, tokens * row->report->prefill_seconds,
                    options_.reading_span);
 }
 
-void EndpointTable::OnWaiting(const std::string& name, double tokens) {
+void EndpointTable::OnPrefillQueued(const std::string& name, double tokens) {
   if (Row* row = Find(name)) row->waiting += tokens;
 }
 
-void EndpointTable::OnWaitingDone(const std::string& name, double tokens) {
+void EndpointTable::OnPrefillDone(const std::string& name, double tokens) {
   if (Row* row = Find(name))
     row->waiting = std::max(0.0, row->waiting - tokens);
 }
 
-void EndpointTable::OnCrossing(Time now, double tokens) {
-  if (!on(Mechanism::kCrossingAccount)) return;
+void EndpointTable::OnTransferSent(Time now, double tokens) {
+  if (!enabled(Mechanism::kTransferLoad)) return;
   crossing_.Add(now, tokens * crossing_seconds_, options_.reading_span);
 }
 
-void EndpointTable::OnCrossingDone(double tokens) {
+void EndpointTable::OnTransferDone(double tokens) {
   crossing_waiting_ = std::max(0.0, crossing_waiting_ - tokens);
 }
 
@@ -207,15 +208,15 @@
 double EndpointTable::CrossingPrice(Time now, int halls) const {
   constexpr double kLeastIdle = 0.01;
   const Duration span = options_.reading_span;
-  const bool pairs = on(Mechanism::kLinkPairs);
+  const bool pairs = enabled(Mechanism::kLinkPairs);
   const int links = pairs ? std::max(1, halls * (halls - 1) / 2) : 1;
   const double taken =
       boxes_ * crossing_.At(now, span) / ToSeconds(span) / links;
   const double waiting =
-      on(Mechanism::kWaitingPrompts)
+      enabled(Mechanism::kPrefillBacklog)
           ? boxes_ * crossing_waiting_ * crossing_seconds_ / links
           : 0;
-  return options_.other_hall_seconds * QueueFactor(waiting) /
+  return options_.cross_hall_seconds * QueueFactor(waiting) /
          std::max(kLeastIdle, 1 - taken);
 }
 
@@ -254,13 +255,13 @@
   if (Row* row = Find(name)) row->down = down;
 }
 
-void EndpointTable::SetPace(const std::string& name, double pace) {
-  if (!on(Mechanism::kPacePrice)) return;
-  if (Row* row = Find(name)) row->pace = std::max(1.0, pace);
+void EndpointTable::SetSlowdown(const std::string& name, double slowdown) {
+  if (!enabled(Mechanism::kSlowdownCost)) return;
+  if (Row* row = Find(name)) row->slowdown = std::max(1.0, slowdown);
 }
 
 void EndpointTable::OnFull(Time now, const std::string& name) {
-  if (Row* row = Find(name)) row->full_until = now + options_.full_rest;
+  if (Row* row = Find(name)) row->full_until = now + options_.full_backoff;
 }
 
 // What the endpoint asked for goes before what this box guesses, and holds
@@ -283,7 +284,7 @@
 bool EndpointTable::TakesWorkAtNeed(Time now, const Row& row) const {
   if (!MaySend(now, row)) return false;
   if (!row.report || row.reported + options_.report_valid < now) return false;
-  const bool answers = on(Mechanism::kServeAtNeed);
+  const bool answers = enabled(Mechanism::kLastResort);
   const Time heard =
       answers ? std::max(row.reported, row.observed) : row.reported;
   return now >= row.resting_until || heard > row.failed;
@@ -355,19 +356,21 @@
   return std::max(0.0, WorkOf(row) + row.unknown_work * UnknownLeft(now, row));
 }
 
-double EndpointTable::TakenOf(Time now, const Row& row) const {
-  const bool known = row.report && row.report->room > 0;
-  return known ? RoomTakenOf(now, row) / row.report->room : 0;
+double EndpointTable::MemoryUtilizationOf(Time now, const Row& row) const {
+  const bool known = row.report && row.report->memory_capacity > 0;
+  return known ? RoomTakenOf(now, row) / row.report->memory_capacity : 0;
 }
 
-double EndpointTable::TakenOf(Time now, const std::string& name) const {
+double EndpointTable::MemoryUtilizationOf(Time now,
+                                          const std::string& name) const {
   const Row* row = Find(name);
-  return row != nullptr ? TakenOf(now, *row) : 0;
+  return row != nullptr ? MemoryUtilizationOf(now, *row) : 0;
 }
 
 double EndpointTable::LayerWorkOf(Time now, const std::string& name) const {
   const Row* row = Find(name);
-  const bool known = row != nullptr && row->report && row->report->room > 0;
+  const bool known =
+      row != nullptr && row->report && row->report->memory_capacity > 0;
   if (!known || row->report->holds.empty()) return 0;
   return RoomTakenOf(now, *row) / row->report->holds.size();
 }
@@ -376,17 +379,17 @@
                                     bool paced) const {
   const Row* row = Find(name);
   if (row == nullptr || !row->report) return 0;
-  return row->report->layer_seconds * layers * (paced ? row->pace : 1);
+  return row->report->layer_seconds * layers * (paced ? row->slowdown : 1);
 }
 
-double EndpointTable::ReadingOf(Time now, const Row& row) const {
+double EndpointTable::PrefillLoadOf(Time now, const Row& row) const {
   const Duration span = options_.reading_span;
   return boxes_ * row.reading.At(now, span) / ToSeconds(span);
 }
 
 double EndpointTable::WaitingOf(const Row& row) const {
-  if (!on(Mechanism::kWaitingPrompts) || !row.report) return 0;
-  return boxes_ * row.waiting * row.report->read_seconds * row.pace;
+  if (!enabled(Mechanism::kPrefillBacklog) || !row.report) return 0;
+  return boxes_ * row.waiting * row.report->prefill_seconds * row.slowdown;
 }
 
 double EndpointTable::WaitingOf(const std::string& name) const {
@@ -394,32 +397,34 @@
   return row != nullptr ? WaitingOf(*row) : 0;
 }
 
-double EndpointTable::ReadingOf(Time now, const std::string& name) const {
+double EndpointTable::PrefillLoadOf(Time now, const std::string& name) const {
   const Row* row = Find(name);
-  return row != nullptr ? ReadingOf(now, *row) : 0;
+  return row != nullptr ? PrefillLoadOf(now, *row) : 0;
 }
 
 bool EndpointTable::HasRoom(Time now, const Row& row, double layer_work) const {
-  if (row.report->room <= 0 || !on(Mechanism::kRoomBound)) return true;
+  if (row.report->memory_capacity <= 0 || !enabled(Mechanism::kMemoryLimit))
+    return true;
   const double more = layer_work * row.report->holds.size();
-  return RoomTakenOf(now, row) + more <= row.report->room * options_.most_room;
+  return RoomTakenOf(now, row) + more <=
+         row.report->memory_capacity * options_.most_room;
 }
 
 double EndpointTable::PriceOf(Time now, const Row& row,
                               const Means& means) const {
   const double idle = row.report->layer_seconds;
-  if (row.report->room <= 0) {
+  if (row.report->memory_capacity <= 0) {
     return PricedLayerCost(idle, BacklogOf(row), means.backlog, options_.price);
   }
   const double weight =
-      on(Mechanism::kSpreadPrice) ? SpeedWeight(gap_share_) : 1;
-  return LayerPrice(
-      {idle, row.pace, ReadingOf(now, row), TakenOf(now, row), WaitingOf(row)},
-      means.layer_seconds, weight);
+      enabled(Mechanism::kSpeedWeight) ? SpeedWeight(gap_share_) : 1;
+  return LayerPrice({idle, row.slowdown, PrefillLoadOf(now, row),
+                     MemoryUtilizationOf(now, row), WaitingOf(row)},
+                    means.layer_seconds, weight);
 }
 
 double EndpointTable::EntryPrice(Time now, const Row& row) const {
-  if (!on(Mechanism::kEntrySlots)) return 0;
+  if (!enabled(Mechanism::kFirstStageSlots)) return 0;
   const double entries = row.own_entries + row.peers.entries +
                          row.unknown_entries * UnknownLeft(now, row);
   return EntrySlotPrice(entries, row.report->slots);
--- a/pinford/endpoint_table.h
+++ b/pinford/endpoint_table.h
@@ -8,7 +8,7 @@
 //     of late, that has neither refused as leaving nor said so in its report,
 //     and that is not resting after a failure.
 //   - An endpoint that has asked this box for rest gets nothing until it is
-//     over, not even where nobody else can serve (endpoint_rests.h).
+//     over, not even where nobody else can serve (endpoint_backoffs.h).
 //   - That an endpoint leaves is believed from whoever says it first (list,
 //     report, refusal, peer) for that incarnation and for good: only a higher
 //     incarnation takes new work again.
@@ -20,7 +20,7 @@
 //     guess at the rest; without this they all herd onto the endpoint that
 //     last looked idle (measured in docs/MEASUREMENTS.md).
 //   - An endpoint whose room is known is priced by the part of it that is
-//     taken (runner_price.h), and left out when it is full.
+//     taken (runner_cost.h), and left out when it is full.
 //   - The first stage of a chain holds a request's place among the engine's
 //     slots until it ends; beyond them requests wait there, however idle the
 //     engine is. So the first stage has a price by the slots that are taken,
@@ -48,7 +48,7 @@
 
 #include "pinford/chain_picker.h"
 #include "pinford/endpoint.h"
-#include "pinford/endpoint_rests.h"
+#include "pinford/endpoint_backoffs.h"
 #include "pinford/mechanisms.h"
 #include "pinford/peer_counts.h"
 #include "pinford/policy.h"
@@ -69,10 +69,10 @@
     Duration rest = seconds(1);          // after a failure, doubled each time
     Duration max_rest = seconds(30);
     double hop_seconds = 0.0005;        // inside a hall, one hand-over
-    double other_hall_seconds = 0.002;  // between halls, until measured
+    double cross_hall_seconds = 0.002;  // between halls, until measured
     // Endpoints hand over to one another, so that what counts is whether two
     // neighbours share a hall; else each hand-over goes by this box.
-    bool hand_over_directly = false;
+    bool direct_handoff = false;
     // Part of an endpoint's room beyond which it gets no more. All of it, since
     // a request counts with its whole answer from its start, and what runners
     // say corrects the account: below, runners stood at 57 in 100 of their
@@ -80,7 +80,7 @@
     double most_room = 1.0;
     // How long an endpoint that refused work as full is left alone, if it does
     // not ask for more. What is there ends within seconds.
-    Duration full_rest = milliseconds(300);
+    Duration full_backoff = milliseconds(300);
     // Over how long prompts sent are counted against what an endpoint can
     // read. Shorter than the bursts that callers make, long enough for a box
     // to have sent several prompts.
@@ -95,7 +95,7 @@
     double jitter = 0.02;
     PriceOptions price;
     StepDeadline::Options deadline;
-    MechanismsOff off;
+    MechanismSwitches mechanisms;
   };
 
   EndpointTable(std::string hall, const Options& options, Random random);
@@ -114,20 +114,20 @@
   // It has started anew under the same name: what was known of it, counted
   // there and reported is of a life that is over. What was sent to that life
   // is lost; Done and Failure of it count no more.
-  void OnNewLife(Time now, const std::string& name);
+  void OnRestart(Time now, const std::string& name);
   // The endpoint does not answer, or does again.
   void SetDown(const std::string& name, bool down);
   // It takes so many times as long as it should.
-  void SetPace(const std::string& name, double pace);
+  void SetSlowdown(const std::string& name, double slowdown);
   // The endpoint refused work because it has no room.
   void OnFull(Time now, const std::string& name);
   // The endpoint wants nothing from this box for so long.
-  void OnRestAsked(Time now, const std::string& name, Duration rest) {
+  void OnBackoffRequested(Time now, const std::string& name, Duration rest) {
     rests_.OnAsked(now, name, rest);
   }
   // The endpoint does not hold what its last report said: that report counts
   // no more.
-  void OnReportWrong(const std::string& name);
+  void InvalidateReport(const std::string& name);
   // How many other boxes place work as this one does.
   void set_peer_boxes(int n) { peer_boxes_ = n; }
   // How many boxes, this one among them, send prompts as this one does.
@@ -150,17 +150,17 @@
   void OnEntry(const std::string& name);
   void OnEntryDone(const std::string& name);
   // `tokens` of a prompt, times the layers that read them, are sent there.
-  void OnPrompt(Time now, const std::string& name, double tokens);
+  void OnPrefillSent(Time now, const std::string& name, double tokens);
   // Those of a prompt wait there to be read; they have been, or will not be.
-  void OnWaiting(const std::string& name, double tokens);
-  void OnWaitingDone(const std::string& name, double tokens);
+  void OnPrefillQueued(const std::string& name, double tokens);
+  void OnPrefillDone(const std::string& name, double tokens);
   // Seconds that a token takes of the link between two halls; 0 if unknown.
-  void set_crossing_seconds(double s) { crossing_seconds_ = s; }
+  void set_transfer_seconds_per_token(double s) { crossing_seconds_ = s; }
   // `tokens` are sent that pass from one hall to another.
-  void OnCrossing(Time now, double tokens);
+  void OnTransferSent(Time now, double tokens);
   // Those wait to pass; they have passed, or will not.
-  void OnCrossingWaiting(double tokens) { crossing_waiting_ += tokens; }
-  void OnCrossingDone(double tokens);
+  void OnTransferQueued(double tokens) { crossing_waiting_ += tokens; }
+  void OnTransferDone(double tokens);
   // Results of single steps and calls.
   void OnSuccess(const std::string& name, double work, Duration took);
   // `sent` is when the step or call that failed was sent.
@@ -172,17 +172,17 @@
   // connection takes up to hundreds of milliseconds to make.
   bool MaySend(Time now, const std::string& name) const;
   // What is left of the rest that it asked for.
-  Duration RestLeft(Time now, const std::string& name) const {
+  Duration BackoffLeft(Time now, const std::string& name) const {
     return rests_.Left(now, name);
   }
   // Endpoints that rest because they asked to.
-  size_t Resting(Time now) const { return rests_.Count(now); }
+  size_t BackingOff(Time now) const { return rests_.Count(now); }
   // Whether its present incarnation is known to be leaving.
   bool IsLeaving(const std::string& name) const;
   // Its present incarnation; 0 if it is not known.
   uint64_t IncarnationOf(const std::string& name) const;
   // When it was seen to have started anew; Time{} if never.
-  Time LifeBegun(const std::string& name) const;
+  Time LastRestartOf(const std::string& name) const;
   Duration DeadlineFor(const std::string& name, double work) const;
   std::optional<Address> AddressOf(const std::string& name) const;
   // "" if it is not known.
@@ -191,9 +191,9 @@
   double BacklogOf(const std::string& name) const;
   // Part of its time that goes to reading prompts, by all boxes; over 1 when
   // more is sent than it can read.
-  double ReadingOf(Time now, const std::string& name) const;
+  double PrefillLoadOf(Time now, const std::string& name) const;
   // Part of its room that is taken, by all boxes; 0 where none is known.
-  double TakenOf(Time now, const std::string& name) const;
+  double MemoryUtilizationOf(Time now, const std::string& name) const;
   // Seconds that what waits to be read there takes, by all boxes.
   double WaitingOf(const std::string& name) const;
   // Thousands of tokens of each of its layers there, by all boxes; 0 where no
@@ -201,8 +201,8 @@
   double LayerWorkOf(Time now, const std::string& name) const;
   // Seconds for a step of `layers` layers there, at its pace.
   double StepSecondsOf(const std::string& name, int layers, bool paced) const;
-  double crossing_seconds() const { return crossing_seconds_; }
-  const MechanismsOff& off() const { return options_.off; }
+  double transfer_seconds_per_token() const { return crossing_seconds_; }
+  const MechanismSwitches& mechanisms() const { return options_.mechanisms; }
   // Streams or calls there, by all boxes.
   double LoadOf(const std::string& name) const;
 
@@ -232,13 +232,13 @@
                                     const std::set<std::string>& avoid = {});
   // Where a pool is shortest of room: the layer whose emptiest holder has the
   // greatest part of its room taken, or that nobody holds.
-  struct Shortage {
+  struct MemoryBottleneck {
     int layer = 0;
-    int holders = 0;   // that take new work
-    double taken = 1;  // part of the room of the emptiest of them
+    int holders = 0;         // that take new work
+    double memory_used = 1;  // part of the room of the emptiest of them
   };
-  Shortage ShortestOf(Time now, const std::string& model,
-                      const std::string& version) const;
+  MemoryBottleneck MemoryBottleneckOf(Time now, const std::string& model,
+                                      const std::string& version) const;
   // The less loaded of two random endpoints of `service`, none of `tried`.
   std::optional<std::string> PickService(Time now, const std::string& service,
                                          const std::set<std::string>& tried);
@@ -293,15 +293,15 @@
     LostLoad lost;
     Time begun{};  // when it was seen to have started anew
     bool is_listed = true;
-    bool down = false;  // does not answer, though it is listed
-    double pace = 1;    // over 1: slower than it should be
+    bool down = false;    // does not answer, though it is listed
+    double slowdown = 1;  // over 1: slower than it should be
   };
   const std::map<std::string, Row>& rows() const { return rows_; }
   // Marks worth telling peers.
   std::vector<LeavingMark> LeavingMarks() const;
 
  private:
-  bool on(Mechanism m) const { return options_.off.on(m); }
+  bool enabled(Mechanism m) const { return options_.mechanisms.enabled(m); }
   static void EndLost(int work, Row* row);
   Row* Find(const std::string& name);
   const Row* Find(const std::string& name) const;
@@ -329,8 +329,8 @@
   // Part of what was observed beyond what was known that is likely left.
   double UnknownLeft(Time now, const Row& row) const;
   double RoomTakenOf(Time now, const Row& row) const;
-  double TakenOf(Time now, const Row& row) const;
-  double ReadingOf(Time now, const Row& row) const;
+  double MemoryUtilizationOf(Time now, const Row& row) const;
+  double PrefillLoadOf(Time now, const Row& row) const;
   double WaitingOf(const Row& row) const;
   bool HasRoom(Time now, const Row& row, double layer_work) const;
   // What prices of a pick are taken against: means over its candidates.
--- a/pinford/engine_client.cc
+++ b/pinford/engine_client.cc
@@ -31,7 +31,7 @@
     result->status = StepStatus::kLost;
   } else {
     result->status = StepStatusOf(r.status, r.body, &result->error);
-    result->rest = RestAsked(r.status, r.header("Retry-After"));
+    result->backoff = RequestedBackoff(r.status, r.header("Retry-After"));
   }
 }
 
--- a/pinford/forwarding/forward_order.cc
+++ b/pinford/forwarding/admitted_request.cc
@@ -1,4 +1,4 @@
-#include "pinford/forwarding/forward_order.h"
+#include "pinford/forwarding/admitted_request.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 // none stands still.
 static constexpr int kUsualTimes = 3;
 
-RequestFacts FactsOf(const ForwardOrder& order) {
+RequestFacts FactsOf(const AdmittedRequest& order) {
   RequestFacts facts;
   facts.customer = order.customer;
   facts.model = order.service;
@@ -26,11 +26,11 @@
   return facts;
 }
 
-ForwardTarget::Options TargetOptions(const ForwardParts& parts,
-                                     const ForwardOrder& order) {
+ForwardTarget::Options TargetOptions(const ForwardContext& parts,
+                                     const AdmittedRequest& order) {
   ForwardTarget::Options options;
   options.service = order.service;
-  options.version = order.treatment.version;
+  options.version = order.request_class.version;
   options.hall_weight = [&parts,
                          service = order.service](const std::string& hall) {
     return parts.hall_weight(service, hall);
@@ -43,7 +43,7 @@
       order.exchange->head().header(parts.protocol.headers.tokens));
   if (!tokens) return options;
   // The most that an answer may have is rarely reached.
-  const int usual = spec->engine->usual_answer;
+  const int usual = spec->engine->mean_answer_tokens;
   const int answer =
       usual > 0 ? std::min(tokens->answer, usual) : tokens->answer;
   options.prompt = tokens->prompt;
@@ -51,7 +51,7 @@
   return options;
 }
 
-Duration SilenceLimitOf(const Route& route, bool begun, Duration usual) {
+Duration SilenceTimeout(const Route& route, bool begun, Duration usual) {
   const auto part = [](double share, Duration of) {
     return FromSeconds(share * ToSeconds(of));
   };
--- a/pinford/forwarding/attempt_result.cc
+++ b/pinford/forwarding/attempt_result.cc
@@ -19,8 +19,8 @@
     case UpstreamEnd::kRefused:
       return {Ran::kNo, AttemptUse::kNone, Lesson::kFailed};
     case UpstreamEnd::kBroken:
-    case UpstreamEnd::kGarbage:
-    case UpstreamEnd::kCut:
+    case UpstreamEnd::kMalformed:
+    case UpstreamEnd::kTruncated:
       return {Ran::kMaybe, AttemptUse::kNone, Lesson::kFailed};
     case UpstreamEnd::kComplete:
       break;
--- a/pinford/forwarding/attempt_result.h
+++ b/pinford/forwarding/attempt_result.h
@@ -48,7 +48,7 @@
   // success; its own answer to a question says whether it is down.
   kFailed,
   // The endpoint that the answer names, or that gave it, takes nothing now.
-  // Holds for EndpointTable::Options::full_rest, unless its answer to a
+  // Holds for EndpointTable::Options::full_backoff, unless its answer to a
   // question says that it is down, which lasts until it answers again.
   kTurnedAway,
 };
--- a/pinford/forwarding/entry_server.cc
+++ b/pinford/forwarding/caller_server.cc
@@ -1,4 +1,4 @@
-#include "pinford/forwarding/entry_server.h"
+#include "pinford/forwarding/caller_server.h"
 
 #include <event2/listener.h>
 #include <netinet/in.h>
@@ -20,13 +20,13 @@
 static constexpr size_t kReadAhead = 64 << 10;
 static constexpr int kBacklog = 1024;
 
-static HttpReader::Limits ReaderLimits(const EntryServer::Limits& l) {
+static HttpReader::Limits ReaderLimits(const CallerServer::Limits& l) {
   return {l.head_bytes, l.body_bytes};
 }
 
 class EntryConnection : public std::enable_shared_from_this<EntryConnection> {
  public:
-  EntryConnection(EntryServer* server, std::shared_ptr<TcpConnection> tcp)
+  EntryConnection(CallerServer* server, std::shared_ptr<TcpConnection> tcp)
       : server_(server),
         tcp_(std::move(tcp)),
         reader_(HttpReader::Kind::kRequest, ReaderLimits(server->limits_)),
@@ -51,8 +51,8 @@
 
   TcpConnection* tcp() { return tcp_.get(); }
   void set_log_id(const std::string& id) { *log_id_ = id; }
-  EntryServer* server() { return server_; }
-  bool idle() const { return exchange_.expired() && !reader_.begun(); }
+  CallerServer* server() { return server_; }
+  bool idle() const { return exchange_.expired() && !reader_.started(); }
   bool ExpectsFirst(Time opened_before) const {
     return !answered_ && opened_ > opened_before;
   }
@@ -102,8 +102,8 @@
 
   void Sweep(Time now) {
     if (busy_ || closing_) return;
-    const EntryServer::Limits& limits = server_->limits_;
-    if (!reader_.begun()) {
+    const CallerServer::Limits& limits = server_->limits_;
+    if (!reader_.started()) {
       if (now - quiet_since_ >= limits.idle_timeout) Close();
       return;
     }
@@ -117,7 +117,7 @@
   void OnBytes(std::string_view bytes) {
     const Time now = server_ != nullptr ? server_->loop_->now() : Time{};
     if (server_ != nullptr) server_->last_activity_ = now;
-    if (!reader_.begun()) begun_ = now;
+    if (!reader_.started()) begun_ = now;
     last_bytes_ = now;
     reader_.Feed(bytes);
     if (busy_) {
@@ -157,7 +157,7 @@
     busy_ = true;
     continued_ = false;
     caller_keeps_ = reader_.head().keep_alive;
-    auto exchange = std::make_shared<EntryExchange>(
+    auto exchange = std::make_shared<CallerExchange>(
         shared_from_this(), reader_.head(), reader_.TakeBody(), begun_);
     exchange_ = exchange;
     server_->handler_(std::move(exchange));
@@ -185,8 +185,8 @@
                     code));
     closing_ = true;
     busy_ = true;
-    auto exchange = std::make_shared<EntryExchange>(shared_from_this(),
-                                                    reader_.head(), "", begun_);
+    auto exchange = std::make_shared<CallerExchange>(
+        shared_from_this(), reader_.head(), "", begun_);
     exchange->Reply(status, "", {}, ErrorBody(code, message, Outcome::kNotRun));
   }
 
@@ -201,10 +201,10 @@
     if (server_ != nullptr) server_->connections_.erase(this);
   }
 
-  EntryServer* server_;
+  CallerServer* server_;
   std::shared_ptr<TcpConnection> tcp_;
   HttpReader reader_;
-  std::weak_ptr<EntryExchange> exchange_;
+  std::weak_ptr<CallerExchange> exchange_;
   // Outlives this, as the connection does while it delivers the last answer.
   std::shared_ptr<std::string> log_id_ = std::make_shared<std::string>();
   bool busy_ = false;        // a request is worked on
@@ -222,14 +222,14 @@
 
 // --- the exchange ----------------------------------------------------------
 
-EntryExchange::EntryExchange(std::shared_ptr<EntryConnection> connection,
-                             HttpHead head, std::string body, Time begun)
+CallerExchange::CallerExchange(std::shared_ptr<EntryConnection> connection,
+                               HttpHead head, std::string body, Time started)
     : connection_(std::move(connection)),
       head_(std::move(head)),
       body_(std::move(body)),
-      begun_(begun) {}
+      begun_(started) {}
 
-EntryExchange::~EntryExchange() {
+CallerExchange::~CallerExchange() {
   on_hang_up_ = nullptr;
   if (!open()) return;
   // Nobody is left to answer it: its caller would wait in vain.
@@ -239,7 +239,7 @@
   Abort();
 }
 
-void EntryExchange::OnGone(TcpEnd how) {
+void CallerExchange::OnGone(TcpEnd how) {
   connection_ = nullptr;
   caller_end_ = how;
   std::function<void()> fn = std::move(on_hang_up_);
@@ -247,11 +247,11 @@
   if (fn) fn();
 }
 
-void EntryExchange::set_log_id(const std::string& id) {
+void CallerExchange::set_log_id(const std::string& id) {
   if (open()) connection_->set_log_id(id);
 }
 
-size_t EntryExchange::unsent() const {
+size_t CallerExchange::unsent() const {
   return open() ? connection_->tcp()->unsent() : 0;
 }
 
@@ -284,8 +284,8 @@
   }
 }
 
-std::string EntryExchange::Head(int status, std::string_view reason,
-                                const HttpHeaders& headers) const {
+std::string CallerExchange::Head(int status, std::string_view reason,
+                                 const HttpHeaders& headers) const {
   std::string out = fmt::format("HTTP/1.1 {} {}\r\n", status,
                                 reason.empty() ? ReasonOf(status) : reason);
   for (const auto& [name, value] : headers) {
@@ -299,8 +299,8 @@
   return out;
 }
 
-void EntryExchange::Reply(int status, std::string_view reason,
-                          const HttpHeaders& headers, std::string_view body) {
+void CallerExchange::Reply(int status, std::string_view reason,
+                           const HttpHeaders& headers, std::string_view body) {
   if (!open()) return;
   assert(!streaming_);
   std::string out = Head(status, reason, headers);
@@ -312,15 +312,15 @@
   Finish();
 }
 
-void EntryExchange::StartStream(int status, std::string_view reason,
-                                const HttpHeaders& headers) {
+void CallerExchange::StartStream(int status, std::string_view reason,
+                                 const HttpHeaders& headers) {
   if (!open()) return;
   streaming_ = true;
   connection_->tcp()->Write(Head(status, reason, headers) +
                             "Transfer-Encoding: chunked\r\n\r\n");
 }
 
-void EntryExchange::Write(std::string_view bytes) {
+void CallerExchange::Write(std::string_view bytes) {
   if (!open() || bytes.empty()) return;
   std::string chunk = fmt::format("{:x}\r\n", bytes.size());
   chunk += bytes;
@@ -328,20 +328,20 @@
   connection_->tcp()->Write(chunk);
 }
 
-void EntryExchange::EndStream() {
+void CallerExchange::EndStream() {
   if (!open()) return;
   connection_->tcp()->Write("0\r\n\r\n");
   Finish();
 }
 
-void EntryExchange::Finish() {
+void CallerExchange::Finish() {
   on_hang_up_ = nullptr;
   std::shared_ptr<EntryConnection> c = std::move(connection_);
   connection_ = nullptr;
   c->OnAnswered();
 }
 
-void EntryExchange::Abort() {
+void CallerExchange::Abort() {
   if (!open()) return;
   on_hang_up_ = nullptr;
   std::shared_ptr<EntryConnection> c = std::move(connection_);
@@ -351,17 +351,18 @@
 
 // --- the server ------------------------------------------------------------
 
-EntryServer::EntryServer(EventLoop* loop, const Limits& limits, Handler handler)
+CallerServer::CallerServer(EventLoop* loop, const Limits& limits,
+                           Handler handler)
     : loop_(loop), limits_(limits), handler_(std::move(handler)) {
   loop_->Every(kSweep, [this] { Sweep(); });
 }
 
-EntryServer::~EntryServer() {
+CallerServer::~CallerServer() {
   StopListening();
   for (auto& [key, c] : connections_) c->Orphan();
 }
 
-bool EntryServer::Listen(const Address& address) {
+bool CallerServer::Listen(const Address& address) {
   sockaddr_storage at{};
   int size = sizeof(at);
   if (evutil_parse_sockaddr_port(address.ToString().c_str(),
@@ -373,19 +374,19 @@
   listener_ = evconnlistener_new_bind(
       loop_->base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-        static_cast<EntryServer*>(arg)->Accept(fd);
+        static_cast<CallerServer*>(arg)->Accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
       kBacklog, reinterpret_cast<sockaddr*>(&at), size);
   return listener_ != nullptr;
 }
 
-void EntryServer::StopListening() {
+void CallerServer::StopListening() {
   if (listener_ != nullptr) evconnlistener_free(listener_);
   listener_ = nullptr;
 }
 
-void EntryServer::Accept(int fd) {
+void CallerServer::Accept(int fd) {
   if (connections_.size() >= limits_.connections) {
     Log(LogPart::kCallers, LogLevel::kWarn,
         fmt::format("A connection was closed unread: {} are open, the limit.",
@@ -400,7 +401,7 @@
   last_activity_ = loop_->now();
 }
 
-void EntryServer::CloseIdle(Duration for_first) {
+void CallerServer::CloseIdle(Duration for_first) {
   const Time opened_before = loop_->now() - for_first;
   std::vector<std::shared_ptr<EntryConnection>> idle;
   for (auto& [key, c] : connections_) {
@@ -409,7 +410,7 @@
   for (auto& c : idle) c->Close();
 }
 
-void EntryServer::Sweep() {
+void CallerServer::Sweep() {
   const Time now = loop_->now();
   std::vector<std::shared_ptr<EntryConnection>> all;
   all.reserve(connections_.size());
--- a/pinford/forwarding/entry_server.h
+++ b/pinford/forwarding/caller_server.h
@@ -8,8 +8,8 @@
 // A caller that closes its connection while its request is worked on has left:
 // the exchange says so at once, and the work is ended.
 
-#ifndef PINFORD_FORWARDING_ENTRY_SERVER_H_
-#define PINFORD_FORWARDING_ENTRY_SERVER_H_
+#ifndef PINFORD_FORWARDING_CALLER_SERVER_H_
+#define PINFORD_FORWARDING_CALLER_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -30,18 +30,18 @@
 class EntryConnection;
 
 // One request and the answer to it.
-class EntryExchange {
+class CallerExchange {
  public:
-  EntryExchange(std::shared_ptr<EntryConnection> connection, HttpHead head,
-                std::string body, Time begun);
-  ~EntryExchange();
-  EntryExchange(const EntryExchange&) = delete;
-  EntryExchange& operator=(const EntryExchange&) = delete;
+  CallerExchange(std::shared_ptr<EntryConnection> connection, HttpHead head,
+                 std::string body, Time started);
+  ~CallerExchange();
+  CallerExchange(const CallerExchange&) = delete;
+  CallerExchange& operator=(const CallerExchange&) = delete;
 
   const HttpHead& head() const { return head_; }
   const std::string& body() const { return body_; }
   // When the first byte of the request came.
-  Time begun() const { return begun_; }
+  Time started() const { return begun_; }
 
   // Sends the whole answer, with its length. `headers` hold no length.
   void Reply(int status, std::string_view reason, const HttpHeaders& headers,
@@ -66,7 +66,9 @@
   std::optional<TcpEnd> caller_end() const { return caller_end_; }
 
   // Called once if the caller goes away before the answer is finished.
-  void set_on_hang_up(std::function<void()> fn) { on_hang_up_ = std::move(fn); }
+  void set_on_disconnect(std::function<void()> fn) {
+    on_hang_up_ = std::move(fn);
+  }
 
  private:
   friend class EntryConnection;
@@ -84,9 +86,9 @@
   std::function<void()> on_hang_up_;
 };
 
-using EntryPtr = std::shared_ptr<EntryExchange>;
+using CallerExchangePtr = std::shared_ptr<CallerExchange>;
 
-class EntryServer {
+class CallerServer {
  public:
   struct Limits {
     size_t head_bytes = 16 << 10;
@@ -98,12 +100,12 @@
     // than requests may take: how long a pause it bears is for it to say.
     Duration silent_timeout = seconds(30);
   };
-  using Handler = std::function<void(EntryPtr)>;
+  using Handler = std::function<void(CallerExchangePtr)>;
 
-  EntryServer(EventLoop* loop, const Limits& limits, Handler handler);
-  ~EntryServer();
-  EntryServer(const EntryServer&) = delete;
-  EntryServer& operator=(const EntryServer&) = delete;
+  CallerServer(EventLoop* loop, const Limits& limits, Handler handler);
+  ~CallerServer();
+  CallerServer(const CallerServer&) = delete;
+  CallerServer& operator=(const CallerServer&) = delete;
 
   // False, with errno set, when the address cannot be bound.
   bool Listen(const Address& address);
@@ -142,4 +144,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_ENTRY_SERVER_H_
+#endif  // PINFORD_FORWARDING_CALLER_SERVER_H_
--- a/pinford/forwarding/endpoint_directory.cc
+++ b/pinford/forwarding/endpoint_directory.cc
@@ -68,7 +68,7 @@
       JsonField<std::string>(*runner, "version", ""),
       {JsonField(*runner, "begin", 0), JsonField(*runner, "end", 0)},
       JsonField<uint64_t>(*runner, "orders", 0),
-      JsonField<uint64_t>(*runner, "incarnation", kUntoldLife)};
+      JsonField<uint64_t>(*runner, "incarnation", kUnknownIncarnation)};
   return e;
 }
 
@@ -116,9 +116,9 @@
   double crossing = 0;
   for (const ServiceSpec& spec : config_->services) {
     if (spec.engine)
-      crossing = std::max(crossing, spec.engine->crossing_seconds);
+      crossing = std::max(crossing, spec.engine->transfer_seconds_per_token);
   }
-  table_->set_crossing_seconds(crossing);
+  table_->set_transfer_seconds_per_token(crossing);
   Refresh(now);
 }
 
@@ -150,7 +150,7 @@
   return copy;
 }
 
-std::vector<DirectoryEntry> EndpointDirectory::Copy(Time now) const {
+std::vector<DirectoryEntry> EndpointDirectory::Snapshot(Time now) const {
   std::vector<DirectoryEntry> copy;
   copy.reserve(entries_.size() + doubted_.size());
   for (const auto& [id, entry] : entries_) copy.push_back(*CopyOf(now, id));
@@ -191,17 +191,18 @@
   ListedEndpoint& listed = entry->listed;
   Lives& lives = LivesOf(now, listed.name);
   uint64_t& life = listed.incarnation;
-  if (life == 0) life = std::max(lives.newest, kUntoldLife);
-  if (TellsLife(lives.newest) && !TellsLife(life)) {
-    if (events_.on_passed_over) {
-      events_.on_passed_over(listed.name, "it tells no life, and did before");
+  if (life == 0) life = std::max(lives.newest, kUnknownIncarnation);
+  if (IsKnownIncarnation(lives.newest) && !IsKnownIncarnation(life)) {
+    if (events_.on_rejected) {
+      events_.on_rejected(listed.name, "it tells no life, and did before");
     }
     Remove(listed.name);
     return false;
   }
   if (life < lives.newest) return false;
   // A mark that tells no life may be of this one.
-  if (TellsLife(life) && lives.left == kUntoldLife) lives.left = life;
+  if (IsKnownIncarnation(life) && lives.left == kUnknownIncarnation)
+    lives.left = life;
   if (listed.state == ListedState::kLeaving) {
     lives.left = std::max(lives.left, life);
   }
@@ -250,11 +251,11 @@
   kept.doubted_for.reset();
   kept.listed.role = RoleOf(kept);
   if (news || fresh || !SameWords(before, kept)) changes_.Note(id);
-  const bool anew = IsNewLife(known, kept.listed.incarnation);
+  const bool anew = IsNewerIncarnation(known, kept.listed.incarnation);
   if (anew) {
     // Before anybody places work again that ran there.
-    table_->OnNewLife(now, id);
-    if (events_.on_new_life) events_.on_new_life(kept, known);
+    table_->OnRestart(now, id);
+    if (events_.on_restarted) events_.on_restarted(kept, known);
   }
   if (fresh && events_.on_joined) events_.on_joined(kept);
   const bool first = fresh || anew;
@@ -263,14 +264,14 @@
   if (leaves && events_.on_leaving) events_.on_leaving(id);
   const LayerRange held = before.runner ? before.runner->holds : LayerRange();
   const bool moved = kept.runner && (fresh || !(kept.runner->holds == held));
-  if (moved && events_.on_holds) {
-    events_.on_holds(kept, fresh ? LayerRange() : held);
+  if (moved && events_.on_layers_changed) {
+    events_.on_layers_changed(kept, fresh ? LayerRange() : held);
   }
   return true;
 }
 
 void EndpointDirectory::OnStoreRestored(Time now) {
-  OnStoreBack(now);
+  OnStoreReachable(now);
   doubt_until_ = now + options_.doubt;
   for (auto& [id, doubted] : doubted_) doubted.until = doubt_until_;
 }
@@ -304,7 +305,7 @@
   const bool there = entries_.erase(id) > 0;
   if (doubted || there) changes_.Note(id);
   if (!there) return;
-  if (events_.on_gone) events_.on_gone(id);
+  if (events_.on_removed) events_.on_removed(id);
 }
 
 void EndpointDirectory::Refresh(Time now) {
@@ -356,10 +357,10 @@
 // Seconds that a token of a prompt takes in one layer, its share of the steps
 // that the pass plays for other streams among them.
 static double ReadSeconds(const EnginePool& pool, const AcceleratorKind& kind) {
-  if (pool.prefill_per_s <= 0 || pool.read_a_pass <= 0) return 0;
+  if (pool.prefill_per_s <= 0 || pool.prefill_tokens_per_pass <= 0) return 0;
   const double read = kind.prefill_factor / pool.prefill_per_s;
   const double steps = kind.step_factor * pool.step_seconds *
-                       pool.steps_a_pass / pool.read_a_pass;
+                       pool.steps_per_pass / pool.prefill_tokens_per_pass;
   return (read + steps) / pool.layers;
 }
 
@@ -379,8 +380,8 @@
     report.layer_seconds = pool.step_seconds / pool.layers *
                            (kind != nullptr ? kind->step_factor : 1);
     if (kind != nullptr) {
-      report.room = RoomOf(pool, *kind, report.holds);
-      report.read_seconds = ReadSeconds(pool, *kind);
+      report.memory_capacity = RoomOf(pool, *kind, report.holds);
+      report.prefill_seconds = ReadSeconds(pool, *kind);
     }
   }
   table_->OnReport(now, entry.listed.name, report);
@@ -437,7 +438,7 @@
   }
   for (const std::string& id : changes.gone) {
     const bool known = entries_.contains(id) || doubted_.contains(id);
-    if (known) OnGone(now, id);
+    if (known) OnRemoved(now, id);
   }
 }
 
@@ -451,7 +452,7 @@
   RefreshOne(now, id);
 }
 
-void EndpointDirectory::OnGone(Time now, const std::string& id) {
+void EndpointDirectory::OnRemoved(Time now, const std::string& id) {
   Missing(now, id);
   RefreshOne(now, id);
 }
@@ -459,9 +460,9 @@
 void EndpointDirectory::OnLeaving(Time now, const std::string& id,
                                   uint64_t incarnation) {
   Lives& lives = LivesOf(now, id);
-  const uint64_t life = TellsLife(incarnation)
+  const uint64_t life = IsKnownIncarnation(incarnation)
                             ? incarnation
-                            : std::max(lives.newest, kUntoldLife);
+                            : std::max(lives.newest, kUnknownIncarnation);
   lives.left = std::max(lives.left, life);
   auto it = entries_.find(id);
   if (it == entries_.end()) return;
@@ -479,7 +480,8 @@
   if (it == entries_.end()) return;
   DirectoryEntry entry = it->second;
   const uint64_t listed = entry.listed.incarnation;
-  const bool told = TellsLife(state.incarnation) && TellsLife(listed);
+  const bool told =
+      IsKnownIncarnation(state.incarnation) && IsKnownIncarnation(listed);
   if (told && state.incarnation < listed) return;
   if (told && state.incarnation > listed) {
     entry.listed.incarnation = state.incarnation;
--- a/pinford/forwarding/endpoint_directory.h
+++ b/pinford/forwarding/endpoint_directory.h
@@ -47,14 +47,14 @@
 namespace pinford {
 
 // Of an endpoint that tells no life: its id names one life.
-inline constexpr uint64_t kUntoldLife = 1;
-inline bool TellsLife(uint64_t incarnation) {
-  return incarnation > kUntoldLife;
+inline constexpr uint64_t kUnknownIncarnation = 1;
+inline bool IsKnownIncarnation(uint64_t incarnation) {
+  return incarnation > kUnknownIncarnation;
 }
 // Whether `now` is another life than `before`. Where one of them is not told,
 // nobody knows.
-inline bool IsNewLife(uint64_t before, uint64_t now) {
-  return TellsLife(before) && now > before;
+inline bool IsNewerIncarnation(uint64_t before, uint64_t now) {
+  return IsKnownIncarnation(before) && now > before;
 }
 
 // What a runner tells of itself.
@@ -63,7 +63,7 @@
   std::string version;  // of the weights it holds
   LayerRange holds;
   uint64_t orders = 0;  // orders taken in this life
-  uint64_t incarnation = kUntoldLife;
+  uint64_t incarnation = kUnknownIncarnation;
   bool leaving = false;  // of a report: the list tells its state itself
 
   bool operator==(const RunnerState&) const = default;
@@ -116,13 +116,13 @@
   struct Events {
     std::function<void(const DirectoryEntry&)> on_joined;
     std::function<void(const std::string& id)> on_leaving;
-    std::function<void(const std::string& id)> on_gone;
+    std::function<void(const std::string& id)> on_removed;
     // It has started anew; what it said before counts no more.
-    std::function<void(const DirectoryEntry&, uint64_t before)> on_new_life;
+    std::function<void(const DirectoryEntry&, uint64_t before)> on_restarted;
     std::function<void(const std::string& id, std::string_view why)>
-        on_passed_over;
+        on_rejected;
     std::function<void(const DirectoryEntry&, const LayerRange& before)>
-        on_holds;
+        on_layers_changed;
   };
 
   EndpointDirectory(EndpointTable* table, const Options& options, Events events)
@@ -133,7 +133,7 @@
 
   // The store is back after an outage: what is missing may only have lapsed.
   // To a box that has no entries yet, none can have.
-  void OnStoreBack(Time now) {
+  void OnStoreReachable(Time now) {
     if (!entries_.empty()) settled_ = now + options_.lapse_grace;
   }
   // The store has come back from a copy. Call it before the copy's list.
@@ -146,7 +146,7 @@
   void OnChanges(Time now, const DirectoryChanges& changes);
   void OnEntry(Time now, const DirectoryEntry& entry);
   void OnUnreadable(Time now, const std::string& id);
-  void OnGone(Time now, const std::string& id);
+  void OnRemoved(Time now, const std::string& id);
   // Somebody has it from the endpoint or the list that this life leaves.
   void OnLeaving(Time now, const std::string& id, uint64_t incarnation);
   // What a runner itself said it holds, which may be ahead of the list.
@@ -162,12 +162,14 @@
   uint64_t state() const { return state_; }
   // Whether a copy of it changes as time passes: some entry is missing from the
   // store and may come back, or is doubted.
-  bool unsettled() const { return !lapsed_.empty() || !doubted_.empty(); }
+  bool has_timed_entries() const {
+    return !lapsed_.empty() || !doubted_.empty();
+  }
   // Entries of services that the configuration does not name, or of runners
   // that say they hold what their pool does not have. They get no work.
   size_t unusable() const { return unusable_.size(); }
   // All entries, for a peer.
-  std::vector<DirectoryEntry> Copy(Time now) const;
+  std::vector<DirectoryEntry> Snapshot(Time now) const;
   // What changed after the moment `at` of this box's list, for a peer that has
   // it as of then; nothing if that is not known any more.
   uint64_t at() const { return changes_.at(); }
--- a/pinford/forwarding/endpoint_notice.cc
+++ b/pinford/forwarding/endpoint_notice.cc
@@ -7,10 +7,11 @@
 EndpointNotice ReadNotice(const HttpHead& answer, const ForwardHeaders& names) {
   constexpr int kMisdirected = 421;
   EndpointNotice notice;
-  notice.rest = RestAsked(answer.status, answer.header(names.retry_after));
+  notice.backoff =
+      RequestedBackoff(answer.status, answer.header(names.retry_after));
   // 421 may come from another endpoint, to which the address went.
   notice.leaving = answer.status != kMisdirected &&
-                   SaysLeaving(answer.header(names.leaving));
+                   ParseLeaving(answer.header(names.leaving));
   return notice;
 }
 
--- a/pinford/forwarding/endpoint_notice.h
+++ b/pinford/forwarding/endpoint_notice.h
@@ -18,14 +18,14 @@
 
 struct EndpointNotice {
   // It turned the request away and wants nothing from this box for so long.
-  std::optional<Duration> rest;
+  std::optional<Duration> backoff;
   bool leaving = false;
 };
 
 EndpointNotice ReadNotice(const HttpHead& answer, const ForwardHeaders& names);
 
 // Whether the header by which endpoints say that they leave says so.
-inline bool SaysLeaving(std::string_view text) { return text == "1"; }
+inline bool ParseLeaving(std::string_view text) { return text == "1"; }
 
 }  // namespace pinford
 
--- a/pinford/forwarding/endpoint_watch.cc
+++ b/pinford/forwarding/endpoint_watch.cc
@@ -43,12 +43,12 @@
 
 bool EndpointWatch::MayAsk(Time now, const Row& row) const {
   if (row.asking) return false;
-  const Duration pause =
-      row.down || row.slow ? options_.ask_impaired : options_.ask_again;
+  const Duration pause = row.down || row.slow ? options_.impaired_probe_interval
+                                              : options_.healthy_probe_interval;
   return row.asked == Time{} || now - row.asked >= pause;
 }
 
-bool EndpointWatch::BeginAsk(Time now, const std::string& endpoint) {
+bool EndpointWatch::BeginProbe(Time now, const std::string& endpoint) {
   Row& row = rows_[endpoint];
   if (!MayAsk(now, row)) return false;
   row.asking = true;
@@ -56,23 +56,24 @@
   return true;
 }
 
-std::vector<std::string> EndpointWatch::ToAsk(Time now) {
+std::vector<std::string> EndpointWatch::EndpointsToProbe(Time now) {
   std::vector<std::string> out;
   for (const auto& [name, row] : rows_) {
     if (!MayAsk(now, row)) continue;
     if (row.down || row.slow || Suspicious(now, row)) out.push_back(name);
   }
-  for (const std::string& name : out) BeginAsk(now, name);
+  for (const std::string& name : out) BeginProbe(now, name);
   return out;
 }
 
-EndpointWatch::Change EndpointWatch::OnAnswer(const std::string& endpoint,
-                                              bool works, double pace) {
+EndpointWatch::Change EndpointWatch::OnProbeResult(const std::string& endpoint,
+                                                   bool works,
+                                                   double slowdown) {
   auto it = rows_.find(endpoint);
   if (it == rows_.end()) it = rows_.emplace(endpoint, Row()).first;
   Row& row = it->second;
   row.asking = row.undecided = false;
-  const bool slow = works && pace >= options_.slow_pace;
+  const bool slow = works && slowdown >= options_.slow_pace;
   const bool was_down = std::exchange(row.down, !works);
   const bool was_slow = std::exchange(row.slow, slow);
   if ((row.down && !was_down) || (row.slow && !was_slow)) {
@@ -82,7 +83,7 @@
   return same ? Change::kNone : Change::kBetter;
 }
 
-bool EndpointWatch::OnUndecided(const std::string& endpoint) {
+bool EndpointWatch::OnProbeInconclusive(const std::string& endpoint) {
   Row& row = rows_[endpoint];
   row.asking = false;
   row.undecided = !row.undecided;
@@ -90,7 +91,7 @@
   return row.undecided;
 }
 
-void EndpointWatch::OnNewLife(const std::string& endpoint) {
+void EndpointWatch::OnRestart(const std::string& endpoint) {
   const auto it = rows_.find(endpoint);
   if (it == rows_.end()) return;
   Row fresh;
@@ -115,7 +116,7 @@
   return row.down || row.asking || row.undecided;
 }
 
-Time EndpointWatch::ProgressOf(const std::string& endpoint) const {
+Time EndpointWatch::LastProgressOf(const std::string& endpoint) const {
   auto it = rows_.find(endpoint);
   return it == rows_.end() ? Time{} : it->second.progress;
 }
--- a/pinford/forwarding/endpoint_watch.h
+++ b/pinford/forwarding/endpoint_watch.h
@@ -8,7 +8,8 @@
 // it count as down, slow or working. One that is down or slow is asked again
 // until it is well or leaves the list.
 //
-// No I/O: the owner asks whom ToAsk names and hands in what came of it.
+// No I/O: the owner asks whom EndpointsToProbe names and hands in what came of
+// it.
 
 #ifndef PINFORD_FORWARDING_ENDPOINT_WATCH_H_
 #define PINFORD_FORWARDING_ENDPOINT_WATCH_H_
@@ -32,8 +33,8 @@
     Duration least_silence = milliseconds(60);
     // An endpoint that has answered is not asked again for so long, nor is
     // one that is down or slow.
-    Duration ask_again = milliseconds(150);
-    Duration ask_impaired = milliseconds(400);
+    Duration healthy_probe_interval = milliseconds(150);
+    Duration impaired_probe_interval = milliseconds(400);
     // A runner that takes so many times as long as it should is slow: its
     // streams' pauses then come near what they may be.
     double slow_pace = 2;
@@ -47,27 +48,28 @@
   void OnProgress(Time now, const Chain& chain);
 
   // Whom to ask now. Each counts as asked.
-  std::vector<std::string> ToAsk(Time now);
+  std::vector<std::string> EndpointsToProbe(Time now);
   // Whether one that is in doubt for another reason than its silence is to be
   // asked now; it then counts as asked. False while an answer is awaited, and
   // for a while after one: a full runner is doubted with each refusal.
-  bool BeginAsk(Time now, const std::string& endpoint);
+  bool BeginProbe(Time now, const std::string& endpoint);
   enum class Change { kNone, kWorse, kBetter };
   // What came of it: whether it works, and at what pace.
-  Change OnAnswer(const std::string& endpoint, bool works, double pace);
+  Change OnProbeResult(const std::string& endpoint, bool works,
+                       double slowdown);
   // Nothing came of it, and whether that is this box's own fault is open. True
   // if it may be asked once more at once, else it has its turn later.
-  bool OnUndecided(const std::string& endpoint);
+  bool OnProbeInconclusive(const std::string& endpoint);
   void Forget(const std::string& endpoint) { rows_.erase(endpoint); }
   // It has started anew: what was seen of it is of a life that is over.
-  void OnNewLife(const std::string& endpoint);
+  void OnRestart(const std::string& endpoint);
 
   bool IsDown(const std::string& endpoint) const;
   // It is down, is being asked, or did not answer of late.
   bool IsSuspected(const std::string& endpoint) const;
   bool IsSlow(const std::string& endpoint) const;
   // When it last showed that it works; Time{} if never.
-  Time ProgressOf(const std::string& endpoint) const;
+  Time LastProgressOf(const std::string& endpoint) const;
 
  private:
   struct Row {
--- a/pinford/forwarding/failure_news.h
+++ b/pinford/forwarding/failure_gossip.h
@@ -18,8 +18,8 @@
 //
 // No I/O: the owner asks whom Heard names, and sends what Take gives.
 
-#ifndef PINFORD_FORWARDING_FAILURE_NEWS_H_
-#define PINFORD_FORWARDING_FAILURE_NEWS_H_
+#ifndef PINFORD_FORWARDING_FAILURE_GOSSIP_H_
+#define PINFORD_FORWARDING_FAILURE_GOSSIP_H_
 
 #include <string>
 #include <unordered_map>
@@ -29,14 +29,14 @@
 
 namespace pinford {
 
-class FailureNews {
+class FailureGossip {
  public:
   struct Options {
     // Peers that are told. Of n boxes about n * exp(-peers) hear nothing.
-    size_t peers = 5;
+    size_t fanout = 5;
     // What comes within so long goes out together: runners that fail at the
     // same moment are noticed milliseconds apart.
-    Duration gather = milliseconds(3);
+    Duration batch_window = milliseconds(3);
     // A runner is told of, and asked for a peer's word, once in so long. Bounds
     // what a box that is at fault can cause: a question a runner and second.
     Duration again = seconds(1);
@@ -44,7 +44,7 @@
     size_t most_told = 64;
   };
 
-  explicit FailureNews(const Options& options) : options_(options) {}
+  explicit FailureGossip(const Options& options) : options_(options) {}
 
   // This box's own question to the runner got no answer, or one that it is
   // slow, for the first time.
@@ -53,8 +53,8 @@
   // The runners to tell of, once `gather` has passed.
   std::vector<std::string> Take();
   // A peer says that these are down: those that this box is to ask.
-  std::vector<std::string> Heard(Time now,
-                                 const std::vector<std::string>& endpoints);
+  std::vector<std::string> OnNotice(Time now,
+                                    const std::vector<std::string>& endpoints);
 
   const Options& options() const { return options_; }
 
@@ -71,4 +71,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_FAILURE_NEWS_H_
+#endif  // PINFORD_FORWARDING_FAILURE_GOSSIP_H_
--- a/pinford/forwarding/forward_head.cc
+++ b/pinford/forwarding/forward_head.cc
@@ -52,7 +52,7 @@
 
 std::string WriteForwardedRequest(const HttpHead& head, const std::string& body,
                                   const ForwardProtocol& protocol,
-                                  const ForwardNotes& notes) {
+                                  const AttemptHeaders& notes) {
   const ForwardHeaders& names = protocol.headers;
   const std::string_view own[] = {names.key,      names.time_left,
                                   names.customer, names.instance,
@@ -90,8 +90,8 @@
   return out;
 }
 
-HttpHeaders PassedHeaders(const HttpHead& answer,
-                          const ForwardProtocol& protocol) {
+HttpHeaders ForwardedResponseHeaders(const HttpHead& answer,
+                                     const ForwardProtocol& protocol) {
   HttpHeaders out;
   for (const auto& [name, value] : answer.headers) {
     if (IsConnectionHeader(answer, name)) continue;
--- a/pinford/forwarding/forward_head.h
+++ b/pinford/forwarding/forward_head.h
@@ -17,7 +17,7 @@
 namespace pinford {
 
 // What pinford says to an endpoint about one attempt.
-struct ForwardNotes {
+struct AttemptHeaders {
   std::string customer;  // "" for none
   std::string instance;
   Duration time_left{};
@@ -29,11 +29,11 @@
 // The whole request as bytes: head and body.
 std::string WriteForwardedRequest(const HttpHead& head, const std::string& body,
                                   const ForwardProtocol& protocol,
-                                  const ForwardNotes& notes);
+                                  const AttemptHeaders& notes);
 
 // The headers of an answer that are passed on.
-HttpHeaders PassedHeaders(const HttpHead& answer,
-                          const ForwardProtocol& protocol);
+HttpHeaders ForwardedResponseHeaders(const HttpHead& answer,
+                                     const ForwardProtocol& protocol);
 
 }  // namespace pinford
 
--- a/pinford/forwarding/forward_policy.cc
+++ b/pinford/forwarding/forward_policy.cc
@@ -36,13 +36,13 @@
 RequestClass ForwardPolicy::Classify(const RequestFacts& facts) {
   RequestFacts seen = facts;
   seen.hour = HourOfDay(utc_offset_minutes_);
-  RequestClass treatment = policy_->Classify(seen);
-  if (policy_->errors() == errors_) return treatment;
+  RequestClass request_class = policy_->Classify(seen);
+  if (policy_->errors() == errors_) return request_class;
   errors_ = policy_->errors();
   metrics_->Count("policy_errors_total");
   LogEvent(LogPart::kConfig, LogLevel::kWarn, "policy_call_failed",
            LogFields().Add("why", policy_->last_error()));
-  return treatment;
+  return request_class;
 }
 
 void ForwardPolicy::UpdateHallWeights(Time now, const EndpointTable& table) {
--- a/pinford/forwarding/forward_target.cc
+++ b/pinford/forwarding/forward_target.cc
@@ -12,7 +12,7 @@
     : table_(table),
       watch_(watch),
       options_(options),
-      timed_(table->off().on(Mechanism::kTimedRecovery)) {}
+      timed_(table->mechanisms().enabled(Mechanism::kTimedRecovery)) {}
 
 bool ForwardTarget::Pick(Time now, const std::set<std::string>& tried) {
   chain_.clear();
@@ -41,14 +41,15 @@
       now, options_.service, *version, {0, options_.layers},
       options_.hall_weight, options_.layer_work);
   if (!chain || chain->empty()) {
-    shortage_ = table_->ShortestOf(now, options_.service, *version);
+    shortage_ = table_->MemoryBottleneckOf(now, options_.service, *version);
     return false;
   }
   shortage_.reset();
   fullest_ = busiest_ = 0;
   for (const Stage& stage : *chain) {
-    fullest_ = std::max(fullest_, table_->TakenOf(now, stage.endpoint));
-    busiest_ = std::max(busiest_, table_->ReadingOf(now, stage.endpoint));
+    fullest_ =
+        std::max(fullest_, table_->MemoryUtilizationOf(now, stage.endpoint));
+    busiest_ = std::max(busiest_, table_->PrefillLoadOf(now, stage.endpoint));
   }
   Hold(now, *chain);
   chain_ = std::move(*chain);
@@ -74,26 +75,26 @@
 void ForwardTarget::Hold(Time now, const Chain& chain) {
   constexpr double kTokens = 1000;  // layer_work counts in thousands
   const double crossing = CrossingsOf(chain) * options_.layer_work * kTokens;
-  table_->OnCrossing(now, crossing);
-  table_->OnCrossingWaiting(crossing);
+  table_->OnTransferSent(now, crossing);
+  table_->OnTransferQueued(crossing);
   crossing_waiting_ += crossing;
   for (const Stage& stage : chain) {
     table_->OnSent(stage.endpoint, WorkOf(stage));
     // Stages that stay keep what they have read.
     if (Uses(stage.endpoint)) continue;
     const double tokens = options_.prompt * stage.range.size();
-    table_->OnPrompt(now, stage.endpoint, tokens);
-    table_->OnWaiting(stage.endpoint, tokens);
+    table_->OnPrefillSent(now, stage.endpoint, tokens);
+    table_->OnPrefillQueued(stage.endpoint, tokens);
     waiting_.emplace_back(stage.endpoint, tokens);
   }
 }
 
 void ForwardTarget::NotWaiting() {
   for (const auto& [endpoint, tokens] : waiting_) {
-    table_->OnWaitingDone(endpoint, tokens);
+    table_->OnPrefillDone(endpoint, tokens);
   }
   waiting_.clear();
-  table_->OnCrossingDone(std::exchange(crossing_waiting_, 0));
+  table_->OnTransferDone(std::exchange(crossing_waiting_, 0));
 }
 
 void ForwardTarget::Drop(const Chain& chain) {
@@ -159,14 +160,15 @@
 
 bool ForwardTarget::SomeStageSilentSince(Time t) const {
   return std::any_of(chain_.begin(), chain_.end(), [this, t](const Stage& s) {
-    return watch_->ProgressOf(s.endpoint) <= t;
+    return watch_->LastProgressOf(s.endpoint) <= t;
   });
 }
 
 std::vector<std::string> ForwardTarget::SilentSince(Time t) const {
   std::vector<std::string> out;
   for (const Stage& stage : chain_) {
-    if (watch_->ProgressOf(stage.endpoint) <= t) out.push_back(stage.endpoint);
+    if (watch_->LastProgressOf(stage.endpoint) <= t)
+      out.push_back(stage.endpoint);
   }
   return out;
 }
@@ -174,7 +176,7 @@
 void ForwardTarget::BlameSince(Time t, Time now, Time sent) {
   if (!pool()) table_->OnFailure(now, endpoint_, sent);
   for (const Stage& stage : chain_) {
-    if (watch_->ProgressOf(stage.endpoint) > t) continue;
+    if (watch_->LastProgressOf(stage.endpoint) > t) continue;
     table_->OnFailure(now, stage.endpoint, sent);
   }
 }
@@ -285,12 +287,12 @@
   bool first = true;
   for (const Stage& s : Less(next, chain_)) {
     const std::string& hall = table_->HallOf(s.endpoint);
-    const double reads = capacity.LeastOf(hall, s.range).read_per_s;
-    load.read_per_s = first ? reads : std::min(load.read_per_s, reads);
+    const double reads = capacity.MinOverLayers(hall, s.range).prefill_per_s;
+    load.prefill_per_s = first ? reads : std::min(load.prefill_per_s, reads);
     first = false;
   }
   load.more_crossings = CrossingsOf(next) - crossings();
-  load.crossing_seconds = table_->crossing_seconds();
+  load.transfer_seconds_per_token = table_->transfer_seconds_per_token();
   load.links = std::max(1, static_cast<int>(capacity.halls().size()) - 1);
   return load;
 }
--- a/pinford/forwarding/forward_target.h
+++ b/pinford/forwarding/forward_target.h
@@ -58,7 +58,7 @@
   // by this box's estimate.
   double fullest() const { return fullest_; }
   // Where the pool was shortest of room when nobody took the request.
-  const std::optional<EndpointTable::Shortage>& shortage() const {
+  const std::optional<EndpointTable::MemoryBottleneck>& shortage() const {
     return shortage_;
   }
   // The same of its busiest stage's time, by prompts.
@@ -136,7 +136,7 @@
   double crossing_waiting_ = 0;  // tokens that have not crossed between halls
   double fullest_ = 0;
   double busiest_ = 0;
-  std::optional<EndpointTable::Shortage> shortage_;
+  std::optional<EndpointTable::MemoryBottleneck> shortage_;
   bool timed_;            // Mechanism::kTimedRecovery
   bool watched_ = false;  // its stages are watched for their events
 };
--- a/pinford/forwarding/forwarded_request.cc
+++ b/pinford/forwarding/forwarded_request.cc
@@ -12,15 +12,15 @@
 // A caller that reads slowly gets no more than this into its buffer.
 static constexpr size_t kMostUnsent = 256 << 10;
 
-ForwardedRequest::ForwardedRequest(ForwardParts* parts, Forwarder* owner,
-                                   ForwardOrder order)
+ForwardedRequest::ForwardedRequest(ForwardContext* parts, Forwarder* owner,
+                                   AdmittedRequest order)
     : parts_(parts),
       owner_(owner),
       order_(std::move(order)),
       route_(*order_.route),
       log_(parts, &order_),
       target_(parts->table, owner->watch(), TargetOptions(*parts, order_)),
-      timed_(parts->off.on(Mechanism::kTimedRecovery)) {
+      timed_(parts->mechanisms.enabled(Mechanism::kTimedRecovery)) {
   const std::string last(
       order_.exchange->head().header(parts_->protocol.headers.last_event));
   if (!last.empty()) {
@@ -36,7 +36,7 @@
 
 void ForwardedRequest::Start() {
   auto self = weak_from_this();
-  order_.exchange->set_on_hang_up([self] {
+  order_.exchange->set_on_disconnect([self] {
     if (auto r = self.lock()) r->OnCallerGone();
   });
   limit_timer_ = parts_->loop->After(order_.limit - now(), [self] {
@@ -64,25 +64,25 @@
 void ForwardedRequest::Send() {
   const Time t = now();
   tries_++;
-  ForwardNotes notes;
+  AttemptHeaders notes;
   notes.customer = order_.customer;
   notes.instance = target_.endpoint();
   notes.time_left = order_.limit - t;
-  notes.urgency = UrgencyOf(order_.treatment.tier);
+  notes.urgency = UrgencyOf(order_.request_class.tier);
   if (attempts_ > 0 && events_.last_id()) {
     notes.last_event = std::to_string(*events_.last_id());
   }
   notes.chain = target_.Addressed(target_.chain());
   last_target_ =
       target_.pool() ? ChainText(target_.chain()) : target_.endpoint();
-  const EntryExchange& exchange = *order_.exchange;
+  const CallerExchange& exchange = *order_.exchange;
   UpstreamRequest request;
   request.endpoint = target_.endpoint();
   request.to = target_.address();
   request.bytes = WriteForwardedRequest(exchange.head(), exchange.body(),
                                         parts_->protocol, notes);
   request.id = order_.id;
-  if (!route_.may_repeat()) request.max_rest = kRestForOnce;
+  if (!route_.may_repeat()) request.max_idle_time = kRestForOnce;
   phase_ = Phase::kWaiting;
   body_.clear();
   events_.DropPartial();
@@ -113,10 +113,10 @@
 // The last moment at which the request can be kept back: its key may have been
 // taken away, or its endpoint may take nothing more, since it was picked.
 bool ForwardedRequest::BeforeSend() {
-  proved_ = !order_.keyed || parts_->proof_holds();
+  proved_ = !order_.requires_key || parts_->proof_holds();
   if (!proved_) return false;
   const std::string& endpoint = target_.endpoint();
-  rest_left_ = parts_->table->RestLeft(now(), endpoint);
+  rest_left_ = parts_->table->BackoffLeft(now(), endpoint);
   if (!parts_->table->MaySend(now(), endpoint)) {
     parts_->metrics->Count("sends_withheld_total");
     return false;
@@ -146,10 +146,10 @@
   if (notice.leaving && parts_->on_leaving) {
     parts_->on_leaving(target_.endpoint(), target_.incarnation());
   }
-  if (!notice.rest) return;
-  parts_->table->OnRestAsked(now(), target_.endpoint(), *notice.rest);
+  if (!notice.backoff) return;
+  parts_->table->OnBackoffRequested(now(), target_.endpoint(), *notice.backoff);
   parts_->metrics->Count("rests_asked_total");
-  log_.RestAsked(target_, *notice.rest);
+  log_.RestAsked(target_, *notice.backoff);
 }
 
 void ForwardedRequest::OnBody(std::string bytes) {
@@ -167,13 +167,13 @@
   const Time t = now();
   progress_ = t;
   target_.OnEvents(t);
-  EntryExchange& exchange = *order_.exchange;
+  CallerExchange& exchange = *order_.exchange;
   if (!exchange.streaming()) {
     first_event_ = t;
     first_wait_ = wait_;
     owner_->OnFirstEvent(t - sent_);
     exchange.StartStream(answer_.status, answer_.reason,
-                         PassedHeaders(answer_, parts_->protocol));
+                         ForwardedResponseHeaders(answer_, parts_->protocol));
   } else {
     NoteGap(t - last_event_);
     owner_->OnGap(t - last_event_, route_.target_gap);
@@ -203,7 +203,7 @@
   if (phase_ == Phase::kWaiting) return facts;
   // An event that was begun and never ended belongs to no whole answer.
   const bool cut = phase_ == Phase::kEvents && events_.has_partial();
-  if (end == UpstreamEnd::kComplete && cut) facts.end = UpstreamEnd::kCut;
+  if (end == UpstreamEnd::kComplete && cut) facts.end = UpstreamEnd::kTruncated;
   facts.status = answer_.status;
   facts.says_not_run = answer_.CountOf(names.not_run) > 0;
   facts.sealed = !answer_.header(names.seal).empty();
@@ -245,7 +245,7 @@
       return;
     case Lesson::kFailed:
       parts_->table->OnFailure(now(), target_.endpoint(), sent_);
-      if (target_.pool()) owner_->Doubt(target_.endpoint());
+      if (target_.pool()) owner_->ProbeIfDue(target_.endpoint());
       return;
     case Lesson::kTurnedAway:
       break;
@@ -258,8 +258,8 @@
   if (endpoint.empty()) return;
   parts_->table->OnFull(now(), endpoint);
   // One that asks for rest has said how it is, and wants no question either.
-  if (parts_->table->RestLeft(now(), endpoint) > Duration(0)) return;
-  if (target_.pool()) owner_->Doubt(endpoint);
+  if (parts_->table->BackoffLeft(now(), endpoint) > Duration(0)) return;
+  if (target_.pool()) owner_->ProbeIfDue(endpoint);
 }
 
 void ForwardedRequest::NoteRan() {
@@ -281,8 +281,9 @@
 }
 
 void ForwardedRequest::PassAnswer() {
-  EntryExchange& exchange = *order_.exchange;
-  const HttpHeaders headers = PassedHeaders(answer_, parts_->protocol);
+  CallerExchange& exchange = *order_.exchange;
+  const HttpHeaders headers =
+      ForwardedResponseHeaders(answer_, parts_->protocol);
   if (phase_ != Phase::kEvents) {
     exchange.Reply(answer_.status, answer_.reason, headers, body_);
     Finish(answer_.status < 300 ? kComplete : "failed by endpoint");
@@ -312,9 +313,9 @@
 }
 
 Duration ForwardedRequest::SilenceLimit() const {
-  const bool begun = phase_ == Phase::kEvents && first_event_ != Time{};
-  return SilenceLimitOf(route_, begun,
-                        begun ? owner_->usual_gap() : owner_->usual_first());
+  const bool started = phase_ == Phase::kEvents && first_event_ != Time{};
+  return SilenceTimeout(route_, started,
+                        started ? owner_->usual_gap() : owner_->usual_first());
 }
 
 void ForwardedRequest::Stalled(Time t) {
@@ -378,7 +379,7 @@
   parts_->loop->Cancel(std::exchange(limit_timer_, 0));
   parts_->loop->Cancel(std::exchange(resume_timer_, 0));
   const Time t = now();
-  const EntryExchange& exchange = *order_.exchange;
+  const CallerExchange& exchange = *order_.exchange;
   RequestLog::End end;
   end.outcome = outcome;
   end.attempts = attempts_;
@@ -386,15 +387,15 @@
   end.target = &target_;
   end.may_have_run = may_have_run_;
   end.events = events_.events();
-  end.took = t - exchange.begun();
+  end.took = t - exchange.started();
   end.first =
-      first_event_ != Time{} ? first_event_ - exchange.begun() : end.took;
+      first_event_ != Time{} ? first_event_ - exchange.started() : end.took;
   end.first_wait = first_event_ != Time{} ? first_wait_ : wait_;
   // A caller that leaves in the middle of a pause has waited for its end.
   if (first_event_ != Time{}) NoteGap(t - last_event_);
   end.longest_gap = longest_gap_;
   end.gap_wait = gap_wait_;
-  end.held_up = parts_->loop->delays().LongestSince(exchange.begun());
+  end.held_up = parts_->loop->delays().LongestSince(exchange.started());
   end.caller_end = exchange.caller_end();
   end.cut = exchange.streaming() && !end.caller_end && outcome != kComplete;
   log_.Ended(end);
--- a/pinford/forwarding/forwarded_request.h
+++ b/pinford/forwarding/forwarded_request.h
@@ -24,11 +24,11 @@
 #include <string>
 #include <vector>
 
+#include "pinford/forwarding/admitted_request.h"
 #include "pinford/forwarding/attempt_result.h"
 #include "pinford/forwarding/endpoint_notice.h"
 #include "pinford/forwarding/event_stream.h"
 #include "pinford/forwarding/forward_head.h"
-#include "pinford/forwarding/forward_order.h"
 #include "pinford/forwarding/forward_target.h"
 #include "pinford/forwarding/forwarder.h"
 #include "pinford/forwarding/request_log.h"
@@ -38,7 +38,8 @@
 
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest> {
  public:
-  ForwardedRequest(ForwardParts* parts, Forwarder* owner, ForwardOrder order);
+  ForwardedRequest(ForwardContext* parts, Forwarder* owner,
+                   AdmittedRequest order);
   ~ForwardedRequest();
 
   void Start();
@@ -93,7 +94,7 @@
   // Whether another attempt is allowed after `runs` that may have run; counts
   // it if so, once until it is sent.
   bool MayTryAgain(Time now, int runs);
-  RetryNeed Need() const;
+  RetryClass Need() const;
   // A stream that has begun waits for a chain, for a retry, or for a fresh
   // proof of the configuration. False if it does not.
   bool WaitToResume();
@@ -141,9 +142,9 @@
 
   Time now() const { return parts_->loop->now(); }
 
-  ForwardParts* parts_;
+  ForwardContext* parts_;
   Forwarder* owner_;
-  ForwardOrder order_;
+  AdmittedRequest order_;
   const Route& route_;
   RequestLog log_;
 
--- a/pinford/forwarding/forwarder.cc
+++ b/pinford/forwarding/forwarder.cc
@@ -19,14 +19,14 @@
   std::string_view message;
 };
 
-Forwarder::Forwarder(ForwardParts* parts)
+Forwarder::Forwarder(ForwardContext* parts)
     : parts_(parts),
       waiting_(StartQueueOptions()),
       watch_(EndpointWatch::Options()) {}
 
 Forwarder::~Forwarder() = default;
 
-void Forwarder::Refuse(const EntryPtr& exchange, const Refusal& why) {
+void Forwarder::Refuse(const CallerExchangePtr& exchange, const Refusal& why) {
   const std::string id(
       exchange->head().header(parts_->protocol.headers.request_id));
   HttpHeaders headers = {{"Content-Type", std::string(kJsonType)}};
@@ -63,7 +63,7 @@
   return begun_;
 }
 
-void Forwarder::Wait(const EntryPtr& exchange) {
+void Forwarder::Wait(const CallerExchangePtr& exchange) {
   if (!waiting_.Add(parts_->loop->now(), exchange)) {
     Refuse(exchange, {503, "starting", "too many wait for a configuration"});
     return;
@@ -73,12 +73,12 @@
 
 void Forwarder::AdmitWaiting() {
   if (!HasBegun()) return;
-  for (EntryPtr& exchange : waiting_.TakeAll()) {
+  for (CallerExchangePtr& exchange : waiting_.TakeAll()) {
     if (exchange->open()) Handle(std::move(exchange));
   }
 }
 
-void Forwarder::Handle(EntryPtr exchange) {
+void Forwarder::Handle(CallerExchangePtr exchange) {
   const HttpHead& head = exchange->head();
   const ForwardHeaders& names = parts_->protocol.headers;
   if (!HasBegun()) {
@@ -103,12 +103,12 @@
   const std::string_view key = head.header(names.key);
   const bool one_key = head.CountOf(names.key) == 1;
   const Customer* customer = one_key ? routes_->CustomerOf(key) : nullptr;
-  const bool keyed = route != nullptr && routes_->NeedsKey(*route);
-  if (keyed && customer == nullptr && proved) {
+  const bool requires_key = route != nullptr && routes_->NeedsKey(*route);
+  if (requires_key && customer == nullptr && proved) {
     Refuse(exchange, {401, "no_key", "no customer has this key"});
     return;
   }
-  if (!proved && (route == nullptr || keyed)) {
+  if (!proved && (route == nullptr || requires_key)) {
     Refuse(exchange, {503, "unproved", "the configuration may be out of date"});
     return;
   }
@@ -116,11 +116,11 @@
     Refuse(exchange, {503, "stopping", "this box stops"});
     return;
   }
-  ForwardOrder order;
+  AdmittedRequest order;
   order.exchange = exchange;
   order.routes = routes_;
   order.route = route;
-  order.keyed = keyed;
+  order.requires_key = requires_key;
   order.priority = route->priority;
   if (customer != nullptr) {
     order.customer = customer->name;
@@ -131,8 +131,8 @@
   order.service = DrawService(*route, draw);
   order.id = std::string(head.header(names.request_id));
   exchange->set_log_id(order.id);
-  order.treatment = parts_->classify(FactsOf(order));
-  if (order.treatment.refuse) {
+  order.request_class = parts_->classify(FactsOf(order));
+  if (order.request_class.refuse) {
     Refuse(exchange, {503, "policy", "the policy refuses it now"});
     return;
   }
@@ -140,7 +140,7 @@
   if (auto ms = MillisOf(head.header(names.time_left))) {
     limit = std::min(limit, Duration(milliseconds(*ms)));
   }
-  order.limit = exchange->begun() + limit;
+  order.limit = exchange->started() + limit;
   parts_->retries->OnRequest(parts_->loop->now(), order.service);
   parts_->metrics->Count("requests_total", "route=\"" + route->name + "\"");
   auto request =
@@ -155,7 +155,7 @@
   return route.kind != RequestKind::kStream && now + route.timeout < end_;
 }
 
-void Forwarder::GiveUpAll() {
+void Forwarder::AbortAll() {
   const std::list<std::shared_ptr<ForwardedRequest>> all = active_;
   for (const auto& request : all) request->OnBoxEnds();
 }
@@ -172,14 +172,14 @@
 
 void Forwarder::Tick() {
   const Time now = parts_->loop->now();
-  for (const EntryPtr& exchange : waiting_.TakeOverdue(now)) {
+  for (const CallerExchangePtr& exchange : waiting_.TakeOverdue(now)) {
     if (!exchange->open()) continue;
     Refuse(exchange, {503, "starting", "no configuration is known yet"});
   }
   const std::list<std::shared_ptr<ForwardedRequest>> all = active_;
   for (const auto& request : all) request->Tick(now);
-  if (!parts_->off.on(Mechanism::kSilenceWatch)) return;
-  for (const std::string& name : watch_.ToAsk(now)) Ask(name);
+  if (!parts_->mechanisms.enabled(Mechanism::kIdleProbe)) return;
+  for (const std::string& name : watch_.EndpointsToProbe(now)) Ask(name);
 }
 
 // A moving mean over about the last fifty.
@@ -198,34 +198,34 @@
   parts_->table->set_gap_share(usual_gap_share_);
 }
 
-void Forwarder::Doubt(const std::string& endpoint) {
-  if (watch_.BeginAsk(parts_->loop->now(), endpoint)) Ask(endpoint);
+void Forwarder::ProbeIfDue(const std::string& endpoint) {
+  if (watch_.BeginProbe(parts_->loop->now(), endpoint)) Ask(endpoint);
 }
 
 void Forwarder::Ask(const std::string& endpoint) {
   parts_->metrics->Count("endpoints_asked_total");
-  const Time life = parts_->table->LifeBegun(endpoint);
+  const Time life = parts_->table->LastRestartOf(endpoint);
   const Time asked = parts_->loop->now();
   if (!watch_.IsDown(endpoint)) evidence_.OnSent(asked);
-  parts_->ask(endpoint,
-              [this, endpoint, life, asked](const RunnerHealth& health) {
-                // An answer of a life that is over says nothing of the next
-                // one.
-                if (parts_->table->LifeBegun(endpoint) != life) return;
-                OnHealth(endpoint, asked, health);
-              });
+  parts_->probe(endpoint,
+                [this, endpoint, life, asked](const RunnerHealth& health) {
+                  // An answer of a life that is over says nothing of the next
+                  // one.
+                  if (parts_->table->LastRestartOf(endpoint) != life) return;
+                  OnHealth(endpoint, asked, health);
+                });
 }
 
 void Forwarder::AskAgain(const std::string& endpoint) {
   parts_->metrics->Count("probes_undecided_total");
-  if (!watch_.OnUndecided(endpoint)) return;
+  if (!watch_.OnProbeInconclusive(endpoint)) return;
   AskControl();
-  Doubt(endpoint);
+  ProbeIfDue(endpoint);
 }
 
 void Forwarder::AskControl() {
   const Time now = parts_->loop->now();
-  if (now - control_asked_ < ProbeEvidence::kTogether) return;
+  if (now - control_asked_ < ProbeEvidence::kConcurrentWindow) return;
   control_asked_ = now;
   std::vector<const std::string*> able;
   for (const auto& [name, row] : parts_->table->rows()) {
@@ -235,22 +235,22 @@
   }
   if (able.empty()) return;
   std::uniform_int_distribution<size_t> any(0, able.size() - 1);
-  Doubt(*able[any(*parts_->random)]);
+  ProbeIfDue(*able[any(*parts_->random)]);
 }
 
 void Forwarder::OnHealth(const std::string& endpoint, Time asked,
                          const RunnerHealth& health) {
   if (health.answered) {
     evidence_.OnAnswered(asked);
-  } else if (!watch_.IsDown(endpoint) && !evidence_.Blames(asked)) {
+  } else if (!watch_.IsDown(endpoint) && !evidence_.IndicatesFailure(asked)) {
     AskAgain(endpoint);
     return;
   }
   const EndpointWatch::Change change =
-      watch_.OnAnswer(endpoint, health.works, health.pace);
+      watch_.OnProbeResult(endpoint, health.works, health.slowdown);
   parts_->table->SetDown(endpoint, !health.works);
   if (health.works) {
-    parts_->table->SetPace(endpoint, health.pace);
+    parts_->table->SetSlowdown(endpoint, health.slowdown);
     parts_->table->OnObserved(parts_->loop->now(), endpoint, health.used,
                               health.entries);
   }
@@ -261,7 +261,7 @@
            LogFields()
                .Add("endpoint", endpoint)
                .Add("works", health.works)
-               .Add("pace", health.pace)
+               .Add("pace", health.slowdown)
                .Add("held_up_ms",
                     ToMillis(parts_->loop->delays().LongestSince(asked)))
                .Add("ms", ToMillis(took)));
@@ -269,7 +269,8 @@
   // One that is slow holds up all prompts that go on to be sent to it: of 64
   // boxes 51 found by themselves that a first stage had become twelve times too
   // slow.
-  const bool tell = !health.works || parts_->off.on(Mechanism::kTimedRecovery);
+  const bool tell =
+      !health.works || parts_->mechanisms.enabled(Mechanism::kTimedRecovery);
   if (tell && parts_->on_down) parts_->on_down(endpoint);
   MoveRequests(endpoint);
 }
@@ -288,12 +289,12 @@
       .first->second;
 }
 
-void Forwarder::OnNewLife(const std::string& endpoint) {
-  if (parts_->off.on(Mechanism::kMoveAtRestart)) {
-    watch_.OnAnswer(endpoint, false, 1);
+void Forwarder::OnRestart(const std::string& endpoint) {
+  if (parts_->mechanisms.enabled(Mechanism::kMoveOnRestart)) {
+    watch_.OnProbeResult(endpoint, false, 1);
     MoveRequests(endpoint);
   }
-  watch_.OnNewLife(endpoint);
+  watch_.OnRestart(endpoint);
 }
 
 void Forwarder::MoveRequests(const std::string& endpoint) {
--- a/pinford/forwarding/forwarder.h
+++ b/pinford/forwarding/forwarder.h
@@ -19,8 +19,8 @@
 #include <string>
 
 #include "pinford/endpoint_table.h"
+#include "pinford/forwarding/caller_server.h"
 #include "pinford/forwarding/endpoint_watch.h"
-#include "pinford/forwarding/entry_server.h"
 #include "pinford/forwarding/forward_protocol.h"
 #include "pinford/forwarding/pool_client.h"
 #include "pinford/forwarding/probe_evidence.h"
@@ -37,7 +37,7 @@
 class ForwardedRequest;
 
 // What forwarded requests share. All outlive them.
-struct ForwardParts {
+struct ForwardContext {
   EventLoop* loop;
   UpstreamClient* upstream;
   EndpointTable* table;
@@ -56,7 +56,7 @@
   std::function<Duration()> proof_age;
   std::function<void(const std::string& endpoint,
                      std::function<void(RunnerHealth)>)>
-      ask;
+      probe;
   // A caller waits for the first configuration or list of endpoints.
   std::function<void()> on_waiting;
   // This box's own question found a runner down, or slow.
@@ -68,12 +68,12 @@
   std::function<void(const Address& entry, const std::string& request,
                      const std::vector<AddressedStage>& chain, RerouteHandler)>
       reroute;
-  MechanismsOff off;
+  MechanismSwitches mechanisms;
 };
 
 class Forwarder {
  public:
-  explicit Forwarder(ForwardParts* parts);
+  explicit Forwarder(ForwardContext* parts);
   ~Forwarder();
 
   void set_routes(std::shared_ptr<const RouteTable> routes) {
@@ -89,9 +89,9 @@
   }
 
   // The box ends: whoever still waits is told so, and the log says why.
-  void GiveUpAll();
+  void AbortAll();
 
-  void Handle(EntryPtr exchange);
+  void Handle(CallerExchangePtr exchange);
   // A configuration or a list of endpoints has come: who waited for the first
   // of each goes on.
   void AdmitWaiting();
@@ -101,7 +101,7 @@
   EndpointWatch* watch() { return &watch_; }
   // A request has reason to doubt that the runner works: it is asked at once,
   // unless it was of late.
-  void Doubt(const std::string& endpoint);
+  void ProbeIfDue(const std::string& endpoint);
   // What is usual of late, over all requests: the time to a first event, and
   // between two.
   void OnFirstEvent(Duration took);
@@ -112,9 +112,9 @@
   // What the pool can read, as of some milliseconds ago at most.
   const PoolCapacity& CapacityOf(const std::string& service,
                                  const std::string& version);
-  void ForgetEndpoint(const std::string& endpoint) { watch_.Forget(endpoint); }
+  void RemoveEndpoint(const std::string& endpoint) { watch_.Forget(endpoint); }
   // It has started anew: what ran there is lost, and goes elsewhere at once.
-  void OnNewLife(const std::string& endpoint);
+  void OnRestart(const std::string& endpoint);
 
   size_t active() const { return active_.size(); }
 
@@ -127,14 +127,14 @@
 
   // Whether a configuration and endpoints are known, or were once.
   bool HasBegun();
-  void Wait(const EntryPtr& exchange);
-  void Refuse(const EntryPtr& exchange, const Refusal& why);
+  void Wait(const CallerExchangePtr& exchange);
+  void Refuse(const CallerExchangePtr& exchange, const Refusal& why);
   void Done(ForwardedRequest* request);
 
-  ForwardParts* parts_;
+  ForwardContext* parts_;
   std::shared_ptr<const RouteTable> routes_;
   bool begun_ = false;
-  StartQueue<EntryPtr> waiting_;
+  StartQueue<CallerExchangePtr> waiting_;
   std::list<std::shared_ptr<ForwardedRequest>> active_;
   template <typename T>
   static void Learn(T seen, T* usual);
--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -60,11 +60,11 @@
                    EndpointEvents()),
         planner_(&planner_store_, &runners_, loop, settings.box,
                  PlannerOptions(settings), PlannerEvents()) {
-    core_.store_era()->set_on_rise([this](uint64_t before, uint64_t now) {
+    core_.store_era()->set_on_increase([this](uint64_t before, uint64_t now) {
       core_.OnStoreRestored(before, now);
       planner_.OnStoreRestored();
-      configuration_.ListAgain();
-      endpoints_.ListAgain();
+      configuration_.Relist();
+      endpoints_.Relist();
     });
     core_.set_refresh_metrics([this] {
       core_.metrics()->Set("planning", "", planner_.planning() ? 1 : 0);
@@ -105,8 +105,8 @@
   static constexpr milliseconds kRerouteLimit{100};
 
   void ServeRequests() {
-    core_.parts()->ask = [this](const std::string& id,
-                                std::function<void(RunnerHealth)> fn) {
+    core_.parts()->probe = [this](const std::string& id,
+                                  std::function<void(RunnerHealth)> fn) {
       Ask(id, std::move(fn));
     };
     core_.parts()->reroute =
@@ -131,29 +131,29 @@
           fn(HealthOf(listed, life, answer));
           const std::optional<RunnerReport>& r = answer.report;
           if (!r) return;
-          const bool news =
-              r->state.leaving || IsNewLife(life, r->state.incarnation);
+          const bool news = r->state.leaving ||
+                            IsNewerIncarnation(life, r->state.incarnation);
           if (!news) return;
           core_.directory()->OnRunnerState(core_.loop()->now(), id, r->state);
         });
   }
 
-  // Mirrors the store or looks at it, as StoreDuty says.
+  // Mirrors the store or looks at it, as StoreTaskSelector says.
   void FollowDuty() {
     const StoreTask task = core_.StoreTaskNow(planner_.planning());
     if (task != StoreTask::kNone) calling_for_ = task;
     core_.set_store_fails(Mirrors(task) && configuration_.failing());
     if (Mirrors(task)) {
       const bool first = task == StoreTask::kMirror;
-      configuration_.set_most_retry(first ? ConfigurationOptions().most_retry
-                                          : kStandInRetry);
+      configuration_.set_max_retry_delay(
+          first ? ConfigurationOptions().most_retry : kStandInRetry);
       configuration_.Start();
       endpoints_.Start();
       return;
     }
     configuration_.Stop();
     endpoints_.Stop();
-    if (task == StoreTask::kLook) configuration_.Look();
+    if (task == StoreTask::kReadOnce) configuration_.ReadOnce();
   }
 
   void CountCall(std::string_view reason) {
@@ -163,7 +163,7 @@
 
   static PoolPlannerOptions PlannerOptions(const Settings& settings) {
     PoolPlannerOptions options;
-    options.off = settings.off;
+    options.mechanisms = settings.mechanisms;
     return options;
   }
 
@@ -172,10 +172,10 @@
     // With the pause between them, four lists a second while the store is
     // silent. What lapsed is dropped 2.2 s after its return is noticed, and
     // must be within 3 s of the return itself.
-    options.silent_limit = milliseconds(20);
+    options.unreachable_timeout = milliseconds(20);
     // A silent store is noticed 1.4 s after a watch was sent, and the hall's
     // other boxes hear of it 0.4 s later.
-    options.answer_limit = milliseconds(400);
+    options.answer_timeout = milliseconds(400);
     return options;
   }
 
@@ -213,11 +213,11 @@
     events.on_list = [this](const PrefixResult& r) {
       TakeConfiguration(r);
       // The store answers: a look at the list is worth its call.
-      if (!Mirrors(core_.store_task())) endpoints_.Look();
+      if (!Mirrors(core_.store_task())) endpoints_.ReadOnce();
     };
     events.on_changes = [this](const PrefixResult& r) { TakeConfiguration(r); };
-    events.on_proof = [this](Time proof) {
-      core_.OnProof(DocumentKind::kConfiguration, proof);
+    events.on_freshness = [this](Time fresh_as_of) {
+      core_.OnProof(DocumentKind::kConfiguration, fresh_as_of);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
       NoteReachable("configuration", reachable, why);
@@ -228,7 +228,7 @@
 
   void TakeConfiguration(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
-      if (item.key != P::ConfigurationKey() || item.gone) continue;
+      if (item.key != P::ConfigurationKey() || item.removed) continue;
       core_.OnStoreConfiguration(item.value);
     }
   }
@@ -237,12 +237,12 @@
     PrefixMirrorEvents events;
     events.on_list = [this](const PrefixResult& r) { TakeList(r); };
     events.on_changes = [this](const PrefixResult& r) { TakeChanges(r); };
-    events.on_proof = [this](Time proof) {
-      core_.OnProof(DocumentKind::kEndpoints, proof);
+    events.on_freshness = [this](Time fresh_as_of) {
+      core_.OnProof(DocumentKind::kEndpoints, fresh_as_of);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
       NoteReachable("endpoints", reachable, why);
-      if (reachable) core_.directory()->OnStoreBack(core_.loop()->now());
+      if (reachable) core_.directory()->OnStoreReachable(core_.loop()->now());
     };
     return events;
   }
@@ -273,8 +273,8 @@
   void TakeChanges(const PrefixResult& r) {
     const Time now = core_.loop()->now();
     for (const StoreItem& item : r.items) {
-      if (item.gone) {
-        core_.directory()->OnGone(now, P::EndpointIdOf(item.key));
+      if (item.removed) {
+        core_.directory()->OnRemoved(now, P::EndpointIdOf(item.key));
       } else if (auto entry = ReadEntry(item)) {
         core_.directory()->OnEntry(now, *entry);
       } else {
@@ -332,7 +332,8 @@
   PrefixMirror<typename P::StoreClient, EventLoop> endpoints_;
   PoolPlanner<typename P::StoreClient, typename P::RunnerClient, EventLoop>
       planner_;
-  StoreTask calling_for_ = StoreTask::kLook;  // what calls are counted under
+  StoreTask calling_for_ =
+      StoreTask::kReadOnce;  // what calls are counted under
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -42,9 +42,9 @@
       upstream_(loop, UpstreamOptions(protocol)),
       table_(settings.hall, TableOptions(settings), SeededRandom()),
       directory_(&table_, EndpointDirectory::Options(), DirectoryEvents()),
-      retries_(loop->now(), RetryOptions(settings, settings.off)),
+      retries_(loop->now(), RetryOptions(settings, settings.mechanisms)),
       loans_(&retries_, RetryLoans::Options(), SeededRandom()),
-      news_(FailureNews::Options()),
+      news_(FailureGossip::Options()),
       parts_{
           loop,
           &upstream_,
@@ -66,18 +66,20 @@
             directory_.OnLeaving(loop_->now(), endpoint, incarnation);
           },
           {},
-          settings.off},
+          settings.mechanisms},
       forwarder_(&parts_),
       membership_(SelfRow(settings, WallMillis()), settings.seeds,
                   PeerOptions(settings), SeededRandom()),
       gossip_(loop, &membership_, settings.peer_key, PeerHandlers()),
-      roster_(&membership_, SourceRoster::Options()),
-      duty_(loop->now(), IsSeed(), StoreDuty::Options(), SeededRandom()),
+      roster_(&membership_, SourceSelector::Options()),
+      duty_(loop->now(), IsSeed(), StoreTaskSelector::Options(),
+            SeededRandom()),
       source_(loop, &membership_, &roster_, membership_.other_seeds(),
               gossip_.link(), SeededRandom(), PeerSourceOptions(),
               SourceEvents()),
-      callers_(loop, EntryLimits(settings),
-               [this](EntryPtr e) { forwarder_.Handle(std::move(e)); }),
+      callers_(
+          loop, EntryLimits(settings),
+          [this](CallerExchangePtr e) { forwarder_.Handle(std::move(e)); }),
       operators_(loop, HttpServer::Options(),
                  [this](const ExchangePtr& e) { ServeOperators(e); }),
       readiness_(loop, HttpServer::Options(),
@@ -105,27 +107,28 @@
              LogFields().Add("endpoint", id));
     gossip_.Announce();
   };
-  events.on_gone = [this](const std::string& id) {
+  events.on_removed = [this](const std::string& id) {
     LogEvent(LogPart::kEndpoints, LogLevel::kInfo, "endpoint_gone",
              LogFields().Add("endpoint", id));
-    upstream_.Forget(id);
-    forwarder_.ForgetEndpoint(id);
+    upstream_.DropConnections(id);
+    forwarder_.RemoveEndpoint(id);
     endpoint_went_ = true;
   };
-  events.on_new_life = [this](const DirectoryEntry& e, uint64_t before) {
+  events.on_restarted = [this](const DirectoryEntry& e, uint64_t before) {
     LogEvent(LogPart::kEndpoints, LogLevel::kWarn, "endpoint_started_anew",
              LogFields()
                  .Add("endpoint", e.listed.name)
                  .Add("incarnation", e.listed.incarnation)
                  .Add("before", before));
     metrics_.Count("endpoint_restarts_total");
-    upstream_.Forget(e.listed.name);
-    forwarder_.OnNewLife(e.listed.name);
+    upstream_.DropConnections(e.listed.name);
+    forwarder_.OnRestart(e.listed.name);
   };
-  events.on_passed_over = [this](const std::string& id, std::string_view why) {
+  events.on_rejected = [this](const std::string& id, std::string_view why) {
     OnPassedOver(id, why);
   };
-  events.on_holds = [](const DirectoryEntry& e, const LayerRange& before) {
+  events.on_layers_changed = [](const DirectoryEntry& e,
+                                const LayerRange& before) {
     LogEvent(LogPart::kEndpoints, LogLevel::kInfo, "endpoint_holds",
              LogFields()
                  .Add("endpoint", e.listed.name)
@@ -166,7 +169,7 @@
                .Add("hall", s.hall)
                .Add("callers", s.callers.ToString())
                .Add("store", s.store.ToString())
-               .Add("off", s.off.ToString())
+               .Add("off", s.mechanisms.ToString())
                .Add("key_proof_ms", ToMillis(s.key_proof)));
   gossip_.Start();
   loop_->Every(ForwardPolicy::kUpdateEvery,
@@ -189,7 +192,7 @@
   settings_.key_proof = settings.key_proof;
   settings_.stop_at_latest = settings.stop_at_latest;
   settings_.stop_listening_after = settings.stop_listening_after;
-  retries_.set_options(RetryOptions(settings, settings_.off));
+  retries_.set_options(RetryOptions(settings, settings_.mechanisms));
   const bool same_places = settings.callers == settings_.callers &&
                            settings.store == settings_.store;
   LogEvent(LogPart::kBox, LogLevel::kInfo, "settings_reloaded",
@@ -215,7 +218,7 @@
   }
   configuration_hash_ = hash;
   configuration_packed_ = Deflate(text);
-  EntryServer::Limits limits = EntryLimits(settings_);
+  CallerServer::Limits limits = EntryLimits(settings_);
   limits.head_bytes = c.limits.head_bytes;
   limits.body_bytes = c.limits.body_bytes;
   limits.head_timeout = c.limits.head_timeout;
@@ -239,7 +242,7 @@
 
 void ForwardingCore::OnStoreConfiguration(const std::string& text) {
   const bool first = configuration_ == nullptr;
-  if (first && !peers_first_.Over(loop_->now())) {
+  if (first && !peers_first_.Done(loop_->now())) {
     store_configuration_ = text;
   } else {
     OnConfiguration(text, "store");
@@ -280,9 +283,9 @@
                [this] { follow_duty_(); });
 }
 
-void ForwardingCore::OnProof(DocumentKind kind, Time proof) {
+void ForwardingCore::OnProof(DocumentKind kind, Time fresh_as_of) {
   Time& held = proofs_[IndexOf(kind)];
-  held = std::max(held, proof);
+  held = std::max(held, fresh_as_of);
 }
 
 Duration ForwardingCore::ProofAge() const {
@@ -298,8 +301,8 @@
   const Time now = loop_->now();
   duty_.set_plans(plans);
   const StoreTask before = task_;
-  task_ =
-      duty_.Now(now, proofs_[IndexOf(DocumentKind::kConfiguration)], &roster_);
+  task_ = duty_.ChooseTask(now, proofs_[IndexOf(DocumentKind::kConfiguration)],
+                           &roster_);
   if (task_ != before) {
     LogEvent(LogPart::kBox, LogLevel::kInfo, "store_task",
              LogFields()
@@ -340,7 +343,7 @@
   forwarder_.Tick();
   gossip_.Tick();
   AskForRetries();
-  const bool asks_peers = !peers_first_.Over(now);
+  const bool asks_peers = !peers_first_.Done(now);
   if (!asks_peers && !store_configuration_.empty()) {
     OnConfiguration(std::exchange(store_configuration_, ""), "store");
   }
@@ -387,9 +390,9 @@
                static_cast<double>(upstream_.connects()));
   metrics_.Set("refused_unread", "", static_cast<double>(callers_.refused()));
   metrics_.Set("retries_refused", "", static_cast<double>(retries_.refused()));
-  for (const RetryNeed need : kRetryNeeds) {
+  for (const RetryClass need : kRetryClasses) {
     metrics_.Set("retries_refused_by_need",
-                 "need=\"" + std::string(RetryNeedName(need)) + "\"",
+                 "need=\"" + std::string(RetryClassName(need)) + "\"",
                  static_cast<double>(retries_.refused(need)));
   }
   metrics_.Set("retry_asks", "", static_cast<double>(loans_.asks()));
@@ -410,7 +413,7 @@
   }
   metrics_.Set("usable_endpoints", "", usable);
   metrics_.Set("resting_endpoints", "",
-               static_cast<double>(table_.Resting(now)));
+               static_cast<double>(table_.BackingOff(now)));
   RefreshCapacity(now);
   metrics_.Set("unusable_entries", "",
                static_cast<double>(directory_.unusable()));
@@ -425,13 +428,14 @@
     if (!version) continue;
     const PoolCapacity& capacity = forwarder_.CapacityOf(model, *version);
     for (const std::string& hall : capacity.halls()) {
-      const PoolCapacity::Layer least = capacity.LeastOf(hall);
+      const PoolCapacity::Layer least = capacity.MinOverLayers(hall);
       const std::string labels =
           "service=\"" + model + "\",hall=\"" + hall + "\"";
-      metrics_.Set("hall_read_tokens_per_second", labels, least.read_per_s);
-      metrics_.Set("hall_free_tokens", labels, least.free_room * kTokens);
+      metrics_.Set("hall_read_tokens_per_second", labels, least.prefill_per_s);
+      metrics_.Set("hall_free_tokens", labels, least.free_memory * kTokens);
       metrics_.Set("hall_least_holders", labels, least.holders);
-      metrics_.Set("hall_shortest_layer", labels, capacity.ShortestLayer(hall));
+      metrics_.Set("hall_shortest_layer", labels,
+                   capacity.BottleneckLayer(hall));
     }
   }
 }
@@ -465,7 +469,7 @@
   const bool late = since >= settings_.stop_at_latest - kStopMargin;
   if (late) {
     unfinished_ += forwarder_.active();
-    forwarder_.GiveUpAll();
+    forwarder_.AbortAll();
   }
   const bool over = since >= settings_.stop_at_latest - kExitMargin;
   const bool told = late && callers_.connections() == 0;
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -20,19 +20,19 @@
 #include <string>
 
 #include "pinford/endpoint_table.h"
+#include "pinford/forwarding/caller_server.h"
 #include "pinford/forwarding/endpoint_directory.h"
-#include "pinford/forwarding/entry_server.h"
-#include "pinford/forwarding/failure_news.h"
+#include "pinford/forwarding/failure_gossip.h"
 #include "pinford/forwarding/forward_policy.h"
 #include "pinford/forwarding/forwarder.h"
 #include "pinford/forwarding/peer_source.h"
-#include "pinford/forwarding/peers_first.h"
 #include "pinford/forwarding/retry_loans.h"
 #include "pinford/forwarding/retry_share.h"
 #include "pinford/forwarding/route_table.h"
 #include "pinford/forwarding/send_budget.h"
-#include "pinford/forwarding/source_roster.h"
-#include "pinford/forwarding/store_duty.h"
+#include "pinford/forwarding/source_selector.h"
+#include "pinford/forwarding/startup_peer_check.h"
+#include "pinford/forwarding/store_task_selector.h"
 #include "pinford/forwarding/upstream_client.h"
 #include "pinford/forwarding/whole_list.h"
 #include "pinford/gossip.h"
@@ -65,14 +65,15 @@
       std::function<std::optional<ServiceConfiguration>(std::string_view)>;
   void set_reader(ConfigurationReader read) { read_ = std::move(read); }
   bool OnConfiguration(const std::string& text, std::string_view from);
-  // As the store has it: the first waits for the peers' word (peers_first.h).
+  // As the store has it: the first waits for the peers' word
+  // (startup_peer_check.h).
   void OnStoreConfiguration(const std::string& text);
   // An entry of the list names no endpoint.
   void OnPassedOver(const std::string& place, std::string_view why);
   // The list of endpoints is as of this revision of the store's.
   void OnListVersion(StoreRevision revision);
   // At `proof` what this box has of the document was the newest.
-  void OnProof(DocumentKind kind, Time proof);
+  void OnProof(DocumentKind kind, Time fresh_as_of);
   // What this box has to do with the store now, and was last found to have.
   // `plans`: it plans the pools.
   StoreTask StoreTaskNow(bool plans);
@@ -99,8 +100,8 @@
   EndpointDirectory* directory() { return &directory_; }
   const EndpointTable* table() const { return &table_; }
   HttpClient* http() { return &http_; }
-  // How runners are asked and told (ForwardParts).
-  ForwardParts* parts() { return &parts_; }
+  // How runners are asked and told (ForwardContext).
+  ForwardContext* parts() { return &parts_; }
   Metrics* metrics() { return &metrics_; }
   EventLoop* loop() { return loop_; }
   const Settings& settings() const { return settings_; }
@@ -128,7 +129,7 @@
   std::optional<RetryLoan> OnRetryAsk(const RetryAsk& ask);
   void OnRetryLoan(const RetryLoan& loan);
   FetchReply OnFetch(const FetchRequest& request);
-  uint64_t ProofAgeMs(Time proof) const;
+  uint64_t ProofAgeMs(Time fresh_as_of) const;
   // What is told of a document beside its body.
   DocumentState StateOf(DocumentKind kind) const;
   DocumentState ListState(const FetchRequest& request);
@@ -162,20 +163,20 @@
   EndpointDirectory directory_;
   RetryShare retries_;
   RetryLoans loans_;
-  FailureNews news_;
-  ForwardParts parts_;
+  FailureGossip news_;
+  ForwardContext parts_;
   Forwarder forwarder_;
   Membership membership_;
   Gossip gossip_;
-  SourceRoster roster_;
-  StoreDuty duty_;
+  SourceSelector roster_;
+  StoreTaskSelector duty_;
   PeerSource<PeerLink, EventLoop> source_;
-  EntryServer callers_;
+  CallerServer callers_;
   HttpServer operators_;
   HttpServer readiness_;
 
   ConfigurationReader read_;
-  PeersFirst peers_first_;
+  StartupPeerCheck peers_first_;
   std::string store_configuration_;  // that waits for the peers' word
   std::shared_ptr<const ServiceConfiguration> configuration_;
   uint64_t configuration_hash_ = 0;   // of its text
--- a/pinford/forwarding/forwarding_options.cc
+++ b/pinford/forwarding/forwarding_options.cc
@@ -12,8 +12,8 @@
   return options;
 }
 
-EntryServer::Limits EntryLimits(const Settings& s) {
-  EntryServer::Limits limits;
+CallerServer::Limits EntryLimits(const Settings& s) {
+  CallerServer::Limits limits;
   limits.head_bytes = s.max_header_bytes;
   limits.body_bytes = s.max_body_bytes;
   limits.idle_timeout = s.idle_timeout;
@@ -29,23 +29,24 @@
 
 EndpointTable::Options TableOptions(const Settings& s) {
   EndpointTable::Options options;
-  options.off = s.off;
+  options.mechanisms = s.mechanisms;
   // The list is mirrored: an entry holds until it changes.
   options.report_valid = hours(24 * 365);
-  options.hand_over_directly = true;
+  options.direct_handoff = true;
   // A token crosses in 0.75 ms, and its part of the prompt's activations takes
   // about 0.1 ms; the rest keeps the links between halls free for the halls
   // that need them. Seconds a token, as the price of a layer.
-  options.other_hall_seconds = 0.003;
+  options.cross_hall_seconds = 0.003;
   return options;
 }
 
-RetryShare::Options RetryOptions(const Settings& s, const MechanismsOff& off) {
+RetryShare::Options RetryOptions(const Settings& s,
+                                 const MechanismSwitches& mechanisms) {
   RetryShare::Options options;
   options.ratio = s.retry_ratio;
   options.extra = s.retry_extra;
   options.window = s.retry_window;
-  if (!off.on(Mechanism::kRetryLoans)) options.kept = 0;
+  if (!mechanisms.enabled(Mechanism::kRetryLoans)) options.reserved_share = 0;
   return options;
 }
 
--- a/pinford/forwarding/forwarding_options.h
+++ b/pinford/forwarding/forwarding_options.h
@@ -5,7 +5,7 @@
 #define PINFORD_FORWARDING_FORWARDING_OPTIONS_H_
 
 #include "pinford/endpoint_table.h"
-#include "pinford/forwarding/entry_server.h"
+#include "pinford/forwarding/caller_server.h"
 #include "pinford/forwarding/forward_protocol.h"
 #include "pinford/forwarding/retry_share.h"
 #include "pinford/forwarding/upstream_client.h"
@@ -15,11 +15,12 @@
 namespace pinford {
 
 Membership::Options PeerOptions(const Settings& s);
-EntryServer::Limits EntryLimits(const Settings& s);
+CallerServer::Limits EntryLimits(const Settings& s);
 UpstreamClient::Options UpstreamOptions(const ForwardProtocol& p);
 EndpointTable::Options TableOptions(const Settings& s);
 // `off`: the mechanisms that are off, which stay as they were at the start.
-RetryShare::Options RetryOptions(const Settings& s, const MechanismsOff& off);
+RetryShare::Options RetryOptions(const Settings& s,
+                                 const MechanismSwitches& mechanisms);
 
 }  // namespace pinford
 
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -36,13 +36,15 @@
 PeerSourceEvents ForwardingCore::SourceEvents() {
   PeerSourceEvents events;
   events.version = [this](DocumentKind kind) { return VersionOf(kind); };
-  events.proof = [this](DocumentKind kind) { return proofs_[IndexOf(kind)]; };
+  events.fresh_as_of = [this](DocumentKind kind) {
+    return proofs_[IndexOf(kind)];
+  };
   events.on_body = [this](DocumentKind kind, const DocumentState& state,
                           const std::string& peer) {
     return OnPeerBody(kind, state, peer);
   };
-  events.on_proof = [this](DocumentKind kind, Time proof) {
-    OnProof(kind, proof);
+  events.on_freshness = [this](DocumentKind kind, Time fresh_as_of) {
+    OnProof(kind, fresh_as_of);
   };
   events.on_answer = [this] { peers_first_.OnAnswer(); };
   return events;
@@ -58,7 +60,7 @@
   membership_.set_counts(std::move(counts));
   membership_.set_load(static_cast<uint32_t>(forwarder_.active()), 0);
   membership_.set_leaving_endpoints(table_.LeavingMarks());
-  membership_.set_proof_age(ProofAge());
+  membership_.set_freshness_age(ProofAge());
 }
 
 void ForwardingCore::OnDigest(const Digest& digest) {
@@ -79,39 +81,40 @@
   const Time now = loop_->now();
   table_.OnPeerCounts(membership_.SumOfCounts(now));
   const int boxes = membership_.live_boxes(now);
-  retries_.OnBoxes(now, boxes);
+  retries_.OnBoxCount(now, boxes);
   table_.set_boxes(boxes);
 }
 
 void ForwardingCore::OnRunnerDown(const std::string& endpoint) {
-  if (!parts_.off.on(Mechanism::kFailureNews)) return;
+  if (!parts_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
   if (!news_.OnDown(loop_->now(), endpoint)) return;
-  loop_->After(news_.options().gather,
-               [this] { gossip_.Tell({news_.Take()}, news_.options().peers); });
+  loop_->After(news_.options().batch_window, [this] {
+    gossip_.SendFailureNotice({news_.Take()}, news_.options().fanout);
+  });
 }
 
 void ForwardingCore::OnDownNote(const DownNote& note) {
-  if (!parts_.off.on(Mechanism::kFailureNews)) return;
+  if (!parts_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
   metrics_.Count("down_notes_total");
-  for (const std::string& id : news_.Heard(loop_->now(), note.endpoints)) {
-    if (directory_.Find(id) != nullptr) forwarder_.Doubt(id);
+  for (const std::string& id : news_.OnNotice(loop_->now(), note.endpoints)) {
+    if (directory_.Find(id) != nullptr) forwarder_.ProbeIfDue(id);
   }
 }
 
 void ForwardingCore::AskForRetries() {
-  if (!parts_.off.on(Mechanism::kRetryLoans)) return;
-  std::vector<RetryAsk> asks = loans_.Asks(loop_->now());
+  if (!parts_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
+  std::vector<RetryAsk> asks = loans_.MakeAsks(loop_->now());
   if (asks.empty()) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_asked",
            LogFields()
                .Add("service", asks[0].service)
                .Add("peers", asks.size())
                .Add("of_each", asks[0].count));
-  gossip_.Ask(std::move(asks));
+  gossip_.SendRetryRequests(std::move(asks));
 }
 
 std::optional<RetryLoan> ForwardingCore::OnRetryAsk(const RetryAsk& ask) {
-  if (!parts_.off.on(Mechanism::kRetryLoans)) return std::nullopt;
+  if (!parts_.mechanisms.enabled(Mechanism::kRetryLoans)) return std::nullopt;
   const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), ask);
   if (!loan) return std::nullopt;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_lent",
@@ -124,7 +127,7 @@
 }
 
 void ForwardingCore::OnRetryLoan(const RetryLoan& loan) {
-  if (!parts_.off.on(Mechanism::kRetryLoans)) return;
+  if (!parts_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
   const int borrowed = loans_.OnLoan(loop_->now(), loan);
   if (borrowed == 0) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_borrowed",
@@ -145,9 +148,9 @@
   return reply;
 }
 
-uint64_t ForwardingCore::ProofAgeMs(Time proof) const {
+uint64_t ForwardingCore::ProofAgeMs(Time fresh_as_of) const {
   return static_cast<uint64_t>(
-      std::max<int64_t>(0, ToMillis(loop_->now() - proof) + 1));
+      std::max<int64_t>(0, ToMillis(loop_->now() - fresh_as_of) + 1));
 }
 
 DocumentState ForwardingCore::StateOf(DocumentKind kind) const {
@@ -180,7 +183,7 @@
   }
   state.version = list.moment().version;
   state.list.at = list.moment().at;
-  state.proof_age_ms = ProofAgeMs(list.moment().proof);
+  state.proof_age_ms = ProofAgeMs(list.moment().fresh_as_of);
   state.body = list.body();
   return state;
 }
@@ -189,12 +192,12 @@
   const Time begun = loop_->now();
   // What is left of a lapsed entry's time changes as it passes.
   const bool serves = whole_list_.Serves(begun, directory_.state(), above) &&
-                      !directory_.unsettled();
+                      !directory_.has_timed_entries();
   if (serves) return whole_list_;
   const WholeList::Moment moment = {VersionOf(DocumentKind::kEndpoints),
                                     directory_.at(), directory_.state(),
                                     proofs_[IndexOf(DocumentKind::kEndpoints)]};
-  std::string body = Deflate(WriteDirectory(directory_.Copy(begun)));
+  std::string body = Deflate(WriteDirectory(directory_.Snapshot(begun)));
   whole_list_.Set(begun, loop_->now(), moment, std::move(body));
   return whole_list_;
 }
@@ -216,7 +219,7 @@
   }
   // Before the list is taken: what it lacks, or has again, is of a copy.
   const StoreRevision version = StoreRevision::FromPacked(state.version);
-  if (!era_.Saw(version.era())) return false;
+  if (!era_.Observe(version.era())) return false;
   if (whole) directory_.OnList(loop_->now(), *whole);
   if (changes) directory_.OnChanges(loop_->now(), *changes);
   OnListVersion(version);
--- a/pinford/forwarding/http_reader.cc
+++ b/pinford/forwarding/http_reader.cc
@@ -199,7 +199,7 @@
       state_ == State::kBody && message_->head.until_close && pending_.empty();
   if (whole) {
     state_ = State::kDone;
-  } else if (begun()) {
+  } else if (started()) {
     Fail(HttpReadError::kMalformed);
   }
 }
--- a/pinford/forwarding/http_reader.h
+++ b/pinford/forwarding/http_reader.h
@@ -74,7 +74,7 @@
   // Bytes were fed that belong to no finished message.
   bool has_leftover() const { return !pending_.empty(); }
   // Some bytes of the present message have arrived.
-  bool begun() const { return state_ != State::kHead || !pending_.empty(); }
+  bool started() const { return state_ != State::kHead || !pending_.empty(); }
 
   void set_limits(const Limits& limits) { limits_ = limits; }
 
--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -32,7 +32,7 @@
 #include <utility>
 #include <vector>
 
-#include "pinford/forwarding/source_roster.h"
+#include "pinford/forwarding/source_selector.h"
 #include "pinford/membership.h"
 #include "pinford/peer_messages.h"
 #include "util/clock.h"
@@ -75,13 +75,13 @@
 struct PeerSourceEvents {
   // The version that this box has.
   std::function<uint64_t(DocumentKind)> version;
-  std::function<Time(DocumentKind)> proof;
+  std::function<Time(DocumentKind)> fresh_as_of;
   // A peer's body of a higher version. False if it cannot be used.
   std::function<bool(DocumentKind, const DocumentState&,
                      const std::string& peer)>
       on_body;
   // What this box has was the newest at `proof`.
-  std::function<void(DocumentKind, Time proof)> on_proof;
+  std::function<void(DocumentKind, Time fresh_as_of)> on_freshness;
   // A peer has told what it has; what of that is news has been taken.
   std::function<void()> on_answer;
 };
@@ -89,7 +89,7 @@
 template <FetchLink Link, typename Clk>
 class PeerSource {
  public:
-  PeerSource(Clk* clock, const Membership* membership, SourceRoster* roster,
+  PeerSource(Clk* clock, const Membership* membership, SourceSelector* roster,
              std::vector<std::string> seeds, Link* link, Random random,
              const PeerSourceOptions& options, PeerSourceEvents events)
       : clock_(clock),
@@ -105,14 +105,14 @@
   // configuration and of the list, and when it knew the former to be the
   // newest.
   void OnDigest(const std::string& address, uint64_t version, uint64_t list,
-                Time proof) {
+                Time fresh_as_of) {
     const uint64_t own = events_.version(DocumentKind::kConfiguration);
     if (version > own) maybe_ahead_ = true;
     if (list > events_.version(DocumentKind::kEndpoints)) newer_list_ = address;
     const Time now = clock_->now();
-    const Time held = events_.proof(DocumentKind::kConfiguration);
+    const Time held = events_.fresh_as_of(DocumentKind::kConfiguration);
     const bool lacks = now - held > options_.usual_age;
-    if (lacks && version >= own && now - proof < options_.usual_age) {
+    if (lacks && version >= own && now - fresh_as_of < options_.usual_age) {
       fresher_ = address;
     }
   }
@@ -265,13 +265,14 @@
     if (state.version < events_.version(kind)) return;
     constexpr uint64_t kNoProof = 3600 * 1000;
     if (state.proof_age_ms >= kNoProof) return;
-    const Time proof = asked - milliseconds(state.proof_age_ms);
-    if (proof > events_.proof(kind)) events_.on_proof(kind, proof);
+    const Time fresh_as_of = asked - milliseconds(state.proof_age_ms);
+    if (fresh_as_of > events_.fresh_as_of(kind))
+      events_.on_freshness(kind, fresh_as_of);
   }
 
   Clk* clock_;
   const Membership* membership_;
-  SourceRoster* roster_;
+  SourceSelector* roster_;
   std::vector<std::string> seeds_;  // addresses, without this box's
   Link* link_;
   Random random_;
--- a/pinford/forwarding/pool_client.cc
+++ b/pinford/forwarding/pool_client.cc
@@ -5,7 +5,7 @@
 namespace pinford {
 
 static constexpr EnumName<LayerOrderStatus> kStatusNames[] = {
-    {LayerOrderStatus::kBegun, "begun"},
+    {LayerOrderStatus::kStarted, "begun"},
     {LayerOrderStatus::kDone, "done"},
     {LayerOrderStatus::kConflict, "conflict"},
     {LayerOrderStatus::kFenced, "fenced"},
@@ -20,7 +20,7 @@
 static constexpr EnumName<RerouteStatus> kRerouteNames[] = {
     {RerouteStatus::kDone, "done"},
     {RerouteStatus::kNoRequest, "no such request"},
-    {RerouteStatus::kNoPart, "a stage has not the part"},
+    {RerouteStatus::kRefusedByStage, "a stage has not the part"},
     {RerouteStatus::kUnknown, "no reply"},
 };
 
@@ -30,13 +30,14 @@
 
 RunnerHealth HealthOf(const LayerRange& listed, uint64_t incarnation,
                       const RunnerAnswer& answer) {
-  if (answer.silent) return {};
+  if (answer.timed_out) return {};
   const std::optional<RunnerReport>& report = answer.report;
   if (!report) return {true};
-  const bool works = report->state.holds.Contains(listed) &&
-                     !IsNewLife(incarnation, report->state.incarnation);
+  const bool works =
+      report->state.holds.Contains(listed) &&
+      !IsNewerIncarnation(incarnation, report->state.incarnation);
   if (!works) return {true};
-  return {true, true, report->pace, report->used,
+  return {true, true, report->slowdown, report->used,
           report->running + report->waiting};
 }
 
--- a/pinford/forwarding/pool_client.h
+++ b/pinford/forwarding/pool_client.h
@@ -29,14 +29,14 @@
   int running = 0;    // requests whose first stage it is
   int waiting = 0;    // ... that have not begun
   double used = 0;    // memory taken by requests, thousands of tokens x layers
-  double pace = 1;    // over 1: it takes so many times as long as it should
+  double slowdown = 1;  // over 1: it takes so many times as long as it should
 };
 
 // What came of asking a runner for its report.
 struct RunnerAnswer {
   // Nothing came back in time. A refused connection is no silence: it comes
   // from there, and shows that the way works.
-  bool silent = true;
+  bool timed_out = true;
   std::optional<RunnerReport> report;  // if what came back was one
 };
 
@@ -44,7 +44,7 @@
 struct RunnerHealth {
   bool answered = false;  // something came back in time
   bool works = false;     // ... and it holds what the list says
-  double pace = 1;        // as RunnerReport::pace
+  double slowdown = 1;    // as RunnerReport::pace
   double used = 0;        // as RunnerReport::used
   int entries = 0;        // requests there, running or waiting
 };
@@ -64,7 +64,7 @@
 };
 
 enum class LayerOrderStatus {
-  kBegun,
+  kStarted,
   kDone,      // it holds that already
   kConflict,  // it has taken other orders, or is in another state
   kFenced,    // a higher fence was seen
@@ -76,16 +76,17 @@
 
 enum class RerouteStatus {
   kDone,
-  kNoRequest,  // the entry does not know the request
-  kNoPart,     // a stage does not hold its part or has no room
-  kUnknown,    // no answer
+  kNoRequest,       // the entry does not know the request
+  kRefusedByStage,  // a stage does not hold its part or has no room
+  kUnknown,         // no answer
 };
 
 std::string_view RerouteStatusName(RerouteStatus s);
 
 struct RerouteResult {
   RerouteStatus status = RerouteStatus::kUnknown;
-  // Of kNoPart: the address of the stage that refuses, "" if it is not named.
+  // Of kRefusedByStage: the address of the stage that refuses, "" if it is not
+  // named.
   std::string at_fault;
 };
 
--- a/pinford/forwarding/pool_placement.cc
+++ b/pinford/forwarding/pool_placement.cc
@@ -25,18 +25,19 @@
   return -1 / (std::max(0.0, room) + kHalf);
 }
 
-PoolRoom::PoolRoom(const EnginePool& pool, const PoolPlacementOptions& options,
-                   const std::vector<PoolRunner>& runners)
+PoolMemory::PoolMemory(const EnginePool& pool,
+                       const PoolPlacementOptions& options,
+                       const std::vector<PoolRunner>& runners)
     : pool_(pool), options_(options), in_all_(pool.layers, 0) {
   for (const PoolRunner& r : runners) Add(r, r.holds);
 }
 
-double PoolRoom::RoomFor(const AcceleratorKind& kind, int n) const {
+double PoolMemory::RoomFor(const AcceleratorKind& kind, int n) const {
   return std::max(0.0, kind.memory_mb / n / pool_.layer_mb - 1);
 }
 
-void PoolRoom::Change(const PoolRunner& runner, const LayerRange& range,
-                      int sign) {
+void PoolMemory::Change(const PoolRunner& runner, const LayerRange& range,
+                        int sign) {
   const AcceleratorKind* kind = pool_.Kind(runner.kind);
   const int end = std::min(range.end, pool_.layers);
   if (kind == nullptr || range.begin >= end || pool_.layer_mb <= 0) return;
@@ -49,15 +50,16 @@
   }
 }
 
-void PoolRoom::Add(const PoolRunner& runner, const LayerRange& range) {
+void PoolMemory::Add(const PoolRunner& runner, const LayerRange& range) {
   Change(runner, range, 1);
 }
 
-void PoolRoom::Remove(const PoolRunner& runner, const LayerRange& range) {
+void PoolMemory::Remove(const PoolRunner& runner, const LayerRange& range) {
   Change(runner, range, -1);
 }
 
-PoolRoom::Layers PoolRoom::GainsOf(const std::string& hall, double room) const {
+PoolMemory::Layers PoolMemory::GainsOf(const std::string& hall,
+                                       double room) const {
   // A layer's room in all halls against that in one of them. With 1 and 3 the
   // shortest of 80 layers over 38 runners had 1.71 and 1.82 of a layer's
   // weights, at the same room in each hall; more gives way in the halls.
@@ -73,8 +75,8 @@
   return gains;
 }
 
-double PoolRoom::GainOf(const PoolRunner& runner,
-                        const LayerRange& range) const {
+double PoolMemory::GainOf(const PoolRunner& runner,
+                          const LayerRange& range) const {
   const AcceleratorKind* kind = pool_.Kind(runner.kind);
   const int end = std::min(range.end, pool_.layers);
   if (kind == nullptr || range.begin >= end) return 0;
@@ -82,11 +84,12 @@
   return std::accumulate(gains.begin() + range.begin, gains.begin() + end, 0.0);
 }
 
-std::optional<PoolRoom::Fit> PoolRoom::BestFor(const PoolRunner& runner) const {
+std::optional<PoolMemory::Fit> PoolMemory::BestFor(
+    const PoolRunner& runner) const {
   return BestAround(runner, {});
 }
 
-std::optional<PoolRoom::Fit> PoolRoom::BestAround(
+std::optional<PoolMemory::Fit> PoolMemory::BestAround(
     const PoolRunner& runner, const LayerRange& keep) const {
   const AcceleratorKind* kind = pool_.Kind(runner.kind);
   const int n = kind != nullptr ? LayersOfKind(pool_, *kind, options_) : 0;
@@ -107,7 +110,7 @@
   return best;
 }
 
-double PoolRoom::Least() const {
+double PoolMemory::MinFreeMemory() const {
   if (in_all_.empty()) return 0;
   return *std::min_element(in_all_.begin(), in_all_.end());
 }
@@ -118,7 +121,8 @@
 }
 
 // Looks for a better range for each of the placed. False if there is none.
-static bool Improve(const std::vector<const PoolRunner*>& open, PoolRoom* room,
+static bool Improve(const std::vector<const PoolRunner*>& open,
+                    PoolMemory* room,
                     std::map<std::string, LayerRange>* placed) {
   bool better = false;
   for (const PoolRunner* r : open) {
@@ -126,7 +130,7 @@
     if (it == placed->end()) continue;
     room->Remove(*r, it->second);
     const double gain = room->GainOf(*r, it->second);
-    const std::optional<PoolRoom::Fit> fit = room->BestAround(*r, r->holds);
+    const std::optional<PoolMemory::Fit> fit = room->BestAround(*r, r->holds);
     if (fit && fit->gain > gain + kBetter) {
       it->second = fit->range;
       better = true;
@@ -143,7 +147,7 @@
   return kind != nullptr && r.holds.size() < LayersOfKind(pool, *kind, options);
 }
 
-std::map<std::string, LayerRange> PlaceRest(
+std::map<std::string, LayerRange> PlaceUnderfilledRunners(
     const EnginePool& pool, const std::vector<PoolRunner>& runners,
     const PoolPlacementOptions& options) {
   std::vector<const PoolRunner*> open;
@@ -151,7 +155,7 @@
     if (HasRest(pool, r, options)) open.push_back(&r);
   }
   if (open.empty()) return {};
-  PoolRoom room(pool, options, runners);
+  PoolMemory room(pool, options, runners);
   for (const PoolRunner* r : open) room.Remove(*r, r->holds);
   // Fast runners first: they get the first run of layers of their hall.
   std::stable_sort(open.begin(), open.end(),
@@ -160,7 +164,7 @@
                    });
   std::map<std::string, LayerRange> placed;
   for (const PoolRunner* r : open) {
-    const std::optional<PoolRoom::Fit> fit = room.BestAround(*r, r->holds);
+    const std::optional<PoolMemory::Fit> fit = room.BestAround(*r, r->holds);
     if (!fit) {
       room.Add(*r, r->holds);
       continue;
@@ -181,13 +185,13 @@
                                  const std::vector<size_t>& movable,
                                  double least_gain,
                                  const PoolPlacementOptions& options) {
-  PoolRoom room(pool, options, runners);
+  PoolMemory room(pool, options, runners);
   std::optional<PoolMove> best;
   for (const size_t i : movable) {
     const PoolRunner& r = runners[i];
     room.Remove(r, r.holds);
     const double held = room.GainOf(r, r.holds);
-    const std::optional<PoolRoom::Fit> fit = room.BestFor(r);
+    const std::optional<PoolMemory::Fit> fit = room.BestFor(r);
     room.Add(r, r.holds);
     if (!fit) continue;
     const double gain = fit->gain - held;
--- a/pinford/forwarding/pool_placement.h
+++ b/pinford/forwarding/pool_placement.h
@@ -6,13 +6,13 @@
 // layers that they hold: its room. Chains are picked freely over whatever
 // ranges the runners hold, so ranges need not line up.
 //
-// PoolRoom counts each layer's room, in each hall and in all of them, and finds
-// the range for one runner that raises the sum of a concave value of it most:
-// the last room of a layer is worth more than all the rest. A layer's room in a
-// hall counts beside that in all of them, since a chain that stays in a hall
-// does not wait for the links between halls. The same rule fills an empty
-// pool, a runner that came back empty or was added, and finds which runner
-// should hold something else after others were lost.
+// PoolMemory counts each layer's room, in each hall and in all of them, and
+// finds the range for one runner that raises the sum of a concave value of it
+// most: the last room of a layer is worth more than all the rest. A layer's
+// room in a hall counts beside that in all of them, since a chain that stays in
+// a hall does not wait for the links between halls. The same rule fills an
+// empty pool, a runner that came back empty or was added, and finds which
+// runner should hold something else after others were lost.
 //
 // How many layers a runner takes is a share of its memory: what they leave
 // holds the requests. All runners leave the same share, so all stages of a
@@ -52,11 +52,11 @@
                  const PoolPlacementOptions& options);
 
 // The room of a pool's layers. A runner whose kind is unknown has none.
-class PoolRoom {
+class PoolMemory {
  public:
   // `pool` must outlive it.
-  PoolRoom(const EnginePool& pool, const PoolPlacementOptions& options,
-           const std::vector<PoolRunner>& runners);
+  PoolMemory(const EnginePool& pool, const PoolPlacementOptions& options,
+             const std::vector<PoolRunner>& runners);
 
   // Counts `range` of `runner` in, or out again.
   void Add(const PoolRunner& runner, const LayerRange& range);
@@ -76,7 +76,7 @@
   double GainOf(const PoolRunner& runner, const LayerRange& range) const;
 
   // The least room of a layer over all halls, in weights of a layer.
-  double Least() const;
+  double MinFreeMemory() const;
 
  private:
   using Layers = std::vector<double>;  // room, in weights of a layer
@@ -96,7 +96,7 @@
 // Ranges for those of `runners` that hold less than they can: around what they
 // hold, fast ones first, then each once more beside the others until nothing is
 // gained. Runners that cannot hold a layer are left out.
-std::map<std::string, LayerRange> PlaceRest(
+std::map<std::string, LayerRange> PlaceUnderfilledRunners(
     const EnginePool& pool, const std::vector<PoolRunner>& runners,
     const PoolPlacementOptions& options);
 
--- a/pinford/forwarding/pool_planner.h
+++ b/pinford/forwarding/pool_planner.h
@@ -8,11 +8,11 @@
 // has on the way either fits that state or is refused.
 //
 // Each round, what is missing is planned: ranges for runners that hold nothing,
-// or less than they can (PlaceRest). Such a runner is ordered to hold its
-// range; while the pool serves, a large range in steps, so that what has been
-// loaded serves while the rest loads: 27 layers of 1,750 MB take 4.7 s, their
-// first part 1.5 s. An order counts as under way until the runner is seen to
-// hold it, or its time is over.
+// or less than they can (PlaceUnderfilledRunners). Such a runner is ordered to
+// hold its range; while the pool serves, a large range in steps, so that what
+// has been loaded serves while the rest loads: 27 layers of 1,750 MB take 4.7
+// s, their first part 1.5 s. An order counts as under way until the runner is
+// seen to hold it, or its time is over.
 //
 // A runner that the list shows to hold nothing is ordered on the list's word,
 // as one that has taken no order yet: if it has, the count in the order does
@@ -76,7 +76,7 @@
   // fills up over some seconds.
   Duration settled = milliseconds(1500);
   Duration latest = milliseconds(6500);
-  // Beyond the time that a load takes if `loads_at_once` others go on.
+  // Beyond the time that a load takes if `concurrent_loads` others go on.
   Duration order_slack = seconds(4);
   Duration report_limit = milliseconds(800);
   // Orders and questions under way. An answer takes 3 ms; this many keep a core
@@ -98,7 +98,7 @@
   Duration move_look = seconds(1);
   // Requests that pass the layers given up end within this.
   Duration drain_slack = seconds(15);
-  MechanismsOff off;
+  MechanismSwitches mechanisms;
 };
 
 struct PoolPlannerEvents {
@@ -135,7 +135,7 @@
 
   // The store has come back from a copy, which may lack this box's lease and
   // hold another's: nobody's counts any more.
-  void OnStoreRestored() { lease_.Forget(); }
+  void OnStoreRestored() { lease_.Abandon(); }
 
  private:
   // A load of one layer takes no less, in seconds; guards a division.
@@ -190,7 +190,7 @@
   // reports are old.
   void OnToken(uint64_t token) {
     if (token != 0) {
-      const bool asks = options_.off.on(Mechanism::kTakeOverAsk);
+      const bool asks = options_.mechanisms.enabled(Mechanism::kTakeoverProbe);
       predecessor_ = asks ? Predecessor::kUnknown : Predecessor::kNone;
       due_.clear();
       for (auto& [id, w] : work_) {
@@ -267,7 +267,8 @@
       // is listed for seconds, longer if the store is away, and often comes
       // back under another id before it goes.
       const bool answers =
-          !options_.off.on(Mechanism::kLostAtOnce) || events_.works(id);
+          !options_.mechanisms.enabled(Mechanism::kSkipUnresponsive) ||
+          events_.works(id);
       if (!answers) continue;
       runners.push_back(View(id, entry));
     }
@@ -277,7 +278,7 @@
           return !entries.at(r.name).runner->holds.empty();
         });
     const std::map<std::string, LayerRange> placed =
-        PlaceRest(*spec.engine, runners, options_.placement);
+        PlaceUnderfilledRunners(*spec.engine, runners, options_.placement);
     for (const auto& [id, range] : placed) work_[id].planned = range;
     for (const PoolRunner& r : runners) {
       const Work& w = work_[r.name];
@@ -292,7 +293,7 @@
   // Moves runners to layers that are short after others were lost.
   void Rearrange(const ServiceSpec& spec,
                  const std::vector<PoolRunner>& runners, PoolState* pool) {
-    if (!options_.off.on(Mechanism::kMoves)) return;
+    if (!options_.mechanisms.enabled(Mechanism::kRunnerMoves)) return;
     const Time now = clock_->now();
     if (now < pool->next_look) return;
     pool->next_look = now + options_.move_look;
@@ -331,7 +332,7 @@
   Work& WorkOf(const std::string& id, const DirectoryEntry& entry) {
     Work& w = work_[id];
     const uint64_t life = entry.listed.incarnation;
-    if (w.serial == 0 || IsNewLife(w.incarnation, life)) {
+    if (w.serial == 0 || IsNewerIncarnation(w.incarnation, life)) {
       w = Work();
       w.serial = ++last_serial_;
     }
@@ -390,7 +391,8 @@
     const LayerRange& holds = events_.entries().at(id).runner->holds;
     const bool by_list = holds.empty() && !w.list_refuted;
     if (w.due || (!by_list && !IsIdle(id))) return;
-    const bool steps = serving && options_.off.on(Mechanism::kLoadSteps);
+    const bool steps =
+        serving && options_.mechanisms.enabled(Mechanism::kIncrementalLoad);
     const LayerRange range =
         steps ? NextStep(spec, holds, w.planned) : w.planned;
     if (calls_ < MostOrders()) {
@@ -422,7 +424,8 @@
       }
       if (!entry->second.runner) continue;
       // The list has had it start anew; the next round sees to it.
-      if (IsNewLife(w->incarnation, entry->second.listed.incarnation)) continue;
+      if (IsNewerIncarnation(w->incarnation, entry->second.listed.incarnation))
+        continue;
       if (!entry->second.runner->holds.empty() && !w->report) continue;
       Give(*spec, next.id, next.range);
     }
@@ -478,7 +481,7 @@
     calls_--;
     events_.on_order(id, order, status);
     if (predecessor_ == Predecessor::kUnknown) OnFirstOrder(order, status);
-    if (status == LayerOrderStatus::kFenced) lease_.Forget();
+    if (status == LayerOrderStatus::kFenced) lease_.Abandon();
     Work* w = StillOf(id, serial);
     if (w == nullptr) {
       GiveDue();
@@ -529,7 +532,7 @@
   // The order that went ahead of the others has been answered.
   void OnFirstOrder(const LayerOrder& order, LayerOrderStatus status) {
     if (order.fence != lease_.token()) return;
-    if (status == LayerOrderStatus::kBegun) predecessor_ = Predecessor::kNone;
+    if (status == LayerOrderStatus::kStarted) predecessor_ = Predecessor::kNone;
     const bool before = status == LayerOrderStatus::kConflict ||
                         status == LayerOrderStatus::kDone;
     if (before) OnPredecessor();
@@ -537,8 +540,8 @@
 
   void TakeReport(const std::string& id, RunnerReport report, Work* w) {
     const uint64_t life = report.state.incarnation;
-    if (IsNewLife(life, w->incarnation)) return;
-    const bool anew = IsNewLife(w->incarnation, life);
+    if (IsNewerIncarnation(life, w->incarnation)) return;
+    const bool anew = IsNewerIncarnation(w->incarnation, life);
     if (anew || report.state.leaving || !report.state.holds.empty()) {
       events_.on_state(id, report.state);
     }
--- a/pinford/forwarding/prefix_mirror.h
+++ b/pinford/forwarding/prefix_mirror.h
@@ -30,11 +30,11 @@
   // twice by the next; a waiting watch counts as one call to the store.
   Duration wait = milliseconds(1000);
   // After the wait, how long an answer may take.
-  Duration answer_limit = milliseconds(700);
+  Duration answer_timeout = milliseconds(700);
   // The same of a list once the store has fallen silent. Another is then sent
   // after `retry`, but an answer to any of them still counts: so a return is
   // noticed this soon, however slow the store is.
-  Duration silent_limit = milliseconds(700);
+  Duration unreachable_timeout = milliseconds(700);
   // Between calls to a store that does not answer or refuses: doubled with
   // each failure in a row, up to the latter.
   Duration retry = milliseconds(250);
@@ -48,7 +48,7 @@
   std::function<void(const PrefixResult&)> on_list;
   // Changes since.
   std::function<void(const PrefixResult&)> on_changes;
-  std::function<void(Time proof)> on_proof;
+  std::function<void(Time fresh_as_of)> on_freshness;
   // The store answers this mirror, or does no longer.
   std::function<void(bool reachable, StoreStatus why)> on_reachable;
 };
@@ -84,11 +84,11 @@
   }
   // The store has come back from a copy: what the mirror goes on from is of
   // before.
-  void ListAgain() {
+  void Relist() {
     if (active_) List();
   }
   // Lists the prefix once, unless it is mirrored or being listed already.
-  void Look() {
+  void ReadOnce() {
     if (active_ || std::exchange(looking_, true)) return;
     List();
   }
@@ -98,17 +98,18 @@
   // Whether the last call failed. False while none has ended yet.
   bool failing() const { return failures_ > 0; }
   // From now on retries come at the latest after so long.
-  void set_most_retry(Duration d) { options_.most_retry = d; }
+  void set_max_retry_delay(Duration d) { options_.most_retry = d; }
   StoreRevision at() const { return at_; }
   // Time{} before the first.
-  Time proof() const { return proof_; }
+  Time fresh_as_of() const { return proof_; }
 
  private:
   void List() {
     const Time sent = clock_->now();
     const uint64_t lists = lists_;
     const bool silent = active_ && !reachable_;
-    Guard(++call_, silent ? options_.silent_limit : options_.answer_limit);
+    Guard(++call_,
+          silent ? options_.unreachable_timeout : options_.answer_timeout);
     store_->List(prefix_, [this, sent, lists](const PrefixResult& r) {
       if (lists != lists_) return;
       lists_++;
@@ -132,7 +133,7 @@
   void Watch() {
     const Time sent = clock_->now();
     const uint64_t call = ++call_;
-    Guard(call, options_.wait + options_.answer_limit);
+    Guard(call, options_.wait + options_.answer_timeout);
     store_->WatchPrefix(prefix_, at_, options_.wait,
                         [this, sent, call](const PrefixResult& r) {
                           if (call != call_) return;
@@ -154,7 +155,7 @@
         Reached(sent);
         Watch();
         return;
-      case StoreStatus::kForgotten:
+      case StoreStatus::kCompacted:
         List();
         return;
       default:
@@ -189,7 +190,7 @@
       events_.on_reachable(true, StoreStatus::kOk);
     }
     proof_ = std::max(proof_, sent);
-    events_.on_proof(proof_);
+    events_.on_freshness(proof_);
   }
 
   void Failed(StoreStatus why) {
--- a/pinford/forwarding/probe_evidence.cc
+++ b/pinford/forwarding/probe_evidence.cc
@@ -17,11 +17,11 @@
   if (probe != probes_.end()) probe->answered = true;
 }
 
-bool ProbeEvidence::Blames(Time sent) {
+bool ProbeEvidence::IndicatesFailure(Time sent) {
   int together = 0;
   for (const Probe& probe : probes_) {
-    const bool apart =
-        probe.sent < sent - kTogether || probe.sent > sent + kTogether;
+    const bool apart = probe.sent < sent - kConcurrentWindow ||
+                       probe.sent > sent + kConcurrentWindow;
     if (apart) continue;
     if (probe.answered) return true;
     together++;
--- a/pinford/forwarding/probe_evidence.h
+++ b/pinford/forwarding/probe_evidence.h
@@ -23,7 +23,7 @@
  public:
   // Probes are sent together if one was not yet overdue when the other was
   // sent.
-  static constexpr Duration kTogether = milliseconds(30);
+  static constexpr Duration kConcurrentWindow = milliseconds(30);
   static constexpr size_t kMostKept = 64;
 
   // A probe was sent to an endpoint that is not known to be down.
@@ -32,7 +32,7 @@
   void OnAnswered(Time sent);
   // Whether a probe of `sent`, which got no answer, speaks against its
   // endpoint.
-  bool Blames(Time sent);
+  bool IndicatesFailure(Time sent);
 
  private:
   struct Probe {
--- a/pinford/forwarding/request_log.cc
+++ b/pinford/forwarding/request_log.cc
@@ -71,7 +71,7 @@
                         .Add("move", RecoveryMoveName(r.move))
                         .Add("expected_ms", ToMillis(r.expected))
                         .Add("down", f.down)
-                        .Add("begun", f.begun)
+                        .Add("begun", f.started)
                         .Add("silent_ms", ToMillis(f.silent))
                         .Add("allowed_ms", ToMillis(f.allowed))
                         .Add("gap_if_kept_ms", ToMillis(f.gap_if_kept))
@@ -114,7 +114,7 @@
   if (const auto& s = e.target->shortage()) {
     fields.Add("short_layer", s->layer)
         .Add("short_holders", s->holders)
-        .Add("short_taken", s->taken);
+        .Add("short_taken", s->memory_used);
   }
   // Each cut answer has to be found again, however much else is logged.
   const LogLevel level = e.cut ? LogLevel::kWarn : LogLevel::kInfo;
--- a/pinford/forwarding/request_log.h
+++ b/pinford/forwarding/request_log.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <string_view>
 
+#include "pinford/forwarding/admitted_request.h"
 #include "pinford/forwarding/attempt_result.h"
-#include "pinford/forwarding/forward_order.h"
 #include "pinford/forwarding/forward_target.h"
 #include "pinford/forwarding/forwarder.h"
 #include "pinford/forwarding/wait_cause.h"
@@ -21,7 +21,7 @@
 class RequestLog {
  public:
   // Both must outlive it.
-  RequestLog(const ForwardParts* parts, const ForwardOrder* order)
+  RequestLog(const ForwardContext* parts, const AdmittedRequest* order)
       : parts_(parts), order_(order) {}
 
   // An attempt that ended, as far as it came.
@@ -89,8 +89,8 @@
   void Ended(const End& e) const;
 
  private:
-  const ForwardParts* parts_;
-  const ForwardOrder* order_;
+  const ForwardContext* parts_;
+  const AdmittedRequest* order_;
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/request_recovery.cc
+++ b/pinford/forwarding/request_recovery.cc
@@ -20,7 +20,7 @@
 
 void ForwardedRequest::OnStageImpaired(const std::string& endpoint) {
   if (over_ || upstream_ == 0 || replacing_) return;
-  if (!parts_->off.on(Mechanism::kStageReplacement)) return;
+  if (!parts_->mechanisms.enabled(Mechanism::kStageReplacement)) return;
   if (target_.Uses(endpoint)) ReplaceStages(now());
 }
 
@@ -70,9 +70,9 @@
                                   const std::optional<Chain>& next) const {
   RecoveryFacts f;
   f.down = target_.HasDown();
-  f.begun = first_event_ != Time{};
-  f.allowed = f.begun ? route_.target_gap : route_.target_latency;
-  f.silent = f.begun ? t - last_event_ : t - order_.exchange->begun();
+  f.started = first_event_ != Time{};
+  f.allowed = f.started ? route_.target_gap : route_.target_latency;
+  f.silent = f.started ? t - last_event_ : t - order_.exchange->started();
   f.gap_if_kept =
       FromSeconds(ToSeconds(owner_->usual_gap()) * target_.Slowdown());
   const auto version = target_.Version(t);
@@ -82,7 +82,7 @@
     f.replace_all = TimeForAll(load);
     f.more_crossings = load.more_crossings;
   }
-  f.place = PlaceOf(UnitHash(order_.id), order_.treatment.tier);
+  f.place = PlaceOf(UnitHash(order_.id), order_.request_class.tier);
   f.anew = kCrowded * owner_->usual_first();
   f.may_begin_anew = MayRepeat() && runs_ + 1 < route_.max_attempts;
   const Recovery recovery = ChooseRecovery(f);
@@ -131,7 +131,7 @@
   }
   target_.Drop(chain);
   wait_ = WaitCause::kNone;
-  if (result.status == RerouteStatus::kNoPart) {
+  if (result.status == RerouteStatus::kRefusedByStage) {
     TurnedAway(target_.StageAt(chain, result.at_fault));
   }
   if (!MayRepeat() || !MayTryAgain(t, runs_ + 1)) return;
@@ -141,7 +141,8 @@
 // A stream whose stage is down gets nothing by itself. Where nothing could be
 // done for it, runners may have been found, loaded or regained meanwhile.
 bool ForwardedRequest::DecidesAgain(Time t) {
-  if (!timed_ || !parts_->off.on(Mechanism::kStageReplacement)) return false;
+  if (!timed_ || !parts_->mechanisms.enabled(Mechanism::kStageReplacement))
+    return false;
   if (first_event_ == Time{} || t - decided_ < kResumePause) return false;
   if (!target_.pool() || !target_.HasDown()) return false;
   const UpstreamId before = upstream_;
@@ -153,7 +154,7 @@
 // missed: prompts went on to a runner twelve times too slow, unasked, for 9 s.
 void ForwardedRequest::DoubtStages() {
   for (const std::string& endpoint : target_.SilentSince(sent_)) {
-    owner_->Doubt(endpoint);
+    owner_->ProbeIfDue(endpoint);
   }
 }
 
--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -45,7 +45,8 @@
 
 bool ForwardedRequest::MayRepeat() const {
   const bool stream = route_.kind == RequestKind::kStream;
-  return route_.may_repeat() && (!stream || parts_->off.on(Mechanism::kResume));
+  return route_.may_repeat() &&
+         (!stream || parts_->mechanisms.enabled(Mechanism::kResume));
 }
 
 bool ForwardedRequest::MayTryAgain(Time t, int runs) {
@@ -61,15 +62,15 @@
   return retry_taken_;
 }
 
-RetryNeed ForwardedRequest::Need() const {
-  if (order_.exchange->streaming()) return RetryNeed::kBegunStream;
-  const bool urgent = order_.treatment.tier == Tier::kCritical;
-  return urgent ? RetryNeed::kUrgent : RetryNeed::kOther;
+RetryClass ForwardedRequest::Need() const {
+  if (order_.exchange->streaming()) return RetryClass::kBegunStream;
+  const bool urgent = order_.request_class.tier == Tier::kCritical;
+  return urgent ? RetryClass::kUrgent : RetryClass::kOther;
 }
 
 void ForwardedRequest::GiveUp(std::string_view why, bool late) {
   const ForwardHeaders& names = parts_->protocol.headers;
-  EntryExchange& exchange = *order_.exchange;
+  CallerExchange& exchange = *order_.exchange;
   if (exchange.streaming()) {
     exchange.Abort();
     Finish(why);
@@ -77,7 +78,8 @@
   }
   if (failure_) {
     exchange.Reply(failure_->status, failure_->reason,
-                   PassedHeaders(*failure_, parts_->protocol), failure_body_);
+                   ForwardedResponseHeaders(*failure_, parts_->protocol),
+                   failure_body_);
     Finish("failed by endpoint");
     return;
   }
--- a/pinford/forwarding/retry_loans.cc
+++ b/pinford/forwarding/retry_loans.cc
@@ -11,7 +11,7 @@
   return std::max(0, most - static_cast<int>(times->size()));
 }
 
-std::vector<RetryAsk> RetryLoans::Asks(Time now) {
+std::vector<RetryAsk> RetryLoans::MakeAsks(Time now) {
   // Those who were refused before the last asks may be served by them.
   const Duration look = share_->options().look;
   if (!ask_times_.empty() && now - ask_times_.back() < look) return {};
--- a/pinford/forwarding/retry_share.cc
+++ b/pinford/forwarding/retry_share.cc
@@ -7,14 +7,14 @@
 
 namespace pinford {
 
-static constexpr EnumName<RetryNeed> kRetryNeedNames[] = {
-    {RetryNeed::kBegunStream, "begun_stream"},
-    {RetryNeed::kUrgent, "urgent"},
-    {RetryNeed::kOther, "other"},
+static constexpr EnumName<RetryClass> kRetryNeedNames[] = {
+    {RetryClass::kBegunStream, "begun_stream"},
+    {RetryClass::kUrgent, "urgent"},
+    {RetryClass::kOther, "other"},
 };
-static_assert(std::size(kRetryNeedNames) == std::size(kRetryNeeds));
+static_assert(std::size(kRetryNeedNames) == std::size(kRetryClasses));
 
-std::string_view RetryNeedName(RetryNeed need) {
+std::string_view RetryClassName(RetryClass need) {
   return NameIn(kRetryNeedNames, need);
 }
 
@@ -42,14 +42,14 @@
   return std::clamp(now - looked_, options_.look, options_.loan);
 }
 
-void RetryShare::OnBoxes(Time now, int n) {
+void RetryShare::OnBoxCount(Time now, int n) {
   if (n < boxes_ && now - boxes_seen_ < options_.remember) return;
   boxes_ = std::max(1, n);
   boxes_seen_ = now;
 }
 
 double RetryShare::Extra(Time now) const {
-  if (now - started_ < options_.settle) return 0;
+  if (now - started_ < options_.settle_time) return 0;
   return options_.extra / boxes_;
 }
 
@@ -63,16 +63,17 @@
   w.requests.push_back(now);
 }
 
-bool RetryShare::Take(Time now, const std::string& service, RetryNeed need) {
+bool RetryShare::Take(Time now, const std::string& service, RetryClass need) {
   Window& w = windows_[service];
   Forget(now, &w);
-  const bool first = need != RetryNeed::kOther;
+  const bool first = need != RetryClass::kOther;
   if (first && !w.borrowed.empty()) {
     w.borrowed.pop_front();
     w.taken.push_back(now);
     return true;
   }
-  const double bound = Bound(now, w) * (first ? 1 : 1 - options_.kept);
+  const double bound =
+      Bound(now, w) * (first ? 1 : 1 - options_.reserved_share);
   if (Number(w.retries) + Number(w.lent) + 1 > bound) {
     refused_[static_cast<int>(need)]++;
     if (first) w.lacked.push_back(now);
@@ -129,8 +130,8 @@
   // What it needed a moment ago it may need again.
   const auto lately =
       std::lower_bound(w.retries.begin(), w.retries.end(), now - options_.loan);
-  const double need =
-      options_.kept * bound + static_cast<double>(w.retries.end() - lately);
+  const double need = options_.reserved_share * bound +
+                      static_cast<double>(w.retries.end() - lately);
   const double over =
       std::min(EarnedForLoan(now, w) - used, bound - used - need);
   const int n = std::clamp(static_cast<int>(over), 0, std::max(0, most));
--- a/pinford/forwarding/retry_share.h
+++ b/pinford/forwarding/retry_share.h
@@ -45,15 +45,15 @@
 namespace pinford {
 
 // Who needs a retry.
-enum class RetryNeed {
+enum class RetryClass {
   kBegunStream,  // its caller has a part that it would have to throw away
   kUrgent,       // of the most urgent tier
   kOther,        // its caller is told at once, and can come back
 };
-inline constexpr RetryNeed kRetryNeeds[] = {
-    RetryNeed::kBegunStream, RetryNeed::kUrgent, RetryNeed::kOther};
+inline constexpr RetryClass kRetryClasses[] = {
+    RetryClass::kBegunStream, RetryClass::kUrgent, RetryClass::kOther};
 
-std::string_view RetryNeedName(RetryNeed need);
+std::string_view RetryClassName(RetryClass need);
 
 class RetryShare {
  public:
@@ -64,12 +64,12 @@
     // Part of the bound that is used: boxes' windows do not begin together,
     // and a box may think that there are fewer boxes than there are.
     double used = 0.8;
-    Duration settle = seconds(4);     // after the start, to hear of all boxes
-    Duration remember = seconds(60);  // the greatest number of boxes
+    Duration settle_time = seconds(4);  // after the start, to hear of all boxes
+    Duration remember = seconds(60);    // the greatest number of boxes
     // Part of the share kept for begun streams and urgent requests. It has to
     // last until a loan comes, for the streams that a lost runner cuts at one
     // box; a greater one would refuse others what nobody needs in most windows.
-    double kept = 0.25;
+    double reserved_share = 0.25;
     // A loan ends so long after the ask. A stream waits 2.5 s for a retry;
     // longer loans would be of little use to it and bind the lender for longer.
     Duration loan = seconds(1);
@@ -85,15 +85,15 @@
   void set_options(const Options& options) { options_ = options; }
   const Options& options() const { return options_; }
   // As many boxes live now, this one among them.
-  void OnBoxes(Time now, int n);
+  void OnBoxCount(Time now, int n);
   int boxes() const { return boxes_; }
 
   void OnRequest(Time now, const std::string& service);
   // Counts a retry if one may be sent now.
   bool Take(Time now, const std::string& service,
-            RetryNeed need = RetryNeed::kBegunStream);
+            RetryClass need = RetryClass::kBegunStream);
   int64_t refused() const;
-  int64_t refused(RetryNeed need) const {
+  int64_t refused(RetryClass need) const {
     return refused_[static_cast<int>(need)];
   }
 
@@ -140,7 +140,7 @@
   int boxes_ = 1;
   Time boxes_seen_{};
   std::map<std::string, Window> windows_;
-  int64_t refused_[std::size(kRetryNeeds)] = {};
+  int64_t refused_[std::size(kRetryClasses)] = {};
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/service_configuration.cc
+++ b/pinford/forwarding/service_configuration.cc
@@ -7,8 +7,8 @@
 namespace pinford {
 
 static constexpr EnumName<RequestKind> kRequestKindNames[] = {
-    {RequestKind::kRepeatable, "repeatable"},
-    {RequestKind::kOnce, "once"},
+    {RequestKind::kIdempotent, "repeatable"},
+    {RequestKind::kAtMostOnce, "once"},
     {RequestKind::kStream, "stream"},
 };
 
--- a/pinford/forwarding/service_configuration.h
+++ b/pinford/forwarding/service_configuration.h
@@ -20,8 +20,8 @@
 
 // What may be done with a request whose fate is unknown.
 enum class RequestKind {
-  kRepeatable,  // may run more than once
-  kOnce,        // runs at most once
+  kIdempotent,  // may run more than once
+  kAtMostOnce,  // runs at most once
   kStream,      // answered by a series of events
 };
 
@@ -36,7 +36,7 @@
   std::string name;
   std::string host;
   std::string prefix;  // of the path; begins and ends with '/'
-  RequestKind kind = RequestKind::kOnce;
+  RequestKind kind = RequestKind::kAtMostOnce;
   bool resumable = false;  // a stream may be taken up after its last event
   bool anonymous = false;  // needs no key
   Duration timeout = seconds(30);        // a request is held no longer
@@ -48,7 +48,7 @@
 
   // Whether a request that may have run may be sent again.
   bool may_repeat() const {
-    return kind == RequestKind::kRepeatable ||
+    return kind == RequestKind::kIdempotent ||
            (kind == RequestKind::kStream && resumable);
   }
 };
@@ -66,18 +66,18 @@
   std::string model;
   int layers = 1;
   double layer_mb = 0;
-  double token_bytes = 0;       // memory that one token takes in all layers
-  double crossing_seconds = 0;  // one token, the links between halls
-  double step_seconds = 0;      // one token, all layers, the reference kind
-  double prefill_per_s = 0;     // prompt tokens, all layers, the reference kind
+  double token_bytes = 0;  // memory that one token takes in all layers
+  double transfer_seconds_per_token = 0;  // one token, the links between halls
+  double step_seconds = 0;   // one token, all layers, the reference kind
+  double prefill_per_s = 0;  // prompt tokens, all layers, the reference kind
   // A pass of an engine plays so many steps of the streams that it has begun,
   // and reads at most so many tokens of prompts.
-  int steps_a_pass = 1;
-  int read_a_pass = 1;
-  double load_seconds = 0;  // to load all layers
-  int loads_at_once = 1;    // more at a time slow each other down
-  int usual_prompt = 0;     // tokens, on the mean
-  int usual_answer = 0;
+  int steps_per_pass = 1;
+  int prefill_tokens_per_pass = 1;
+  double load_seconds = 0;     // to load all layers
+  int concurrent_loads = 1;    // more at a time slow each other down
+  int mean_prompt_tokens = 0;  // tokens, on the mean
+  int mean_answer_tokens = 0;
   std::vector<AcceleratorKind> kinds;
 
   const AcceleratorKind* Kind(std::string_view name) const;
--- a/pinford/forwarding/source_roster.cc
+++ b/pinford/forwarding/source_selector.cc
@@ -1,4 +1,4 @@
-#include "pinford/forwarding/source_roster.h"
+#include "pinford/forwarding/source_selector.h"
 
 #include <algorithm>
 
@@ -6,18 +6,18 @@
 
 namespace pinford {
 
-bool SourceRoster::LeftOut(Time now, const std::string& address) const {
+bool SourceSelector::LeftOut(Time now, const std::string& address) const {
   const auto it = states_.find(address);
   return it != states_.end() && now < it->second.left_out_until;
 }
 
-bool SourceRoster::Failed(Time now, const std::string& address) const {
+bool SourceSelector::Failed(Time now, const std::string& address) const {
   const auto it = states_.find(address);
   return it != states_.end() && it->second.failed != Time::min() &&
          now - it->second.failed < options_.fails_for;
 }
 
-void SourceRoster::Refresh(Time now) {
+void SourceSelector::Refresh(Time now) {
   if (refreshed_ != Time::min() && now - refreshed_ < options_.refresh) return;
   refreshed_ = now;
   const MemberRow& self = membership_->self();
@@ -44,7 +44,8 @@
   Order(halls);
 }
 
-void SourceRoster::Order(const std::map<std::string_view, RankedBoxes>& halls) {
+void SourceSelector::Order(
+    const std::map<std::string_view, RankedBoxes>& halls) {
   const MemberRow& self = membership_->self();
   const size_t mirrors = options_.mirrors;
   sources_.clear();
@@ -67,26 +68,26 @@
   for (const auto& [weight, boxes] : far) add(*boxes, 1, mirrors);
 }
 
-int SourceRoster::rank(Time now) {
+int SourceSelector::rank(Time now) {
   Refresh(now);
   return rank_;
 }
 
-bool SourceRoster::stands_in(Time now) {
+bool SourceSelector::stands_in(Time now) {
   return first_fails(now) && rank_ < options_.mirrors;
 }
 
-int SourceRoster::hall_boxes(Time now) {
+int SourceSelector::hall_boxes(Time now) {
   Refresh(now);
   return unanswered_ >= options_.alone_after ? 1 : hall_boxes_;
 }
 
-bool SourceRoster::first_fails(Time now) {
+bool SourceSelector::first_fails(Time now) {
   Refresh(now);
   return rank_ > 0 && Failed(now, sources_.front());
 }
 
-std::string SourceRoster::Next(Time now) {
+std::string SourceSelector::Next(Time now) {
   Refresh(now);
   if (sources_.empty()) return "";
   const std::string& first = sources_.front();
@@ -100,8 +101,8 @@
   return sources_[1 + turn_ / 2 % (sources_.size() - 1)];
 }
 
-bool SourceRoster::OnAnswer(Time now, const std::string& address,
-                            SourceAnswer answer) {
+bool SourceSelector::OnAnswer(Time now, const std::string& address,
+                              SourceAnswer answer) {
   unanswered_ = answer == SourceAnswer::kSilent ? unanswered_ + 1 : 0;
   if (answer == SourceAnswer::kWell) {
     states_.erase(address);
--- a/pinford/forwarding/source_roster.h
+++ b/pinford/forwarding/source_selector.h
@@ -5,7 +5,7 @@
 // names. The first mirrors the store, the next ones stand in while it fails,
 // and all others ask it: the first of their hall, else the stand-ins, else
 // those of other halls. That bounds the calls to the store by the number of
-// halls, whatever fails (StoreDuty decides who calls).
+// halls, whatever fails (StoreTaskSelector decides who calls).
 //
 // A source fails when it says so, when its proof is old, or when it does not
 // answer. One that fails is asked each other time, so that its recovery shows.
@@ -17,8 +17,8 @@
 // Ranks differ while boxes see different members. Duties that are done twice do
 // no harm.
 
-#ifndef PINFORD_FORWARDING_SOURCE_ROSTER_H_
-#define PINFORD_FORWARDING_SOURCE_ROSTER_H_
+#ifndef PINFORD_FORWARDING_SOURCE_SELECTOR_H_
+#define PINFORD_FORWARDING_SOURCE_SELECTOR_H_
 
 #include <map>
 #include <string>
@@ -43,7 +43,7 @@
 // The first boxes of a hall, by their weight for the duty.
 using RankedBoxes = std::vector<std::pair<uint64_t, const MemberRow*>>;
 
-class SourceRoster {
+class SourceSelector {
  public:
   struct Options {
     // Boxes of a hall that may mirror the store: one, and its stand-ins. With
@@ -65,7 +65,7 @@
     Duration refresh = milliseconds(500);
   };
 
-  SourceRoster(const Membership* membership, const Options& options)
+  SourceSelector(const Membership* membership, const Options& options)
       : membership_(membership), options_(options) {}
 
   // Its rank in its hall, from 0, among the boxes that answer it.
@@ -108,4 +108,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_SOURCE_ROSTER_H_
+#endif  // PINFORD_FORWARDING_SOURCE_SELECTOR_H_
--- a/pinford/forwarding/stage_recovery.cc
+++ b/pinford/forwarding/stage_recovery.cc
@@ -23,10 +23,11 @@
 
 Duration TimeForAll(const RecoveryLoad& load) {
   if (load.tokens <= 0) return Duration(0);
-  if (load.read_per_s <= 0) return Duration::max();
-  const double read = load.tokens / load.read_per_s;
+  if (load.prefill_per_s <= 0) return Duration::max();
+  const double read = load.tokens / load.prefill_per_s;
   const double cross = std::max(0, load.more_crossings) * load.tokens *
-                       load.crossing_seconds / std::max(1, load.links);
+                       load.transfer_seconds_per_token /
+                       std::max(1, load.links);
   // Reading begins as tokens arrive, so that the slower of the two binds.
   return FromSeconds(std::max(read, cross));
 }
@@ -66,7 +67,7 @@
 
 static Recovery ChooseForSlow(const RecoveryFacts& f) {
   const bool kept = f.gap_if_kept <= Part(kKeptShare, f.allowed);
-  if (f.begun && kept) return {RecoveryMove::kStay, f.gap_if_kept};
+  if (f.started && kept) return {RecoveryMove::kStay, f.gap_if_kept};
   // What crosses between halls pays for all that its stream still has to say.
   const bool near = f.replace_all && f.more_crossings <= 0;
   if (!near) return {RecoveryMove::kStay, f.gap_if_kept};
--- a/pinford/forwarding/stage_recovery.h
+++ b/pinford/forwarding/stage_recovery.h
@@ -42,11 +42,13 @@
 
 // Streams that lose a stage together, as far as a box can know.
 struct RecoveryLoad {
-  double tokens = 0;       // of all streams of the stage, to be read again
-  double read_per_s = 0;   // tokens a second that the new stages read, together
+  double tokens = 0;  // of all streams of the stage, to be read again
+  double prefill_per_s =
+      0;                   // tokens a second that the new stages read, together
   int more_crossings = 0;  // hand-overs between halls beyond those before
-  double crossing_seconds = 0;  // a token takes of a link between two halls
-  int links = 1;                // that share what crosses
+  double transfer_seconds_per_token =
+      0;          // a token takes of a link between two halls
+  int links = 1;  // that share what crosses
 };
 
 // Until all streams of the load have been taken up; Duration::max() if they
@@ -58,11 +60,11 @@
 double PlaceOf(double draw, Tier tier);
 
 struct RecoveryFacts {
-  bool down = false;   // the stage does not answer; else it is slow
-  bool begun = false;  // events have passed
-  Duration allowed{};  // longest pause between events; of one that has not
-                       // begun, until its first event
-  Duration silent{};   // since the last event
+  bool down = false;     // the stage does not answer; else it is slow
+  bool started = false;  // events have passed
+  Duration allowed{};    // longest pause between events; of one that has not
+                         // begun, until its first event
+  Duration silent{};     // since the last event
   // Gap between events that the chain as it is lets expect.
   Duration gap_if_kept{};
   // Until all streams concerned have new stages (TimeForAll); nothing if
--- a/pinford/forwarding/start_queue.h
+++ b/pinford/forwarding/start_queue.h
@@ -23,7 +23,7 @@
 struct StartQueueOptions {
   // A question to a seed, or to the store, and its answer take 10 to 30 ms; the
   // strictest latency that callers ask for is 120 ms.
-  Duration longest = milliseconds(100);
+  Duration max_wait = milliseconds(100);
   // Bounds memory: 800 bytes each on the mean, 4 MB at the very most.
   size_t most = 256;
 };
@@ -43,7 +43,7 @@
   std::vector<Item> TakeOverdue(Time now) {
     std::vector<Item> out;
     while (!waiting_.empty() &&
-           now - waiting_.front().first >= options_.longest) {
+           now - waiting_.front().first >= options_.max_wait) {
       out.push_back(std::move(waiting_.front().second));
       waiting_.pop_front();
     }
--- a/pinford/forwarding/peers_first.h
+++ b/pinford/forwarding/startup_peer_check.h
@@ -8,26 +8,26 @@
 // has answered, which then has told of a higher one if it has it, or once none
 // has for a while: where all boxes start together nobody is there to ask.
 
-#ifndef PINFORD_FORWARDING_PEERS_FIRST_H_
-#define PINFORD_FORWARDING_PEERS_FIRST_H_
+#ifndef PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
+#define PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
 
 #include "util/clock.h"
 
 namespace pinford {
 
-class PeersFirst {
+class StartupPeerCheck {
  public:
   // A seed that is there answers the first question within 30 ms of the start;
   // callers wait for 100 ms (StartQueueOptions::longest).
   static constexpr Duration kPatience = milliseconds(60);
 
   // `has_peers`: this box knows whom to ask.
-  PeersFirst(Time started, bool has_peers)
+  StartupPeerCheck(Time started, bool has_peers)
       : started_(started), over_(!has_peers) {}
 
   // A peer has told what it has, if only that it has nothing.
   void OnAnswer() { over_ = true; }
-  bool Over(Time now) const { return over_ || now - started_ >= kPatience; }
+  bool Done(Time now) const { return over_ || now - started_ >= kPatience; }
 
  private:
   Time started_;
@@ -36,4 +36,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_PEERS_FIRST_H_
+#endif  // PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
--- a/pinford/forwarding/store_duty.cc
+++ b/pinford/forwarding/store_task_selector.cc
@@ -1,4 +1,4 @@
-#include "pinford/forwarding/store_duty.h"
+#include "pinford/forwarding/store_task_selector.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,35 +10,37 @@
 static constexpr EnumName<StoreTask> kStoreTaskNames[] = {
     {StoreTask::kNone, "none"},        {StoreTask::kMirror, "mirror"},
     {StoreTask::kStandIn, "stand_in"}, {StoreTask::kPlan, "plan"},
-    {StoreTask::kLook, "look"},
+    {StoreTask::kReadOnce, "look"},
 };
 
 std::string_view StoreTaskName(StoreTask t) {
   return NameIn(kStoreTaskNames, t);
 }
 
-bool StoreDuty::Lacks(Time now, Time proof) const {
-  if (proof == Time{}) return now - started_ >= options_.first_look;
-  return now - proof > options_.look_after;
+bool StoreTaskSelector::Lacks(Time now, Time fresh_as_of) const {
+  if (fresh_as_of == Time{}) return now - started_ >= options_.first_look;
+  return now - fresh_as_of > options_.look_after;
 }
 
-Duration StoreDuty::Pause(double least, double most, int hall_boxes) {
+Duration StoreTaskSelector::Pause(double least, double most, int hall_boxes) {
   const double boxes = static_cast<double>(hall_boxes) / options_.looks_of_hall;
   std::uniform_real_distribution<double> part(least, most);
   return FromSeconds(ToSeconds(options_.look_pause) * std::max(1.0, boxes) *
                      part(random_));
 }
 
-StoreTask StoreDuty::Now(Time now, Time proof, SourceRoster* roster) {
+StoreTask StoreTaskSelector::ChooseTask(Time now, Time fresh_as_of,
+                                        SourceSelector* roster) {
   const bool joined = seed_ || now - started_ >= options_.join;
   if (joined && roster->rank(now) == 0) return StoreTask::kMirror;
   if (joined && roster->stands_in(now)) return StoreTask::kStandIn;
   if (plans_) return StoreTask::kPlan;
   const bool may_look = now - started_ >= options_.look_for_caller;
-  if (proof == Time{} && may_look && std::exchange(caller_waits_, false)) {
-    return StoreTask::kLook;
+  if (fresh_as_of == Time{} && may_look &&
+      std::exchange(caller_waits_, false)) {
+    return StoreTask::kReadOnce;
   }
-  if (!Lacks(now, proof)) {
+  if (!Lacks(now, fresh_as_of)) {
     next_look_ = Time::max();
     return StoreTask::kNone;
   }
@@ -51,7 +53,7 @@
   if (now < next_look_) return StoreTask::kNone;
   next_look_ = now + Pause(0.5, 1.5, boxes);
   drawn_for_ = boxes;
-  return StoreTask::kLook;
+  return StoreTask::kReadOnce;
 }
 
 }  // namespace pinford
--- a/pinford/forwarding/store_duty.h
+++ b/pinford/forwarding/store_task_selector.h
@@ -1,7 +1,7 @@
 // When a box calls the platform's store, and why.
 //
 // The first of a hall mirrors the store; two stand in while it fails
-// (SourceRoster). The one box that plans the pools mirrors it too. Any other
+// (SourceSelector). The one box that plans the pools mirrors it too. Any other
 // box looks at the store itself only when nobody whom it asks has had a fresh
 // proof for long, and then by chance: the looks of a hall together are a few a
 // second, however many boxes it has. So calls grow with the halls and not with
@@ -20,12 +20,12 @@
 //
 // No I/O; the caller acts on what Now says.
 
-#ifndef PINFORD_FORWARDING_STORE_DUTY_H_
-#define PINFORD_FORWARDING_STORE_DUTY_H_
+#ifndef PINFORD_FORWARDING_STORE_TASK_SELECTOR_H_
+#define PINFORD_FORWARDING_STORE_TASK_SELECTOR_H_
 
 #include <string_view>
 
-#include "pinford/forwarding/source_roster.h"
+#include "pinford/forwarding/source_selector.h"
 #include "util/clock.h"
 #include "util/hash.h"
 
@@ -33,10 +33,10 @@
 
 enum class StoreTask {
   kNone,
-  kMirror,   // the first of its hall
-  kStandIn,  // the first of its hall fails
-  kPlan,     // it plans the pools, whatever its rank
-  kLook,     // nobody has had a fresh proof for long: one look now
+  kMirror,    // the first of its hall
+  kStandIn,   // the first of its hall fails
+  kPlan,      // it plans the pools, whatever its rank
+  kReadOnce,  // nobody has had a fresh proof for long: one look now
 };
 
 std::string_view StoreTaskName(StoreTask t);
@@ -47,7 +47,7 @@
          t == StoreTask::kPlan;
 }
 
-class StoreDuty {
+class StoreTaskSelector {
  public:
   struct Options {
     // A box that has just started leaves mirroring to the seeds for so long
@@ -70,7 +70,8 @@
     int looks_of_hall = 2;
   };
 
-  StoreDuty(Time started, bool seed, const Options& options, Random random)
+  StoreTaskSelector(Time started, bool seed, const Options& options,
+                    Random random)
       : started_(started), seed_(seed), options_(options), random_(random) {}
 
   // Whether this box plans the pools. Who does goes by the store's own list:
@@ -79,7 +80,7 @@
 
   // What falls on this box now. `proof` is when what it has was the newest for
   // sure, Time{} if it has nothing.
-  StoreTask Now(Time now, Time proof, SourceRoster* roster);
+  StoreTask ChooseTask(Time now, Time fresh_as_of, SourceSelector* roster);
   // A caller waits for this box, which has nothing yet. Returns when Now may
   // therefore name a look.
   Time OnCallerWaiting() {
@@ -89,7 +90,7 @@
 
  private:
   // Whether nobody has had a proof for this box for too long.
-  bool Lacks(Time now, Time proof) const;
+  bool Lacks(Time now, Time fresh_as_of) const;
   Duration Pause(double least, double most, int hall_boxes);
 
   Time started_;
@@ -104,4 +105,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_STORE_DUTY_H_
+#endif  // PINFORD_FORWARDING_STORE_TASK_SELECTOR_H_
--- a/pinford/forwarding/upstream_client.cc
+++ b/pinford/forwarding/upstream_client.cc
@@ -14,8 +14,8 @@
     {UpstreamEnd::kRefused, "connection refused"},
     {UpstreamEnd::kWithdrawn, "withdrawn"},
     {UpstreamEnd::kBroken, "connection broken"},
-    {UpstreamEnd::kCut, "answer cut"},
-    {UpstreamEnd::kGarbage, "not http"},
+    {UpstreamEnd::kTruncated, "answer cut"},
+    {UpstreamEnd::kMalformed, "not http"},
 };
 
 std::string_view UpstreamEndName(UpstreamEnd e) {
@@ -60,7 +60,7 @@
   // The one that rested least is the least likely to be closed by now.
   while (!kept.empty()) {
     Idle last = std::move(kept.back());
-    if (now - last.since > request.max_rest) {
+    if (now - last.since > request.max_idle_time) {
       kept.back() = std::move(last);
       return nullptr;
     }
@@ -134,7 +134,8 @@
   for (;;) {
     const HttpReader::State state = x->reader.state();
     if (state == HttpReader::State::kFailed) {
-      Finish(x, x->head_given ? UpstreamEnd::kCut : UpstreamEnd::kGarbage);
+      Finish(x,
+             x->head_given ? UpstreamEnd::kTruncated : UpstreamEnd::kMalformed);
       return;
     }
     if (state == HttpReader::State::kHead) return;
@@ -180,7 +181,7 @@
       if (x->over) return;
     }
   }
-  Finish(x, x->head_given ? UpstreamEnd::kCut : UpstreamEnd::kBroken);
+  Finish(x, x->head_given ? UpstreamEnd::kTruncated : UpstreamEnd::kBroken);
 }
 
 void UpstreamClient::Finish(const std::shared_ptr<Exchange>& x,
@@ -255,7 +256,7 @@
   std::erase_if(idle_, [](const auto& e) { return e.second.empty(); });
 }
 
-void UpstreamClient::Forget(const std::string& endpoint) {
+void UpstreamClient::DropConnections(const std::string& endpoint) {
   idle_.erase(endpoint);
   for (auto& [id, x] : exchanges_) {
     if (x->request.endpoint == endpoint) x->reusable = false;
--- a/pinford/forwarding/upstream_client.h
+++ b/pinford/forwarding/upstream_client.h
@@ -37,8 +37,8 @@
   kRefused,    // no connection could be made: nothing was sent
   kWithdrawn,  // before_send said no: nothing was sent
   kBroken,     // the connection ended after sending, without an answer
-  kCut,        // it ended within the answer
-  kGarbage,    // what came is no HTTP, or too large
+  kTruncated,  // it ended within the answer
+  kMalformed,  // what came is no HTTP, or too large
 };
 
 std::string_view UpstreamEndName(UpstreamEnd e);
@@ -50,7 +50,7 @@
   std::string id;          // what the answer's id header must hold
   bool head_only = false;  // a HEAD request: its answer has no body
   // Kept connections that rested for longer are not used for it.
-  Duration max_rest = seconds(60);
+  Duration max_idle_time = seconds(60);
   Duration connect_limit = milliseconds(400);
 };
 
@@ -90,7 +90,7 @@
   void Pause(UpstreamId id, bool paused);
   // Closes the kept connections of an endpoint that is gone or has started
   // anew, and keeps none that is in use now.
-  void Forget(const std::string& endpoint);
+  void DropConnections(const std::string& endpoint);
 
   int64_t connects() const { return connects_; }
   size_t in_progress() const { return exchanges_.size(); }
--- a/pinford/forwarding/whole_list.h
+++ b/pinford/forwarding/whole_list.h
@@ -26,7 +26,7 @@
     uint64_t version = 0;  // of the store's list
     uint64_t at = 0;       // by the box's own count of changes
     uint64_t state = 0;    // grows with each entry that is taken or dropped
-    Time proof{};          // when that version was known to be the newest
+    Time fresh_as_of{};    // when that version was known to be the newest
   };
   // One is made anew after so many times the time that it took to make: a fifth
   // of the box's time goes to it at most.
--- a/pinford/gossip.cc
+++ b/pinford/gossip.cc
@@ -41,13 +41,13 @@
   SendAll(membership_->Announce());
 }
 
-void Gossip::Tell(const DownNote& note, size_t peers) {
+void Gossip::SendFailureNotice(const DownNote& note, size_t peers) {
   for (const std::string& to : membership_->SomeLive(loop_->now(), peers)) {
     link_.Send(to, note);
   }
 }
 
-void Gossip::Ask(std::vector<RetryAsk> asks) {
+void Gossip::SendRetryRequests(std::vector<RetryAsk> asks) {
   const std::vector<std::string> peers =
       membership_->SomeLive(loop_->now(), asks.size());
   for (size_t i = 0; i < peers.size(); i++) {
--- a/pinford/gossip.h
+++ b/pinford/gossip.h
@@ -45,9 +45,9 @@
   // Tells the peers at once what cannot wait.
   void Announce();
   // Tells `peers` live members, any of them.
-  void Tell(const DownNote& note, size_t peers);
+  void SendFailureNotice(const DownNote& note, size_t peers);
   // Sends each of these to another live member, any of them.
-  void Ask(std::vector<RetryAsk> asks);
+  void SendRetryRequests(std::vector<RetryAsk> asks);
   // Notices members that were lost, and asks for those that are not known.
   // Call it often.
   void Tick();
--- a/pinford/hall_planner.h
+++ b/pinford/hall_planner.h
@@ -54,7 +54,7 @@
 
 struct HallPlannerEvents {
   std::function<HallView()> view;
-  std::function<bool()> on_duty;                 // whether to try for the lease
+  std::function<bool()> is_candidate;            // whether to try for the lease
   std::function<void(uint64_t token)> on_lease;  // 0: lost
   std::function<void(const std::string& runner, const Order&)> on_order;
 };
@@ -89,7 +89,7 @@
   }
 
   void Round() {
-    if (!holds_lease() && !events_.on_duty()) {
+    if (!holds_lease() && !events_.is_candidate()) {
       Again();
       return;
     }
@@ -122,7 +122,7 @@
       }
       if (plan.token > lease_.token()) {
         // Another has planned since: this lease is of the past.
-        lease_.Forget();
+        lease_.Abandon();
         Again();
         return;
       }
@@ -214,7 +214,7 @@
     if (events_.on_order) events_.on_order(runner, order);
     client_->SendOrder(runner, order, options_.order_limit,
                        [this](OrderStatus status) {
-                         if (status == OrderStatus::kFenced) lease_.Forget();
+                         if (status == OrderStatus::kFenced) lease_.Abandon();
                          Again();
                        });
   }
--- a/pinford/http_server.h
+++ b/pinford/http_server.h
@@ -68,7 +68,9 @@
   size_t unsent() const;
 
   // Called once if the caller goes away before the answer is finished.
-  void set_on_hang_up(std::function<void()> fn) { on_hang_up_ = std::move(fn); }
+  void set_on_disconnect(std::function<void()> fn) {
+    on_hang_up_ = std::move(fn);
+  }
 
  private:
   friend class HttpServer;
--- a/pinford/lease_holder.h
+++ b/pinford/lease_holder.h
@@ -52,7 +52,7 @@
   }
   // Another has been seen at work under a higher token, or the store has lost
   // what it acknowledged. A renewal that is under way counts no more.
-  void Forget() {
+  void Abandon() {
     forgotten_++;
     SetToken(0);
   }
--- a/pinford/mechanisms.cc
+++ b/pinford/mechanisms.cc
@@ -5,28 +5,28 @@
 namespace pinford {
 
 static constexpr EnumName<Mechanism> kMechanismNames[] = {
-    {Mechanism::kEntrySlots, "entry_slots"},
+    {Mechanism::kFirstStageSlots, "entry_slots"},
     {Mechanism::kPeerCounts, "peer_counts"},
-    {Mechanism::kObservedRoom, "observed_room"},
-    {Mechanism::kRoomBound, "room_bound"},
-    {Mechanism::kReadingAccount, "reading_account"},
-    {Mechanism::kCrossingAccount, "crossing_account"},
+    {Mechanism::kObservedMemory, "observed_room"},
+    {Mechanism::kMemoryLimit, "room_bound"},
+    {Mechanism::kPrefillLoad, "reading_account"},
+    {Mechanism::kTransferLoad, "crossing_account"},
     {Mechanism::kLinkPairs, "link_pairs"},
-    {Mechanism::kPacePrice, "pace_price"},
-    {Mechanism::kServeAtNeed, "serve_at_need"},
-    {Mechanism::kSilenceWatch, "silence_watch"},
+    {Mechanism::kSlowdownCost, "pace_price"},
+    {Mechanism::kLastResort, "serve_at_need"},
+    {Mechanism::kIdleProbe, "silence_watch"},
     {Mechanism::kStageReplacement, "stage_replacement"},
     {Mechanism::kResume, "resume"},
-    {Mechanism::kLostAtOnce, "lost_at_once"},
-    {Mechanism::kLoadSteps, "load_steps"},
-    {Mechanism::kMoves, "moves"},
-    {Mechanism::kFailureNews, "failure_news"},
-    {Mechanism::kSpreadPrice, "spread_price"},
+    {Mechanism::kSkipUnresponsive, "lost_at_once"},
+    {Mechanism::kIncrementalLoad, "load_steps"},
+    {Mechanism::kRunnerMoves, "moves"},
+    {Mechanism::kFailureGossip, "failure_news"},
+    {Mechanism::kSpeedWeight, "spread_price"},
     {Mechanism::kTimedRecovery, "timed_recovery"},
-    {Mechanism::kWaitingPrompts, "waiting_prompts"},
+    {Mechanism::kPrefillBacklog, "waiting_prompts"},
     {Mechanism::kRetryLoans, "retry_loans"},
-    {Mechanism::kMoveAtRestart, "move_at_restart"},
-    {Mechanism::kTakeOverAsk, "take_over_ask"},
+    {Mechanism::kMoveOnRestart, "move_at_restart"},
+    {Mechanism::kTakeoverProbe, "take_over_ask"},
 };
 static_assert(std::size(kMechanismNames) == kMechanisms);
 
@@ -38,10 +38,10 @@
   return NameIn(kMechanismNames, m);
 }
 
-std::string MechanismsOff::ToString() const {
+std::string MechanismSwitches::ToString() const {
   std::string text;
   for (const auto& row : kMechanismNames) {
-    if (on(row.value)) continue;
+    if (enabled(row.value)) continue;
     if (!text.empty()) text += ' ';
     text += row.name;
   }
--- a/pinford/mechanisms.h
+++ b/pinford/mechanisms.h
@@ -15,28 +15,28 @@
 namespace pinford {
 
 enum class Mechanism {
-  kEntrySlots,        // first stages are priced and bounded by their slots
+  kFirstStageSlots,   // first stages are priced and bounded by their slots
   kPeerCounts,        // what peers have on runners counts
-  kObservedRoom,      // what runners say they hold corrects the account
-  kRoomBound,         // runners without room are left out
-  kReadingAccount,    // runners are priced by the prompts sent to them
-  kCrossingAccount,   // links between halls are priced by what crosses them
+  kObservedMemory,    // what runners say they hold corrects the account
+  kMemoryLimit,       // runners without room are left out
+  kPrefillLoad,       // runners are priced by the prompts sent to them
+  kTransferLoad,      // links between halls are priced by what crosses them
   kLinkPairs,         // each pair of halls has a link of its own
-  kPacePrice,         // slow runners are priced by their pace
-  kServeAtNeed,       // runners that rest serve where no other can
-  kSilenceWatch,      // runners that fall silent are asked
+  kSlowdownCost,      // slow runners are priced by their pace
+  kLastResort,        // runners that rest serve where no other can
+  kIdleProbe,         // runners that fall silent are asked
   kStageReplacement,  // stages that are down or slow are replaced
   kResume,            // streams that break or stand still are taken up
-  kLostAtOnce,        // runners that do not answer are not planned with
-  kLoadSteps,         // large ranges are loaded in steps
-  kMoves,             // runners are moved to layers that are short
-  kFailureNews,       // boxes tell each other of runners that are down
-  kSpreadPrice,       // a runner's speed counts by what events take
+  kSkipUnresponsive,  // runners that do not answer are not planned with
+  kIncrementalLoad,   // large ranges are loaded in steps
+  kRunnerMoves,       // runners are moved to layers that are short
+  kFailureGossip,     // boxes tell each other of runners that are down
+  kSpeedWeight,       // a runner's speed counts by what events take
   kTimedRecovery,     // what becomes of streams goes by the time it takes
-  kWaitingPrompts,    // runners are priced by the prompts that wait there
+  kPrefillBacklog,    // runners are priced by the prompts that wait there
   kRetryLoans,        // boxes lend each other retries
-  kMoveAtRestart,     // what ran on a runner that starts anew moves at once
-  kTakeOverAsk,       // a planner that takes over asks empty runners first
+  kMoveOnRestart,     // what ran on a runner that starts anew moves at once
+  kTakeoverProbe,     // a planner that takes over asks empty runners first
 };
 inline constexpr int kMechanisms = 22;
 
@@ -44,10 +44,10 @@
 std::string_view MechanismName(Mechanism m);
 
 // Which of them are switched off.
-class MechanismsOff {
+class MechanismSwitches {
  public:
   void Add(Mechanism m) { off_.set(static_cast<size_t>(m)); }
-  bool on(Mechanism m) const { return !off_.test(static_cast<size_t>(m)); }
+  bool enabled(Mechanism m) const { return !off_.test(static_cast<size_t>(m)); }
   // Their names with a space between, for the log; "" for none.
   std::string ToString() const;
 
--- a/pinford/membership.cc
+++ b/pinford/membership.cc
@@ -308,7 +308,7 @@
   return lost;
 }
 
-bool Membership::OnDuty(Time now, const std::string& duty, int count) const {
+bool Membership::IsElected(Time now, const std::string& duty, int count) const {
   const uint64_t own = RendezvousWeight(self_.name, duty);
   int before = 0;
   for (const auto& [name, m] : members_) {
--- a/pinford/membership.h
+++ b/pinford/membership.h
@@ -85,7 +85,7 @@
   void set_load(uint32_t running, uint32_t waiting);
   void set_leaving_endpoints(std::vector<LeavingMark> marks);
   // How old this box's proof is that its configuration is the newest.
-  void set_proof_age(Duration age) { proof_age_ = age; }
+  void set_freshness_age(Duration age) { proof_age_ = age; }
 
   // The digest to send now and the time until the next call. `size` tells
   // how many bytes a digest takes.
@@ -129,7 +129,7 @@
   // Whether this box is one of the `count` of its hall that `duty` falls to,
   // by rendezvous hashing over the live members it sees. Boxes that see
   // different members may both think so: duties are harmless when doubled.
-  bool OnDuty(Time now, const std::string& duty, int count) const;
+  bool IsElected(Time now, const std::string& duty, int count) const;
   // Addresses of the seeds, without this box's own.
   const std::vector<std::string>& other_seeds() const { return other_seeds_; }
   // Addresses of up to `count` live members of any hall, drawn at random.
--- a/pinford/once_call.h
+++ b/pinford/once_call.h
@@ -279,7 +279,8 @@
   void OnResult(CallResult r) {
     call_id_ = 0;
     table_->OnDone(endpoint_);
-    if (r.rest) table_->OnRestAsked(clock_->now(), endpoint_, *r.rest);
+    if (r.backoff)
+      table_->OnBackoffRequested(clock_->now(), endpoint_, *r.backoff);
     switch (r.status) {
       case CallStatus::kAnswered:
         table_->OnSuccess(endpoint_, 1, clock_->now() - sent_at_);
--- a/pinford/plain_client.cc
+++ b/pinford/plain_client.cc
@@ -35,7 +35,7 @@
   return http_->Send(std::move(out), [fn = std::move(fn)](HttpResult r) {
     CallResult result;
     result.status = StatusOf(r);
-    result.rest = RestAsked(r.status, r.header("Retry-After"));
+    result.backoff = RequestedBackoff(r.status, r.header("Retry-After"));
     result.http_status = r.status;
     result.type = r.type();
     result.body = std::move(r.body);
