--- a/pinford/pool_capacity.cc
+++ b/pinford/pool_capacity.cc
@@ -10,18 +10,19 @@
   // An account over 1 says that prompts wait, not that none is read.
   constexpr double kLeastFree = 0.05;
   const LoadReport& report = *row.report;
-  const double a_token =
-      report.read_seconds * report.holds.size() * std::max(1.0, row.pace);
+  const double a_token = report.prefill_seconds * report.holds.size() *
+                         std::max(1.0, row.slowdown);
   if (a_token <= 0) return 0;
-  const double reading = table.ReadingOf(now, row.listed.name);
+  const double reading = table.PrefillLoadOf(now, row.listed.name);
   return std::max(kLeastFree, 1 - reading) / a_token;
 }
 
 static double FreeRoom(Time now, const EndpointTable& table,
                        const EndpointTable::Row& row) {
   const LoadReport& report = *row.report;
-  const double taken = table.TakenOf(now, row.listed.name);
-  return std::max(0.0, 1 - taken) * report.room / report.holds.size();
+  const double taken = table.MemoryUtilizationOf(now, row.listed.name);
+  return std::max(0.0, 1 - taken) * report.memory_capacity /
+         report.holds.size();
 }
 
 PoolCapacity::PoolCapacity(Time now, const EndpointTable& table,
@@ -35,12 +36,12 @@
     hall.resize(layers_);
     if (report.holds.empty() || !table.TakesNewWork(now, name)) continue;
     const double reads = FreeReading(now, table, row);
-    const double room = FreeRoom(now, table, row);
+    const double memory_capacity = FreeRoom(now, table, row);
     const int end = std::min(report.holds.end, layers_);
     for (int l = report.holds.begin; l < end; l++) {
       hall[l].holders++;
-      hall[l].read_per_s += reads;
-      hall[l].free_room += room;
+      hall[l].prefill_per_s += reads;
+      hall[l].free_memory += memory_capacity;
     }
   }
 }
@@ -51,8 +52,8 @@
   return names;
 }
 
-PoolCapacity::Layer PoolCapacity::LeastOf(const std::string& hall,
-                                          const LayerRange& range) const {
+PoolCapacity::Layer PoolCapacity::MinOverLayers(const std::string& hall,
+                                                const LayerRange& range) const {
   const auto it = halls_.find(hall);
   if (it == halls_.end() || range.empty()) return {};
   const int end = std::min(range.end, layers_);
@@ -61,23 +62,23 @@
   for (int l = range.begin + 1; l < end; l++) {
     const Layer& layer = it->second[l];
     least.holders = std::min(least.holders, layer.holders);
-    least.read_per_s = std::min(least.read_per_s, layer.read_per_s);
-    least.free_room = std::min(least.free_room, layer.free_room);
+    least.prefill_per_s = std::min(least.prefill_per_s, layer.prefill_per_s);
+    least.free_memory = std::min(least.free_memory, layer.free_memory);
   }
   return least;
 }
 
-PoolCapacity::Layer PoolCapacity::LeastOf(const std::string& hall) const {
-  return LeastOf(hall, {0, layers_});
+PoolCapacity::Layer PoolCapacity::MinOverLayers(const std::string& hall) const {
+  return MinOverLayers(hall, {0, layers_});
 }
 
-int PoolCapacity::ShortestLayer(const std::string& hall) const {
+int PoolCapacity::BottleneckLayer(const std::string& hall) const {
   const auto it = halls_.find(hall);
   if (it == halls_.end()) return 0;
-  const auto least = std::min_element(it->second.begin(), it->second.end(),
-                                      [](const Layer& a, const Layer& b) {
-                                        return a.read_per_s < b.read_per_s;
-                                      });
+  const auto least = std::min_element(
+      it->second.begin(), it->second.end(), [](const Layer& a, const Layer& b) {
+        return a.prefill_per_s < b.prefill_per_s;
+      });
   return static_cast<int>(least - it->second.begin());
 }
 
--- a/pinford/pool_capacity.h
+++ b/pinford/pool_capacity.h
@@ -27,9 +27,9 @@
  public:
   // What the holders of one layer in one hall can take together.
   struct Layer {
-    int holders = 0;        // that take new work
-    double read_per_s = 0;  // tokens of prompts, beside what is sent already
-    double free_room = 0;   // memory, thousands of tokens
+    int holders = 0;           // that take new work
+    double prefill_per_s = 0;  // tokens of prompts, beside what is sent already
+    double free_memory = 0;    // memory, thousands of tokens
   };
 
   PoolCapacity(Time now, const EndpointTable& table, const std::string& model,
@@ -39,11 +39,11 @@
   std::vector<std::string> halls() const;
   // The least of each figure over the layers of `range` in `hall`; zeros for a
   // hall without runners.
-  Layer LeastOf(const std::string& hall, const LayerRange& range) const;
+  Layer MinOverLayers(const std::string& hall, const LayerRange& range) const;
   // The same over all layers of the model.
-  Layer LeastOf(const std::string& hall) const;
+  Layer MinOverLayers(const std::string& hall) const;
   // The layer of `hall` whose holders read least.
-  int ShortestLayer(const std::string& hall) const;
+  int BottleneckLayer(const std::string& hall) const;
 
  private:
   Time as_of_;
--- a/pinford/retry_after.cc
+++ b/pinford/retry_after.cc
@@ -24,7 +24,8 @@
   return FromSeconds(std::min(value, kMostSeconds));
 }
 
-std::optional<Duration> RestAsked(int status, std::string_view retry_after) {
+std::optional<Duration> RequestedBackoff(int status,
+                                         std::string_view retry_after) {
   constexpr int kTooMany = 429;
   constexpr int kUnavailable = 503;
   if (status != kTooMany && status != kUnavailable) return std::nullopt;
--- a/pinford/retry_after.h
+++ b/pinford/retry_after.h
@@ -17,7 +17,8 @@
 
 // For how long an endpoint that answers so wants no more requests: 503 and 429
 // turn the request away; with other answers the header means something else.
-std::optional<Duration> RestAsked(int status, std::string_view retry_after);
+std::optional<Duration> RequestedBackoff(int status,
+                                         std::string_view retry_after);
 
 }  // namespace pinford
 
--- a/pinford/retry_budget.h
+++ b/pinford/retry_budget.h
@@ -19,12 +19,12 @@
   struct Options {
     double per_success = 0.1;  // earned by each success
     double per_second = 20;    // earned by time
-    double most = 400;         // kept at most; also the start
+    double max_retries = 400;  // kept at most; also the start
   };
 
   RetryBudget() : RetryBudget(Options()) {}
   explicit RetryBudget(const Options& options)
-      : options_(options), held_(options.most) {}
+      : options_(options), held_(options.max_retries) {}
 
   void OnSuccess();
   // Takes one retry if there is one.
--- a/pinford/runner_price.cc
+++ b/pinford/runner_cost.cc
@@ -1,4 +1,4 @@
-#include "pinford/runner_price.h"
+#include "pinford/runner_cost.h"
 
 #include <algorithm>
 #include <cmath>
@@ -33,7 +33,7 @@
   const double free = std::max(kLeastFree, 1 - load.taken);
   // Squared: a slow one holds up all that waits behind it, too.
   const double queue = QueueFactor(load.waiting);
-  return idle * load.pace * load.pace * queue / (waits * free);
+  return idle * load.slowdown * load.slowdown * queue / (waits * free);
 }
 
 double EntrySlotPrice(double entries, int slots) {
--- a/pinford/runner_price.h
+++ b/pinford/runner_cost.h
@@ -13,8 +13,8 @@
 // quarter of it or more, slower chains are late by themselves, and hold memory
 // for longer.
 
-#ifndef PINFORD_RUNNER_PRICE_H_
-#define PINFORD_RUNNER_PRICE_H_
+#ifndef PINFORD_RUNNER_COST_H_
+#define PINFORD_RUNNER_COST_H_
 
 namespace pinford {
 
@@ -29,7 +29,7 @@
 // What is known of a runner when it is priced.
 struct RunnerLoad {
   double idle_seconds = 0;  // for a layer of one token, without load
-  double pace = 1;          // so many times as long as it should
+  double slowdown = 1;      // so many times as long as it should
   double reading = 0;       // part of its time that goes to reading prompts
   double taken = 0;         // part of its room that is taken
   double waiting = 0;       // seconds that what waits to be read there takes
@@ -51,4 +51,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_RUNNER_PRICE_H_
+#endif  // PINFORD_RUNNER_COST_H_
--- a/pinford/service_client.h
+++ b/pinford/service_client.h
@@ -36,7 +36,7 @@
 
 struct CallResult {
   CallStatus status = CallStatus::kLost;
-  std::optional<Duration> rest;  // that a refusing service asks for
+  std::optional<Duration> backoff;  // that a refusing service asks for
   int http_status = 0;
   std::string type;
   std::string body;
--- a/pinford/settings.cc
+++ b/pinford/settings.cc
@@ -146,7 +146,7 @@
 static std::string Off(const std::string& text, Settings* s) {
   const std::optional<Mechanism> m = MechanismNamed(text);
   if (!m) return "is no mechanism's name (docs/OPERATIONS.md lists them)";
-  s->off.Add(*m);
+  s->mechanisms.Add(*m);
   return "";
 }
 
--- a/pinford/settings.h
+++ b/pinford/settings.h
@@ -71,8 +71,8 @@
   double retry_ratio = 0.2;
   double retry_extra = 100;
   Duration retry_window = seconds(10);
-  int max_connections = 3500;  // of callers
-  MechanismsOff off;           // what is switched off for a measurement
+  int max_connections = 3500;    // of callers
+  MechanismSwitches mechanisms;  // what is switched off for a measurement
 };
 
 // Settings from YAML text; `file` names it in findings. Nothing if there is
--- a/pinford/step_client.h
+++ b/pinford/step_client.h
@@ -33,15 +33,15 @@
 struct StepResult {
   StepStatus status = StepStatus::kLost;
   StepReply reply;
-  std::string error;             // of kRejected: what is wrong
-  std::optional<Duration> rest;  // that a refusing engine asks for
+  std::string error;                // of kRejected: what is wrong
+  std::optional<Duration> backoff;  // that a refusing engine asks for
 };
 
 struct TokenizeResult {
   StepStatus status = StepStatus::kLost;
   std::vector<int> tokens;
   std::string error;
-  std::optional<Duration> rest;
+  std::optional<Duration> backoff;
 };
 
 // Sends to engines. Callbacks come later, never from within the call, and not
--- a/pinford/store.cc
+++ b/pinford/store.cc
@@ -11,7 +11,7 @@
     {StoreStatus::kTimeout, "nothing new"},
     {StoreStatus::kNotSent, "not sent"},
     {StoreStatus::kUnknown, "no reply"},
-    {StoreStatus::kForgotten, "history forgotten"},
+    {StoreStatus::kCompacted, "history forgotten"},
     {StoreStatus::kRefused, "refused"},
 };
 
--- a/pinford/store.h
+++ b/pinford/store.h
@@ -27,7 +27,7 @@
   kTimeout,    // of a watch: nothing new in its time
   kNotSent,    // the call never left: it has no effect and will have none
   kUnknown,    // no reply: a write may have taken effect, now or later
-  kForgotten,  // of a watch: changes that were asked for are kept no more
+  kCompacted,  // of a watch: changes that were asked for are kept no more
   kRefused,    // the service refused the call and did nothing
 };
 
@@ -69,7 +69,7 @@
   std::string key;
   std::string value;
   StoreRevision revision;
-  bool gone = false;  // of a watch: the key was removed
+  bool removed = false;  // of a watch: the key was removed
 };
 
 // The result of List or WatchPrefix. `at` is the store's revision that the
@@ -90,7 +90,7 @@
   // All keys under `prefix`, as new as the store has them.
   {s.List(prefix, fn)};
   // Waits up to `d` for changes after revision `since`. kOk with the changes,
-  // kTimeout if there were none, kForgotten.
+  // kTimeout if there were none, kCompacted.
   {s.WatchPrefix(prefix, since, d, fn)};
 };
 
--- a/pinford/store_era.h
+++ b/pinford/store_era.h
@@ -20,11 +20,11 @@
  public:
   // Called before the answer that shows the rise is handed on.
   using OnRise = std::function<void(uint64_t before, uint64_t now)>;
-  void set_on_rise(OnRise fn) { on_rise_ = std::move(fn); }
+  void set_on_increase(OnRise fn) { on_rise_ = std::move(fn); }
 
   // Something of `era` has come. False if a later one is known. The first is
   // no rise: nothing goes by an earlier one yet.
-  bool Saw(uint64_t era) {
+  bool Observe(uint64_t era) {
     if (era < now()) return false;
     const std::optional<uint64_t> before = std::exchange(era_, era);
     if (before && *before < era && on_rise_) on_rise_(*before, era);
--- a/pinford/store_revision.h
+++ b/pinford/store_revision.h
@@ -23,7 +23,7 @@
  public:
   // Ten years at 3,200 changes a second.
   static constexpr int kNumberBits = 40;
-  static constexpr uint64_t kMostNumber = (uint64_t{1} << kNumberBits) - 1;
+  static constexpr uint64_t kMaxNumber = (uint64_t{1} << kNumberBits) - 1;
   static constexpr uint64_t kMostEra = (uint64_t{1} << (64 - kNumberBits)) - 1;
 
   // Before everything: stands for "no such key", too.
@@ -31,7 +31,7 @@
   // Nothing for what does not fit.
   static constexpr std::optional<StoreRevision> Make(uint64_t era,
                                                      uint64_t number) {
-    if (era > kMostEra || number > kMostNumber) return std::nullopt;
+    if (era > kMostEra || number > kMaxNumber) return std::nullopt;
     return FromPacked(era << kNumberBits | number);
   }
   static constexpr StoreRevision FromPacked(uint64_t packed) {
@@ -42,7 +42,7 @@
 
   constexpr uint64_t era() const { return packed_ >> kNumberBits; }
   // The store's own count.
-  constexpr uint64_t number() const { return packed_ & kMostNumber; }
+  constexpr uint64_t number() const { return packed_ & kMaxNumber; }
   constexpr uint64_t packed() const { return packed_; }
 
   friend constexpr auto operator<=>(const StoreRevision&,
--- a/pinford/submission.h
+++ b/pinford/submission.h
@@ -101,7 +101,7 @@
 
   void Write(const Configuration& current, StoreRevision revision) {
     Configuration next =
-        Succeed(current, request_.id, request_.author, request_.policy);
+        MakeSuccessor(current, request_.id, request_.author, request_.policy);
     std::string text = WriteConfiguration(next);
     store_->CompareAndSwap(
         kConfigurationKey, revision, text,
--- a/pinford/testing/entry_server_test.cc
+++ b/pinford/testing/caller_server_test.cc
@@ -1,7 +1,7 @@
 // Callers that misbehave, over real sockets: requests in pieces, in a row, too
 // large, too slow, smuggled, and callers that leave.
 
-#include "pinford/forwarding/entry_server.h"
+#include "pinford/forwarding/caller_server.h"
 
 #include <gtest/gtest.h>
 
@@ -12,13 +12,14 @@
 
 class Fixture {
  public:
-  Fixture() : server(&loop, Limits(), [this](EntryPtr e) { Handle(e); }) {
+  Fixture()
+      : server(&loop, Limits(), [this](CallerExchangePtr e) { Handle(e); }) {
     address = {"127.0.0.1", static_cast<uint16_t>(FreePorts(1)[0])};
     EXPECT_TRUE(server.Listen(address));
   }
 
-  static EntryServer::Limits Limits() {
-    EntryServer::Limits limits;
+  static CallerServer::Limits Limits() {
+    CallerServer::Limits limits;
     limits.head_bytes = 300;
     limits.body_bytes = 20;
     limits.head_timeout = milliseconds(300);
@@ -26,10 +27,10 @@
     return limits;
   }
 
-  void Handle(const EntryPtr& e) {
+  void Handle(const CallerExchangePtr& e) {
     seen.push_back(e->head().method + " " + e->head().target + " " + e->body());
     if (hold) {
-      e->set_on_hang_up([this] { hang_ups++; });
+      e->set_on_disconnect([this] { hang_ups++; });
       held.push_back(e);
     } else {
       e->Reply(200, "OK", {{"A", "b"}}, "<" + e->head().target + ">");
@@ -62,9 +63,9 @@
 
   EventLoop loop;
   Address address;
-  EntryServer server;
+  CallerServer server;
   std::vector<std::string> seen;
-  std::vector<EntryPtr> held;
+  std::vector<CallerExchangePtr> held;
   std::shared_ptr<TcpConnection> said;  // the connection of the last Say
   int hang_ups = 0;
   bool hold = false;
@@ -76,7 +77,7 @@
   return answer.size() < 12 ? answer : answer.substr(9, 3);
 }
 
-TEST(EntryServer, RefusesWhatItMayNotTake) {
+TEST(CallerServer, RefusesWhatItMayNotTake) {
   const struct {
     const char* name;
     std::string text;
@@ -114,7 +115,7 @@
   }
 }
 
-TEST(EntryServer, AnswersInOrderWhatComesInARow) {
+TEST(CallerServer, AnswersInOrderWhatComesInARow) {
   Fixture f;
   const std::string got = f.Say(
       "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -131,7 +132,7 @@
   EXPECT_EQ(f.server.connections(), 1u) << "the connection is kept";
 }
 
-TEST(EntryServer, ACallerThatLeavesIsNoticedAtOnce) {
+TEST(CallerServer, ACallerThatLeavesIsNoticedAtOnce) {
   Fixture f;
   f.hold = true;
   auto tcp = f.Open();
@@ -145,7 +146,7 @@
   f.held[0]->Reply(200, "", {}, "nobody hears this");
 }
 
-TEST(EntryServer, AnAnswerThatBreaksOffDoesNotLookComplete) {
+TEST(CallerServer, AnAnswerThatBreaksOffDoesNotLookComplete) {
   Fixture f;
   f.hold = true;
   auto tcp = f.Open();
@@ -161,7 +162,7 @@
   EXPECT_EQ(f.got.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST(EntryServer, ConnectionsAtRestEndAfterTheirTimeOrOnCloseIdle) {
+TEST(CallerServer, ConnectionsAtRestEndAfterTheirTimeOrOnCloseIdle) {
   Fixture f;
   f.Say("GET / HTTP/1.1\r\nHost: h\r\n\r\n", milliseconds(300));
   EXPECT_FALSE(f.ended);
@@ -185,7 +186,7 @@
   EXPECT_EQ(g.server.connections(), 0u);
 }
 
-TEST(EntryServer, CloseIdleLeavesTimeForAFirstRequest) {
+TEST(CallerServer, CloseIdleLeavesTimeForAFirstRequest) {
   const std::string request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   Fixture kept;
   kept.Say(request, milliseconds(50));
@@ -213,9 +214,9 @@
   EXPECT_TRUE(silent.ended) << "its time is over";
 }
 
-TEST(EntryServer, KeepsToItsBoundOfConnections) {
+TEST(CallerServer, KeepsToItsBoundOfConnections) {
   Fixture f;
-  EntryServer::Limits limits = Fixture::Limits();
+  CallerServer::Limits limits = Fixture::Limits();
   limits.connections = 2;
   f.server.set_limits(limits);
   std::vector<std::shared_ptr<TcpConnection>> all;
@@ -227,7 +228,7 @@
 
 // An answer was cut one second after it had been written, with most of it
 // unsent, where the caller's link or the caller was slow.
-TEST(EntryServer, AnAnswerIsDeliveredHoweverSlowlyItIsRead) {
+TEST(CallerServer, AnAnswerIsDeliveredHoweverSlowlyItIsRead) {
   Fixture f;
   f.hold = true;
   f.Say("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
@@ -247,7 +248,7 @@
 
 // A caller that reads nothing for some seconds is there, and acknowledges what
 // it is asked; its connection was ended after four.
-TEST(EntryServer, ACallerThatPausesIsNotTakenForGone) {
+TEST(CallerServer, ACallerThatPausesIsNotTakenForGone) {
   Fixture f;
   f.hold = true;
   f.Say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/pinford/testing/completion_driver_test.cc
+++ b/pinford/testing/completion_driver_test.cc
@@ -146,7 +146,7 @@
   pool.KeepRefreshing();
   FakeEngines::Engine& engine = pool.engines_.at("a0");
   engine.full = true;
-  engine.rest = seconds(1);
+  engine.backoff = seconds(1);
   std::map<std::string, std::string> prompts;
   for (int i = 0; i < 200; i++) {
     const std::string request = "r" + std::to_string(i);
--- a/pinford/testing/decisions_test.cc
+++ b/pinford/testing/decisions_test.cc
@@ -182,7 +182,7 @@
 }
 
 TEST(RetryBudget, NeverMultipliesTheLoad) {
-  RetryBudget budget({.per_success = 0.1, .per_second = 5, .most = 50});
+  RetryBudget budget({.per_success = 0.1, .per_second = 5, .max_retries = 50});
   PausedClock clock;
   int taken = 0;
   // Everything fails for a minute, a thousand times a second.
@@ -379,7 +379,7 @@
   EXPECT_EQ(table_.rows().at("x").peers.work, 6);
   EXPECT_EQ(table_.rows().at("x").peers.entries, 2);
   // A new life does not take the name from it by which peers count.
-  table_.OnNewLife(Time{}, "x");
+  table_.OnRestart(Time{}, "x");
   EXPECT_EQ(table_.rows().at("x").peers.work, 0);
   table_.OnPeerCounts({{NameId("x"), {3, 1}}});
   EXPECT_EQ(table_.rows().at("x").peers.work, 3);
--- a/pinford/testing/directory_benchmark.cc
+++ b/pinford/testing/directory_benchmark.cc
@@ -69,7 +69,7 @@
   size_t bytes = 0;
   for (auto _ : state) {
     const std::string body =
-        Deflate(WriteDirectory(box.directory.Copy(Time{})));
+        Deflate(WriteDirectory(box.directory.Snapshot(Time{})));
     bytes = body.size();
   }
   state.counters["bytes"] = static_cast<double>(bytes);
@@ -80,7 +80,7 @@
   Box source;
   source.directory.OnList(Time{}, Entries(static_cast<int>(state.range(0))));
   const std::string body =
-      Deflate(WriteDirectory(source.directory.Copy(Time{})));
+      Deflate(WriteDirectory(source.directory.Snapshot(Time{})));
   Box box;
   for (auto _ : state) {
     box.directory.OnList(Time{}, *ParseDirectory(*Inflate(body, kMostBytes)));
@@ -125,7 +125,7 @@
 // A chain over runners that hand over to one another.
 void BM_PickAmongRunners(benchmark::State& state) {
   EndpointTable::Options options;
-  options.hand_over_directly = true;
+  options.direct_handoff = true;
   EndpointTable table("hall-0", options, Random(1));
   EndpointDirectory directory(&table, EndpointDirectory::Options(), {});
   directory.set_configuration(Time{}, Pool());
--- a/pinford/testing/endpoint_rests_test.cc
+++ b/pinford/testing/endpoint_backoffs_test.cc
@@ -1,6 +1,6 @@
 // Rests that endpoints ask for: what is read of them, and how long they hold.
 
-#include "pinford/endpoint_rests.h"
+#include "pinford/endpoint_backoffs.h"
 
 #include <gtest/gtest.h>
 
@@ -47,7 +47,7 @@
       head.headers.emplace_back("retry-AFTER", c.retry_after);
     }
     const EndpointNotice notice = ReadNotice(head, ForwardHeaders());
-    const int64_t ms = notice.rest ? ToMillis(*notice.rest) : -1;
+    const int64_t ms = notice.backoff ? ToMillis(*notice.backoff) : -1;
     EXPECT_EQ(ms, c.rest_ms)
         << c.status << " " << (c.retry_after ? c.retry_after : "none");
   }
@@ -97,7 +97,8 @@
   };
   for (const auto& c : cases) {
     EndpointRests rests;
-    for (const auto& [at, rest] : c.asked) rests.OnAsked(At(at), "a", rest);
+    for (const auto& [at, backoff] : c.asked)
+      rests.OnAsked(At(at), "a", backoff);
     EXPECT_EQ(rests.Left(At(c.now_ms), "a"), c.left) << c.name;
     EXPECT_EQ(rests.Left(At(c.now_ms), "b"), Duration(0)) << c.name;
     EXPECT_EQ(rests.Count(At(c.now_ms)), c.left > Duration(0) ? 1 : 0);
@@ -116,9 +117,9 @@
     now += milliseconds(step(random));
     const std::string name(1, static_cast<char>('a' + who(random)));
     if (step(random) % 3 == 0) {
-      const Duration rest = milliseconds(ask(random));
-      rests.OnAsked(now, name, rest);
-      asked.emplace_back(name, now + rest);
+      const Duration backoff = milliseconds(ask(random));
+      rests.OnAsked(now, name, backoff);
+      asked.emplace_back(name, now + backoff);
     }
     Duration left{};
     for (const auto& [n, until] : asked) {
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -53,7 +53,7 @@
     events.on_leaving = [this](const std::string& id) {
       said.push_back("~" + id);
     };
-    events.on_gone = [this](const std::string& id) {
+    events.on_removed = [this](const std::string& id) {
       said.push_back("-" + id);
     };
     return events;
@@ -76,7 +76,7 @@
   EXPECT_EQ(f.Said(), (Strings{"-b"}));
 
   // The store has come back: its entries may have run out meanwhile.
-  f.directory.OnStoreBack(now);
+  f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {});
   f.directory.Tick(now + seconds(1));
   EXPECT_EQ(f.Said(), Strings{});
@@ -86,8 +86,8 @@
   f.directory.Tick(now + seconds(4));
   EXPECT_EQ(f.Said(), Strings{}) << "it came back in time";
 
-  f.directory.OnStoreBack(now + seconds(10));
-  f.directory.OnGone(now + seconds(10), "a");
+  f.directory.OnStoreReachable(now + seconds(10));
+  f.directory.OnRemoved(now + seconds(10), "a");
   f.directory.Tick(now + seconds(11));
   EXPECT_EQ(f.Said(), Strings{});
   f.directory.Tick(now + seconds(13));
@@ -101,12 +101,12 @@
   Fixture peer;
   const Time now = Time{} + seconds(100);
   source.directory.OnList(now, {Entry("a"), Entry("b")});
-  peer.directory.OnList(now, source.directory.Copy(now));
-  source.directory.OnStoreBack(now);
-  source.directory.OnGone(now, "b");
+  peer.directory.OnList(now, source.directory.Snapshot(now));
+  source.directory.OnStoreReachable(now);
+  source.directory.OnRemoved(now, "b");
   const Time asked = now + milliseconds(500);
   const auto copy =
-      ParseDirectory(WriteDirectory(source.directory.Copy(asked)));
+      ParseDirectory(WriteDirectory(source.directory.Snapshot(asked)));
   ASSERT_TRUE(copy);
   peer.directory.OnList(asked, *copy);
   EXPECT_EQ(peer.Said(), (Strings{"+a", "+b"}));
@@ -118,11 +118,11 @@
   // An entry that is back is back for the peer, too.
   const Time later = now + seconds(10);
   source.directory.Tick(later);
-  source.directory.OnStoreBack(later);
-  source.directory.OnGone(later, "a");
-  peer.directory.OnList(later, source.directory.Copy(later));
+  source.directory.OnStoreReachable(later);
+  source.directory.OnRemoved(later, "a");
+  peer.directory.OnList(later, source.directory.Snapshot(later));
   source.directory.OnEntry(later, Entry("a"));
-  peer.directory.OnList(later, source.directory.Copy(later));
+  peer.directory.OnList(later, source.directory.Snapshot(later));
   peer.directory.Tick(later + seconds(5));
   EXPECT_EQ(peer.Said(), Strings{});
 }
@@ -132,11 +132,12 @@
   Fixture boxes[2];
   Time now = Time{} + seconds(100);
   for (Fixture& box : boxes) box.directory.OnList(now, {Entry("a")});
-  boxes[0].directory.OnStoreBack(now);
-  boxes[0].directory.OnGone(now, "a");
+  boxes[0].directory.OnStoreReachable(now);
+  boxes[0].directory.OnRemoved(now, "a");
   const Time over = now + milliseconds(2200);
   for (int i = 0; now < over; i++, now += milliseconds(100)) {
-    boxes[(i + 1) % 2].directory.OnList(now, boxes[i % 2].directory.Copy(now));
+    boxes[(i + 1) % 2].directory.OnList(now,
+                                        boxes[i % 2].directory.Snapshot(now));
   }
   for (Fixture& box : boxes) {
     box.directory.Tick(over);
@@ -152,10 +153,10 @@
   const Time now = Time{} + seconds(100);
   late.directory.OnList(now, {Entry("a"), Entry("b")});
   peer.directory.OnList(now, {Entry("a"), Entry("b")});
-  peer.directory.OnGone(now, "b");
-  late.directory.OnStoreBack(now);
+  peer.directory.OnRemoved(now, "b");
+  late.directory.OnStoreReachable(now);
   late.directory.OnList(now, {Entry("a")});
-  peer.directory.OnList(now, late.directory.Copy(now));
+  peer.directory.OnList(now, late.directory.Snapshot(now));
   EXPECT_EQ(peer.Said(), (Strings{"+a", "+b", "-b"}));
   EXPECT_FALSE(peer.table.TakesNewWork(now, "b"));
 }
@@ -165,7 +166,7 @@
   Fixture f;
   const Time now = Time{} + seconds(100);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
-  f.directory.OnStoreBack(now);
+  f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {});
   f.directory.OnRunnerState(now + seconds(1), "a", {"big", "1", {0, 4}, 3});
   f.directory.OnLeaving(now + seconds(1), "b", 1);
@@ -177,9 +178,9 @@
 TEST(EndpointDirectory, ANewBoxTakesTheStoresWordAtOnce) {
   Fixture f;
   const Time now = Time{} + seconds(100);
-  f.directory.OnStoreBack(now);
+  f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
-  f.directory.OnGone(now + seconds(1), "b");
+  f.directory.OnRemoved(now + seconds(1), "b");
   EXPECT_EQ(f.Said(), (Strings{"+a", "+b", "-b"}));
 }
 
@@ -216,7 +217,7 @@
   EXPECT_EQ(report.holds, (LayerRange{2, 8}));
   EXPECT_DOUBLE_EQ(report.layer_seconds, 0.002 / 8);
   // 10,000 MB less 6 layers, at 1 MB a token and layer, in thousands.
-  EXPECT_DOUBLE_EQ(report.room, 4);
+  EXPECT_DOUBLE_EQ(report.memory_capacity, 4);
   // Its own word is ahead of the list.
   f.directory.OnRunnerState(now, "a", {"big", "1", {0, 4}, 3});
   EXPECT_EQ(f.table.rows().at("a").report->holds, (LayerRange{0, 4}));
@@ -253,7 +254,7 @@
   f.table.OnSent("a", 3);
   f.table.OnEntry("a");
   f.table.SetDown("a", true);
-  f.table.SetPace("a", 5);
+  f.table.SetSlowdown("a", 5);
   f.table.OnFull(now, "a");
   f.table.OnFailure(now, "a", now);
   f.table.OnObserved(now, "a", 50, 4);
@@ -261,9 +262,9 @@
   f.directory.OnEntry(later, LifeOf(2000, false, {}));
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
   EXPECT_EQ(f.table.LoadOf("a"), 0);
-  EXPECT_EQ(f.table.TakenOf(later, "a"), 0);
+  EXPECT_EQ(f.table.MemoryUtilizationOf(later, "a"), 0);
   EXPECT_TRUE(f.table.rows().at("a").report->holds.empty());
-  EXPECT_EQ(f.table.rows().at("a").pace, 1);
+  EXPECT_EQ(f.table.rows().at("a").slowdown, 1);
   // What was sent before fails now, and ends.
   f.table.OnFailure(later, "a", now);
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
@@ -324,7 +325,7 @@
       }
       if (source == 5) f.directory.OnUnreadable(now, "a");
       if (source == 6) f.directory.OnList(now, {Entry("b")}, {"a"});
-      if (source == 7) f.directory.OnGone(now, "a");
+      if (source == 7) f.directory.OnRemoved(now, "a");
       if (source >= 5) present = false;
       ASSERT_EQ(f.table.TakesNewWork(now, "a"), present && newest > left)
           << seed << " " << step;
@@ -401,7 +402,7 @@
     const Time now = Time{} + seconds(100);
     f.directory.OnList(now, {Entry("a"), Entry("b")});
     f.table.OnSent("a");
-    f.directory.OnStoreBack(now);
+    f.directory.OnStoreReachable(now);
     if (by_list) f.directory.OnList(now, {Entry("b")}, {"a"});
     if (!by_list) f.directory.OnUnreadable(now, "a");
     EXPECT_FALSE(f.table.TakesNewWork(now, "a"));
@@ -453,7 +454,7 @@
          d->OnList(written, {LifeOf(2000), Entry("b")});
        },
        seconds(2)},
-      {"it lapses", [&](EndpointDirectory* d) { d->OnGone(written, "a"); },
+      {"it lapses", [&](EndpointDirectory* d) { d->OnRemoved(written, "a"); },
        Duration(0)},
       {"it is in the next list, too",
        [&](EndpointDirectory* d) {
@@ -475,16 +476,16 @@
       Fixture f;
       Fixture source;
       f.directory.OnList(now - seconds(9), {LifeOf(1000), Entry("b")});
-      f.directory.OnGone(now - seconds(8), "a");
+      f.directory.OnRemoved(now - seconds(8), "a");
       f.directory.OnStoreRestored(now);
       if (by_peer) {
         // A box that has just started hears of it from one that doubts it.
         source.directory.OnList(now - seconds(9), {LifeOf(1000), Entry("b")});
-        source.directory.OnGone(now - seconds(8), "a");
+        source.directory.OnRemoved(now - seconds(8), "a");
         source.directory.OnStoreRestored(now);
         source.directory.OnList(now, {LifeOf(1000), Entry("b")});
         const auto copy =
-            ParseDirectory(WriteDirectory(source.directory.Copy(now)));
+            ParseDirectory(WriteDirectory(source.directory.Snapshot(now)));
         ASSERT_TRUE(copy);
         f.directory.OnList(now, *copy);
       } else {
@@ -574,14 +575,14 @@
           source.directory.OnEntry(now, entry());
           break;
         case 3:
-          source.directory.OnGone(now, some());
+          source.directory.OnRemoved(now, some());
           break;
         case 4:
           source.directory.OnList(now, {entry(), entry(), entry(), entry()},
                                   {some()});
           break;
         case 5:
-          if (random() % 3 == 0) source.directory.OnStoreBack(now);
+          if (random() % 3 == 0) source.directory.OnStoreReachable(now);
           break;
         case 6:
           if (random() % 3 > 0) break;
@@ -598,7 +599,7 @@
       for (Fixture* f : {&source, &whole, &part}) f->directory.Tick(now);
       if (random() % 3 > 0) continue;
       const auto copy =
-          ParseDirectory(WriteDirectory(source.directory.Copy(now)));
+          ParseDirectory(WriteDirectory(source.directory.Snapshot(now)));
       ASSERT_TRUE(copy);
       whole.directory.OnList(now, *copy);
       const auto since =
@@ -614,8 +615,8 @@
       had = source.directory.at();
       // What is left of a time is told in whole milliseconds.
       for (Fixture* f : {&whole, &part}) f->directory.Tick(now);
-      ASSERT_EQ(WriteDirectory(part.directory.Copy(now)),
-                WriteDirectory(whole.directory.Copy(now)))
+      ASSERT_EQ(WriteDirectory(part.directory.Snapshot(now)),
+                WriteDirectory(whole.directory.Snapshot(now)))
           << seed << " " << step;
       for (const auto& [id, kept] : whole.directory.entries()) {
         ASSERT_EQ(part.table.TakesNewWork(now, id),
--- a/pinford/testing/failure_news_test.cc
+++ b/pinford/testing/failure_gossip_test.cc
@@ -2,7 +2,7 @@
 // who learns it when, how many questions it costs, and that nobody's word takes
 // a working runner away.
 
-#include "pinford/forwarding/failure_news.h"
+#include "pinford/forwarding/failure_gossip.h"
 
 #include <gtest/gtest.h>
 
@@ -38,15 +38,15 @@
   // A request of this box gives it reason to ask.
   void Doubt(int box) {
     Box& b = boxes_[box];
-    if (!b.watch.BeginAsk(now_, kRunner)) return;
+    if (!b.watch.BeginProbe(now_, kRunner)) return;
     b.questions++;
     const bool answers =
         runner_works_ && b.kind != Kind::kLate && b.kind != Kind::kCut;
     After(answers ? 2 * kLink : silence_,
-          [this, box, answers] { OnAnswer(box, answers); });
+          [this, box, answers] { OnProbeResult(box, answers); });
   }
   void Tell(int box) {
-    for (size_t i = 0; i < FailureNews::Options().peers; i++) {
+    for (size_t i = 0; i < FailureGossip::Options().fanout; i++) {
       const int to = static_cast<int>(random_() % boxes_.size());
       if (to == box || boxes_[box].kind == Kind::kCut) continue;
       messages_++;
@@ -88,20 +88,20 @@
   struct Box {
     Kind kind = Kind::kSound;
     EndpointWatch watch{EndpointWatch::Options()};
-    FailureNews news{FailureNews::Options()};
+    FailureGossip news{FailureGossip::Options()};
     int questions = 0;
   };
 
   void After(Duration d, std::function<void()> fn) {
     events_.emplace(now_ + d, std::move(fn));
   }
-  void OnAnswer(int box, bool works) {
+  void OnProbeResult(int box, bool works) {
     Box& b = boxes_[box];
-    const auto change = b.watch.OnAnswer(kRunner, works, 1);
+    const auto change = b.watch.OnProbeResult(kRunner, works, 1);
     if (change != EndpointWatch::Change::kWorse) return;
     learnt_.push_back(now_);
     if (!b.news.OnDown(now_, kRunner)) return;
-    After(b.news.options().gather, [this, box] {
+    After(b.news.options().batch_window, [this, box] {
       EXPECT_EQ(boxes_[box].news.Take().size(), 1);
       Tell(box);
     });
@@ -109,7 +109,7 @@
   void Hear(int box) {
     Box& b = boxes_[box];
     if (b.kind == Kind::kCut) return;
-    if (!b.news.Heard(now_, {kRunner}).empty()) Doubt(box);
+    if (!b.news.OnNotice(now_, {kRunner}).empty()) Doubt(box);
   }
 
   bool runner_works_;
@@ -122,7 +122,7 @@
   int messages_ = 0;
 };
 
-TEST(FailureNews, ReachesNearlyAllInAFewQuestions) {
+TEST(FailureGossip, ReachesNearlyAllInAFewQuestions) {
   const struct {
     int boxes;
     Duration silence;
@@ -146,7 +146,7 @@
   }
 }
 
-TEST(FailureNews, AFalseWordTakesNoRunnerFromOthers) {
+TEST(FailureGossip, AFalseWordTakesNoRunnerFromOthers) {
   for (int boxes : {8, 64, 300}) {
     Fleet fleet(boxes, true, kNoAnswer);
     fleet.set_kind(0, Kind::kLying);
@@ -165,9 +165,9 @@
   }
 }
 
-TEST(FailureNews, TellsOfEachOnceAndTogether) {
-  const FailureNews::Options options;
-  FailureNews news(options);
+TEST(FailureGossip, TellsOfEachOnceAndTogether) {
+  const FailureGossip::Options options;
+  FailureGossip news(options);
   Time now = Time{} + seconds(5);
   EXPECT_TRUE(news.OnDown(now, "a"));
   EXPECT_FALSE(news.OnDown(now, "b"));  // goes with the same message
@@ -177,20 +177,20 @@
   EXPECT_FALSE(news.OnDown(now + options.again / 2, "a"));
   EXPECT_TRUE(news.OnDown(now + options.again, "a"));
   // What was heard of is asked once in that time, too.
-  EXPECT_EQ(news.Heard(now, {"x", "y", "x"}),
+  EXPECT_EQ(news.OnNotice(now, {"x", "y", "x"}),
             (std::vector<std::string>{"x", "y"}));
-  EXPECT_TRUE(news.Heard(now + options.again / 2, {"y"}).empty());
-  EXPECT_EQ(news.Heard(now + options.again, {"y"}).size(), 1);
+  EXPECT_TRUE(news.OnNotice(now + options.again / 2, {"y"}).empty());
+  EXPECT_EQ(news.OnNotice(now + options.again, {"y"}).size(), 1);
 }
 
 // A message of a peer at fault may name any number.
-TEST(FailureNews, AsksABoundedNumber) {
-  const FailureNews::Options options;
-  FailureNews news(options);
+TEST(FailureGossip, AsksABoundedNumber) {
+  const FailureGossip::Options options;
+  FailureGossip news(options);
   std::vector<std::string> many;
   many.reserve(1000);
   for (int i = 0; i < 1000; i++) many.push_back(std::to_string(i));
-  EXPECT_EQ(news.Heard(Time{} + seconds(1), many).size(), options.most_told);
+  EXPECT_EQ(news.OnNotice(Time{} + seconds(1), many).size(), options.most_told);
   for (const std::string& name : many) news.OnDown(Time{} + seconds(1), name);
   EXPECT_EQ(news.Take().size(), options.most_told);
 }
--- a/pinford/testing/fake_engines.h
+++ b/pinford/testing/fake_engines.h
@@ -26,11 +26,11 @@
  public:
   struct Engine {
     LoadReport report;
-    bool dead = false;             // connections are refused
-    bool frozen = false;           // takes steps and answers none until thawed
-    bool full = false;             // refuses as busy
-    std::optional<Duration> rest;  // what its refusals as busy ask for
-    int refused = 0;               // steps that were refused as busy
+    bool dead = false;    // connections are refused
+    bool frozen = false;  // takes steps and answers none until thawed
+    bool full = false;    // refuses as busy
+    std::optional<Duration> backoff;  // what its refusals as busy ask for
+    int refused = 0;                  // steps that were refused as busy
     double lose = 0;    // share of replies that are lost after running
     double repeat = 0;  // share of replies sent a second time, later
     Duration delay = milliseconds(1);
--- a/pinford/testing/fake_engines_standin.cc
+++ b/pinford/testing/fake_engines_standin.cc
@@ -72,7 +72,7 @@
   if (engine.full) {
     engine.refused++;
     result.status = StepStatus::kRefusedBusy;
-    result.rest = engine.rest;
+    result.backoff = engine.backoff;
     return result;
   }
   if (fresh && engine.report.leaving) {
--- a/pinford/testing/fake_store.h
+++ b/pinford/testing/fake_store.h
@@ -73,7 +73,7 @@
     double lose_reply = 0;    // share that take effect unanswered
     double late = 0;          // share that take effect after the time limit
     bool down = false;        // refuses connections
-    double lease_length = 1;  // leases last so much of what was asked for
+    double lease_factor = 1;  // leases last so much of what was asked for
   };
 
   FakeStore(PausedClock* clock, uint64_t seed) : clock_(clock), random_(seed) {}
@@ -169,7 +169,7 @@
     if (free || lease.token.era() < era_) lease.token = NextRevision();
     lease.holder = holder;
     lease.until =
-        clock_->now() + FromSeconds(ToSeconds(ttl) * faults.lease_length);
+        clock_->now() + FromSeconds(ToSeconds(ttl) * faults.lease_factor);
     r.status = StoreStatus::kOk;
     r.now = {holder, lease.token};
     return r;
@@ -264,7 +264,7 @@
         [this, told, fn = std::move(fn)](const StoreResult& r) {
           const bool answered = r.status != StoreStatus::kUnknown &&
                                 r.status != StoreStatus::kNotSent;
-          const bool late = answered && *told && !era.Saw(**told);
+          const bool late = answered && *told && !era.Observe(**told);
           fn(late ? StoreResult() : r);
         });
   }
--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -13,10 +13,10 @@
 #include <vector>
 
 #include "pinford/forwarding/peer_source.h"
-#include "pinford/forwarding/peers_first.h"
 #include "pinford/forwarding/prefix_mirror.h"
 #include "pinford/forwarding/send_budget.h"
-#include "pinford/forwarding/store_duty.h"
+#include "pinford/forwarding/startup_peer_check.h"
+#include "pinford/forwarding/store_task_selector.h"
 #include "pinford/store_era.h"
 #include "util/paused_clock.h"
 
@@ -32,8 +32,10 @@
  public:
   explicit FleetStore(PausedClock* clock) : clock_(clock) {}
 
-  enum class Serves { kAnswers, kRefuses, kSilent };
-  std::function<Serves(int box)> serves = [](int) { return Serves::kAnswers; };
+  enum class Response { kAnswer, kRefuse, kNone };
+  std::function<Response(int box)> response = [](int) {
+    return Response::kAnswer;
+  };
   // A box is about to get an answer of this era.
   std::function<void(int box, uint64_t era)> heard;
   int64_t calls = 0;
@@ -42,10 +44,10 @@
 
   void Put(uint64_t version) {
     configuration = version;
-    Change();
+    BumpRevision();
   }
   // Something else is written.
-  void Change() {
+  void BumpRevision() {
     revision =
         StoreRevision::Make(revision.era(), revision.number() + 1).value();
   }
@@ -67,14 +69,14 @@
   }
 
  private:
-  static constexpr Duration kLook = milliseconds(50);
+  static constexpr Duration kReadOnce = milliseconds(50);
 
   // To a list, or to a watch from `since`.
   PrefixResult What(const std::optional<StoreRevision>& since) const {
     PrefixResult r;
     r.at = revision;
     if (since && since->era() < revision.era()) {
-      r.status = StoreStatus::kForgotten;
+      r.status = StoreStatus::kCompacted;
     } else if (since && *since == revision) {
       r.status = StoreStatus::kTimeout;
     } else {
@@ -87,16 +89,16 @@
   void Answer(int box, Duration after, std::optional<StoreRevision> since,
               PrefixCallback fn) {
     calls++;
-    const Serves how = serves(box);
-    if (how == Serves::kSilent) return;
-    const bool refuses = how == Serves::kRefuses;
+    const Response how = response(box);
+    if (how == Response::kNone) return;
+    const bool refuses = how == Response::kRefuse;
     const bool waits = since && *since == revision && !refuses;
-    if (waits && after > kLook) {
+    if (waits && after > kReadOnce) {
       // Looks again now and then, as a waiting watch would be woken.
-      clock_->After(kLook, [this, box, after, since, fn = std::move(fn)] {
-        if (serves(box) == Serves::kSilent) return;
+      clock_->After(kReadOnce, [this, box, after, since, fn = std::move(fn)] {
+        if (response(box) == Response::kNone) return;
         calls--;
-        Answer(box, after - kLook, since, fn);
+        Answer(box, after - kReadOnce, since, fn);
       });
       return;
     }
@@ -104,7 +106,7 @@
     clock_->After(waits ? after : answer,
                   [this, box, refuses, since, fn = std::move(fn)] {
                     // What falls silent meanwhile does not answer any more.
-                    if (serves(box) == Serves::kSilent) return;
+                    if (response(box) == Response::kNone) return;
                     if (!refuses && heard) heard(box, revision.era());
                     PrefixResult refused;
                     refused.status = StoreStatus::kRefused;
@@ -141,30 +143,30 @@
   using Mirror = PrefixMirror<Store, PausedClock>;
 
   struct Box {
-    Box(Fleet* fleet, int i, Membership m, const StoreDuty& d)
+    Box(Fleet* fleet, int i, Membership m, const StoreTaskSelector& d)
         : membership(std::move(m)),
-          roster(&membership, SourceRoster::Options()),
+          roster(&membership, SourceSelector::Options()),
           duty(d),
           store{&fleet->store, i},
           link{fleet, i} {}
 
     Membership membership;
-    SourceRoster roster;
-    StoreDuty duty;
+    SourceSelector roster;
+    StoreTaskSelector duty;
     Store store;
     Link link;
     StoreEra era;
-    std::optional<PeersFirst> peers_first;
+    std::optional<StartupPeerCheck> peers_first;
     uint64_t stored_configuration = 0;  // as the store had it last
     std::unique_ptr<Mirror> mirror;
     std::unique_ptr<PeerSource<Link, PausedClock>> source;
     uint64_t versions[kDocumentKinds] = {};
-    Time proof{};
+    Time fresh_as_of{};
     bool mirrors = false;
-    bool up = true;
+    bool running = true;
     int life = 0;
     Time started{};
-    Time link_free{};  // when all that it sends has gone
+    Time link_free_at{};  // when all that it sends has gone
     SendBudget list_budget;
 
     uint64_t configuration() const {
@@ -176,7 +178,7 @@
   };
 
   Fleet(int boxes, int halls) : halls_(halls), store(&clock) {
-    store.heard = [this](int i, uint64_t era) { boxes_[i]->era.Saw(era); };
+    store.heard = [this](int i, uint64_t era) { boxes_[i]->era.Observe(era); };
     for (int i = 0; i < boxes; i++) boxes_.push_back(nullptr);
     for (int i = 0; i < boxes; i++) Start(i);
   }
@@ -192,25 +194,26 @@
     if (boxes_[i] != nullptr) buried_.push_back(std::move(boxes_[i]));
     boxes_[i] = std::make_unique<Box>(
         this, i, Membership(RowOf(i), {}, Membership::Options(), Random(i)),
-        StoreDuty(clock.now(), seed, StoreDuty::Options(), Random(i + 1000)));
+        StoreTaskSelector(clock.now(), seed, StoreTaskSelector::Options(),
+                          Random(i + 1000)));
     Box& box = *boxes_[i];
     box.life = life;
     box.started = clock.now();
     box.peers_first.emplace(clock.now(), !seeds.empty());
     PrefixMirrorOptions options;
-    options.silent_limit = milliseconds(20);
-    options.answer_limit = milliseconds(400);
+    options.unreachable_timeout = milliseconds(20);
+    options.answer_timeout = milliseconds(400);
     PrefixMirrorEvents events;
     events.on_list = [this, &box](const PrefixResult& r) { TakeOf(&box, r); };
     events.on_changes = events.on_list;
-    events.on_proof = [&box](Time proof) {
-      box.proof = std::max(box.proof, proof);
+    events.on_freshness = [&box](Time fresh_as_of) {
+      box.fresh_as_of = std::max(box.fresh_as_of, fresh_as_of);
     };
     events.on_reachable = [](bool, StoreStatus) {};
     box.mirror =
         std::make_unique<Mirror>(&box.store, &clock, "p", options, events);
-    box.era.set_on_rise(
-        [&box](uint64_t, uint64_t) { box.mirror->ListAgain(); });
+    box.era.set_on_increase(
+        [&box](uint64_t, uint64_t) { box.mirror->Relist(); });
     box.source = std::make_unique<PeerSource<Link, PausedClock>>(
         &clock, &box.membership, &box.roster, seeds, &box.link,
         Random(i + 2000), PeerSourceOptions(), SourceEvents(&box));
@@ -223,7 +226,7 @@
     });
   }
 
-  void Kill(int i) { boxes_[i]->up = false; }
+  void Kill(int i) { boxes_[i]->running = false; }
   int hall(int i) const { return i % halls_; }
   int size() const { return static_cast<int>(boxes_.size()); }
   Box& at(int i) { return *boxes_[i]; }
@@ -231,7 +234,7 @@
   std::vector<int> MirrorBoxes() {
     std::vector<int> out;
     for (int i = 0; i < size(); i++) {
-      if (boxes_[i]->up && boxes_[i]->mirrors) out.push_back(i);
+      if (boxes_[i]->running && boxes_[i]->mirrors) out.push_back(i);
     }
     return out;
   }
@@ -248,19 +251,19 @@
   }
 
   // Boxes in `counts` that lacked a proof at some moment since the last call.
-  int Lacking(const std::function<bool(int)>& counts) {
+  int CountStale(const std::function<bool(int)>& counts) {
     int n = 0;
     for (const int i : lacking_) n += counts(i);
     lacking_.clear();
     return n;
   }
   // Whether boxes that were killed refuse connections, rather than be silent.
-  bool killed_refuse = false;
+  bool killed_boxes_refuse = false;
   // A list that goes whole takes so many bytes of the link of who sends it.
   int64_t list_bytes = 0;
   int64_t link_bytes_per_second = 2'500'000;
   // Which boxes reach which.
-  std::function<bool(int, int)> reaches = [](int, int) { return true; };
+  std::function<bool(int, int)> can_reach = [](int, int) { return true; };
 
   PausedClock clock;
 
@@ -277,7 +280,7 @@
     return row;
   }
   bool Lives(int i, int life) const {
-    return boxes_[i]->up && boxes_[i]->life == life;
+    return boxes_[i]->running && boxes_[i]->life == life;
   }
   // Higher versions only, and the first configuration once peers were asked, as
   // boxes do.
@@ -294,7 +297,7 @@
     TakeStored(box);
   }
   void TakeStored(Box* box) {
-    if (box->peers_first->Over(clock.now())) {
+    if (box->peers_first->Done(clock.now())) {
       Take(box, DocumentKind::kConfiguration, box->stored_configuration);
     }
   }
@@ -304,17 +307,19 @@
     events.version = [box](DocumentKind k) {
       return box->versions[static_cast<int>(k)];
     };
-    events.proof = [box](DocumentKind) { return box->proof; };
+    events.fresh_as_of = [box](DocumentKind) { return box->fresh_as_of; };
     events.on_body = [box](DocumentKind kind, const DocumentState& state,
                            const std::string&) {
       if (kind == DocumentKind::kEndpoints) {
-        box->era.Saw(StoreRevision::FromPacked(state.version).era());
+        box->era.Observe(StoreRevision::FromPacked(state.version).era());
       }
       Take(box, kind, state.version);
       return true;
     };
     events.on_answer = [box] { box->peers_first->OnAnswer(); };
-    events.on_proof = [box](DocumentKind, Time proof) { box->proof = proof; };
+    events.on_freshness = [box](DocumentKind, Time fresh_as_of) {
+      box->fresh_as_of = fresh_as_of;
+    };
     return events;
   }
 
@@ -323,10 +328,11 @@
     clock.After(milliseconds(1), [this, from] {
       const Box& box = *boxes_[from];
       for (int i = 0; i < size(); i++) {
-        const bool told = boxes_[i]->up && i != from && hall(i) == hall(from);
-        if (!told || !box.up || !reaches(i, from)) continue;
+        const bool told =
+            boxes_[i]->running && i != from && hall(i) == hall(from);
+        if (!told || !box.running || !can_reach(i, from)) continue;
         boxes_[i]->source->OnDigest(At(from), box.configuration(), box.list(),
-                                    box.proof);
+                                    box.fresh_as_of);
       }
     });
   }
@@ -339,14 +345,14 @@
       MemberRow row = RowOf(j);
       row.heartbeat = ++beat_;
       std::copy_n(boxes_[j]->versions, kDocumentKinds, row.versions);
-      if (j != i && boxes_[j]->up && reaches(i, j)) rows.push_back(row);
+      if (j != i && boxes_[j]->running && can_reach(i, j)) rows.push_back(row);
     }
     Box& box = *boxes_[i];
     box.membership.OnRows(clock.now(), rows);
     for (const MemberRow& row : rows) {
       const Box& other = *boxes_[Address::Parse(row.address)->port - 1000];
       box.source->OnDigest(row.address, other.configuration(), other.list(),
-                           other.proof);
+                           other.fresh_as_of);
     }
     clock.After(seconds(2), [this, i, life = box.life] {
       if (Lives(i, life)) Meet(i);
@@ -355,19 +361,20 @@
 
   void Tick(int i, int life) {
     Box& box = *boxes_[i];
-    const StoreTask task = box.duty.Now(clock.now(), box.proof, &box.roster);
+    const StoreTask task =
+        box.duty.ChooseTask(clock.now(), box.fresh_as_of, &box.roster);
     box.mirrors = Mirrors(task);
     if (box.mirrors) {
       const bool first = task == StoreTask::kMirror;
-      box.mirror->set_most_retry(milliseconds(first ? 250 : 1000));
+      box.mirror->set_max_retry_delay(milliseconds(first ? 250 : 1000));
       box.mirror->Start();
     } else {
       box.mirror->Stop();
-      if (task == StoreTask::kLook) box.mirror->Look();
+      if (task == StoreTask::kReadOnce) box.mirror->ReadOnce();
     }
     TakeStored(&box);
     box.source->Tick(!box.mirrors || box.mirror->failing() ||
-                     !box.peers_first->Over(clock.now()));
+                     !box.peers_first->Done(clock.now()));
     clock.After(milliseconds(50), [this, i, life] {
       if (Lives(i, life)) Tick(i, life);
     });
@@ -376,14 +383,14 @@
   void Fetch(int from, const std::string& to, const FetchRequest& request,
              std::function<void(std::optional<FetchReply>)> fn) {
     const int peer = Address::Parse(to)->port - 1000;
-    const bool there = boxes_[peer]->up && reaches(from, peer);
-    const bool refuses = killed_refuse && !boxes_[peer]->up;
+    const bool there = boxes_[peer]->running && can_reach(from, peer);
+    const bool refuses = killed_boxes_refuse && !boxes_[peer]->running;
     const Duration limit = there || refuses ? milliseconds(2) : seconds(2);
     const int life = boxes_[from]->life;
     clock.After(limit,
                 [this, from, life, peer, there, request, fn = std::move(fn)] {
                   if (!Lives(from, life)) return;
-                  if (there && boxes_[peer]->up) {
+                  if (there && boxes_[peer]->running) {
                     Deliver(from, life, boxes_[peer].get(), request, fn);
                   } else {
                     fn(std::nullopt);
@@ -398,10 +405,10 @@
     const auto& list =
         reply.documents[static_cast<int>(DocumentKind::kEndpoints)];
     const int64_t bytes = list.body.empty() ? 0 : list_bytes;
-    box->link_free =
-        std::max(box->link_free, clock.now()) +
+    box->link_free_at =
+        std::max(box->link_free_at, clock.now()) +
         FromSeconds(static_cast<double>(bytes) / link_bytes_per_second);
-    const Duration wait = box->link_free - clock.now();
+    const Duration wait = box->link_free_at - clock.now();
     if (wait == Duration(0)) {
       fn(reply);
       return;
@@ -418,7 +425,7 @@
     for (int k = 0; k < kDocumentKinds; k++) {
       DocumentState& state = reply.documents[k];
       state.version = box.versions[k];
-      state.proof_age_ms = ToMillis(clock.now() - box.proof) + 1;
+      state.proof_age_ms = ToMillis(clock.now() - box.fresh_as_of) + 1;
       const bool list = k == static_cast<int>(DocumentKind::kEndpoints);
       const bool wanted = state.version > request.above_versions[k];
       const bool sent =
@@ -431,8 +438,8 @@
   void NoteProofs() {
     for (int i = 0; i < size(); i++) {
       const Box& box = *boxes_[i];
-      const bool lacks = clock.now() - box.proof > kProofLimit;
-      if (box.up && lacks) lacking_.insert(i);
+      const bool lacks = clock.now() - box.fresh_as_of > kProofLimit;
+      if (box.running && lacks) lacking_.insert(i);
     }
   }
 
--- a/pinford/testing/forward_decisions_test.cc
+++ b/pinford/testing/forward_decisions_test.cc
@@ -44,17 +44,17 @@
        AttemptUse::kNone,
        Lesson::kFailed},
       {"no HTTP",
-       {UpstreamEnd::kGarbage},
+       {UpstreamEnd::kMalformed},
        Ran::kMaybe,
        AttemptUse::kNone,
        Lesson::kFailed},
       {"cut",
-       {UpstreamEnd::kCut, 200, false, true},
+       {UpstreamEnd::kTruncated, 200, false, true},
        Ran::kMaybe,
        AttemptUse::kNone,
        Lesson::kFailed},
       {"cut refusal",
-       {UpstreamEnd::kCut, 503, true, false},
+       {UpstreamEnd::kTruncated, 503, true, false},
        Ran::kMaybe,
        AttemptUse::kNone,
        Lesson::kFailed},
@@ -115,9 +115,9 @@
 // All combinations: "not run" never follows from less than it needs, and
 // nothing but a sealed, whole answer passes.
 TEST(AttemptResult, HoldsForAllCombinations) {
-  for (UpstreamEnd end :
-       {UpstreamEnd::kComplete, UpstreamEnd::kRefused, UpstreamEnd::kWithdrawn,
-        UpstreamEnd::kBroken, UpstreamEnd::kCut, UpstreamEnd::kGarbage}) {
+  for (UpstreamEnd end : {UpstreamEnd::kComplete, UpstreamEnd::kRefused,
+                          UpstreamEnd::kWithdrawn, UpstreamEnd::kBroken,
+                          UpstreamEnd::kTruncated, UpstreamEnd::kMalformed}) {
     for (int status : {0, 200, 206, 304, 400, 404, 421, 429, 500, 503, 504}) {
       for (int bits = 0; bits < 8; bits++) {
         const AttemptFacts f{end, status, (bits & 1) != 0, (bits & 2) != 0,
@@ -273,7 +273,7 @@
       for (int b = 0; b < kBoxes; b++) {
         // All have heard of each other after 3 s; later a cut hides half.
         const bool cut = ms > 15000 && ms < 25000;
-        boxes[b].OnBoxes(now, ms < 3000 ? 1 : cut ? kBoxes / 2 : kBoxes);
+        boxes[b].OnBoxCount(now, ms < 3000 ? 1 : cut ? kBoxes / 2 : kBoxes);
         if (static_cast<int>(random() % 100) < 2 * b) {
           boxes[b].OnRequest(now, "s");
           requests.push_back(now);
@@ -299,7 +299,7 @@
 TEST(RetryShare, ABoxThatHasJustStartedKnowsNoOther) {
   RetryShare::Options options;
   RetryShare share(Time{}, options);
-  share.OnBoxes(Time{}, 1);
+  share.OnBoxCount(Time{}, 1);
   EXPECT_FALSE(share.Take(Time{} + seconds(1), "s"));
   for (int i = 0; i < 100; i++) share.OnRequest(Time{} + seconds(1), "s");
   int taken = 0;
@@ -319,7 +319,7 @@
   for (int i = 0; i < 50; i++) {
     now += milliseconds(10);
     watch.OnProgress(now, i % 2 == 0 ? fast : other);
-    EXPECT_TRUE(watch.ToAsk(now).empty());
+    EXPECT_TRUE(watch.EndpointsToProbe(now).empty());
   }
   // b and c fall silent; a goes on with what others send.
   const Chain alone = {{"a", {0, 4}}};
@@ -328,29 +328,30 @@
   for (int i = 0; i < 12; i++) {
     now += milliseconds(10);
     watch.OnProgress(now, alone);
-    for (const std::string& name : watch.ToAsk(now)) asked.push_back(name);
+    for (const std::string& name : watch.EndpointsToProbe(now))
+      asked.push_back(name);
   }
   std::sort(asked.begin(), asked.end());
   EXPECT_EQ(asked, (std::vector<std::string>{"b", "c"}));
   using Change = EndpointWatch::Change;
-  EXPECT_EQ(watch.OnAnswer("b", false, 1), Change::kWorse);
-  EXPECT_EQ(watch.OnAnswer("c", true, 1), Change::kNone);
+  EXPECT_EQ(watch.OnProbeResult("b", false, 1), Change::kWorse);
+  EXPECT_EQ(watch.OnProbeResult("c", true, 1), Change::kNone);
   EXPECT_TRUE(watch.IsDown("b"));
   EXPECT_FALSE(watch.IsDown("c"));
   // Who is down is asked until it answers.
   now += milliseconds(500);
-  const std::vector<std::string> again = watch.ToAsk(now);
+  const std::vector<std::string> again = watch.EndpointsToProbe(now);
   EXPECT_NE(std::find(again.begin(), again.end(), "b"), again.end());
-  EXPECT_EQ(watch.OnAnswer("b", true, 1), Change::kBetter);
+  EXPECT_EQ(watch.OnProbeResult("b", true, 1), Change::kBetter);
   EXPECT_FALSE(watch.IsDown("b"));
   // One that says that it is slow is asked until it is well.
-  EXPECT_EQ(watch.OnAnswer("c", true, 5), Change::kWorse);
+  EXPECT_EQ(watch.OnProbeResult("c", true, 5), Change::kWorse);
   EXPECT_TRUE(watch.IsSlow("c"));
-  EXPECT_EQ(watch.OnAnswer("c", true, 6), Change::kNone);
+  EXPECT_EQ(watch.OnProbeResult("c", true, 6), Change::kNone);
   now += milliseconds(500);
-  const std::vector<std::string> slow = watch.ToAsk(now);
+  const std::vector<std::string> slow = watch.EndpointsToProbe(now);
   EXPECT_NE(std::find(slow.begin(), slow.end(), "c"), slow.end());
-  EXPECT_EQ(watch.OnAnswer("c", true, 1.2), Change::kBetter);
+  EXPECT_EQ(watch.OnProbeResult("c", true, 1.2), Change::kBetter);
   EXPECT_FALSE(watch.IsSlow("c"));
 }
 
@@ -359,17 +360,17 @@
   EndpointWatch watch{options};
   Time now = Time{} + seconds(1);
   // Each refusal doubts it; one question is under way, and then a pause.
-  EXPECT_TRUE(watch.BeginAsk(now, "a"));
-  EXPECT_FALSE(watch.BeginAsk(now + milliseconds(1), "a"));
-  EXPECT_TRUE(watch.BeginAsk(now + milliseconds(1), "b"));
-  watch.OnAnswer("a", true, 1);
-  EXPECT_FALSE(watch.BeginAsk(now + milliseconds(2), "a"));
-  now += options.ask_again;
-  EXPECT_TRUE(watch.BeginAsk(now, "a"));
-  // One that is down is asked by ToAsk, no sooner for a doubt.
-  watch.OnAnswer("a", false, 1);
-  EXPECT_FALSE(watch.BeginAsk(now + options.ask_again, "a"));
-  EXPECT_TRUE(watch.BeginAsk(now + options.ask_impaired, "a"));
+  EXPECT_TRUE(watch.BeginProbe(now, "a"));
+  EXPECT_FALSE(watch.BeginProbe(now + milliseconds(1), "a"));
+  EXPECT_TRUE(watch.BeginProbe(now + milliseconds(1), "b"));
+  watch.OnProbeResult("a", true, 1);
+  EXPECT_FALSE(watch.BeginProbe(now + milliseconds(2), "a"));
+  now += options.healthy_probe_interval;
+  EXPECT_TRUE(watch.BeginProbe(now, "a"));
+  // One that is down is asked by EndpointsToProbe, no sooner for a doubt.
+  watch.OnProbeResult("a", false, 1);
+  EXPECT_FALSE(watch.BeginProbe(now + options.healthy_probe_interval, "a"));
+  EXPECT_TRUE(watch.BeginProbe(now + options.impaired_probe_interval, "a"));
 }
 
 TEST(EndpointWatch, WhoHasNothingToDoIsNotSilent) {
@@ -380,9 +381,9 @@
   watch.OnProgress(now + milliseconds(10), chain);
   watch.OnEnd(chain);
   now += seconds(10);
-  EXPECT_TRUE(watch.ToAsk(now).empty());
+  EXPECT_TRUE(watch.EndpointsToProbe(now).empty());
   watch.OnBegin(now, chain);
-  EXPECT_TRUE(watch.ToAsk(now + milliseconds(30)).empty());
+  EXPECT_TRUE(watch.EndpointsToProbe(now + milliseconds(30)).empty());
 }
 
 // --- placement -------------------------------------------------------------
@@ -423,7 +424,7 @@
       return fewest;
     };
     const auto place = [&] {
-      const auto placed = PlaceRest(pool, runners, options);
+      const auto placed = PlaceUnderfilledRunners(pool, runners, options);
       for (PoolRunner& r : runners) {
         const auto it = placed.find(r.name);
         if (it != placed.end()) r.holds = it->second;
@@ -451,7 +452,8 @@
 // The least room of a layer that any ranges of the runners' sizes leave.
 double BestLeast(const EnginePool& pool, std::vector<PoolRunner>* runners,
                  size_t i, const PoolPlacementOptions& options) {
-  if (i == runners->size()) return PoolRoom(pool, options, *runners).Least();
+  if (i == runners->size())
+    return PoolMemory(pool, options, *runners).MinFreeMemory();
   PoolRunner& r = (*runners)[i];
   const int n = LayersOfKind(pool, *pool.Kind(r.kind), options);
   double best = 0;
@@ -483,9 +485,9 @@
           {"r" + std::to_string(i), "h", kinds[random() % 3], {}});
     }
     const double best = BestLeast(pool, &runners, 0, options);
-    const auto placed = PlaceRest(pool, runners, options);
+    const auto placed = PlaceUnderfilledRunners(pool, runners, options);
     for (PoolRunner& r : runners) r.holds = placed.at(r.name);
-    const double got = PoolRoom(pool, options, runners).Least();
+    const double got = PoolMemory(pool, options, runners).MinFreeMemory();
     EXPECT_GT(got, 0) << seed << ": a layer is held by nobody";
     EXPECT_GE(got, best / 2) << seed;
     reached += got;
@@ -500,7 +502,7 @@
   for (const LayerRange held : {LayerRange{0, 9}, {30, 39}, {71, 80}}) {
     const std::vector<PoolRunner> runners = {{"big", "h", "big", held},
                                              {"mid", "h", "mid", {40, 56}}};
-    const auto placed = PlaceRest(pool, runners, options);
+    const auto placed = PlaceUnderfilledRunners(pool, runners, options);
     ASSERT_EQ(placed.count("big"), 1u);
     EXPECT_TRUE(placed.at("big").Contains(held));
     EXPECT_EQ(placed.at("big").size(), 27);
@@ -531,11 +533,11 @@
   EnginePool pool = TestPool();
   pool.kinds.push_back({"tiny", 1000, 1, 1});
   pool.kinds.push_back({"huge", 1e6, 1, 1});
-  const auto placed = PlaceRest(pool,
-                                {{"unknown", "h", "unknown", {}},
-                                 {"tiny", "h", "tiny", {}},
-                                 {"huge", "h", "huge", {}}},
-                                PoolPlacementOptions());
+  const auto placed = PlaceUnderfilledRunners(pool,
+                                              {{"unknown", "h", "unknown", {}},
+                                               {"tiny", "h", "tiny", {}},
+                                               {"huge", "h", "huge", {}}},
+                                              PoolPlacementOptions());
   EXPECT_EQ(placed.size(), 1u);
   EXPECT_EQ(placed.at("huge"), (LayerRange{0, 80}));
 }
@@ -562,7 +564,7 @@
                   {"Transfer-Encoding", "chunked"},
                   {"Last-Event-ID", "3"},
                   {"X-Other", "kept"}};
-  ForwardNotes notes;
+  AttemptHeaders notes;
   notes.customer = "c";
   notes.instance = "i";
   notes.time_left = milliseconds(1234);
@@ -579,7 +581,7 @@
                     {"Connection", "x-a"}, {"X-A", "1"},
                     {"X-Load", "1,2,3"},   {"X-Seal", "s"},
                     {"Keep-Alive", "x"},   {"X-Other", "kept"}};
-  EXPECT_EQ(PassedHeaders(answer, protocol),
+  EXPECT_EQ(ForwardedResponseHeaders(answer, protocol),
             (HttpHeaders{
                 {"Content-Type", "t"}, {"X-Seal", "s"}, {"X-Other", "kept"}}));
 }
--- a/pinford/testing/forwarder_fixture.h
+++ b/pinford/testing/forwarder_fixture.h
@@ -76,8 +76,9 @@
               {},
               {}},
         forwarder(&parts),
-        server(&loop, EntryServer::Limits(),
-               [this](EntryPtr e) { forwarder.Handle(std::move(e)); }) {
+        server(&loop, CallerServer::Limits(), [this](CallerExchangePtr e) {
+          forwarder.Handle(std::move(e));
+        }) {
     address = {"127.0.0.1", static_cast<uint16_t>(FreePorts(1)[0])};
     EXPECT_TRUE(server.Listen(address));
     List({"a", "b"});
@@ -88,8 +89,8 @@
     const struct {
       const char* prefix;
       RequestKind kind;
-    } routes[] = {{"/get/", RequestKind::kRepeatable},
-                  {"/once/", RequestKind::kOnce},
+    } routes[] = {{"/get/", RequestKind::kIdempotent},
+                  {"/once/", RequestKind::kAtMostOnce},
                   {"/stream/", RequestKind::kStream}};
     for (const auto& r : routes) {
       Route route;
@@ -167,8 +168,8 @@
       report.slots = 8;
       table.OnReport(loop.now(), e.name, report);
     }
-    parts.ask = [this](const std::string& endpoint,
-                       const std::function<void(RunnerHealth)>& fn) {
+    parts.probe = [this](const std::string& endpoint,
+                         const std::function<void(RunnerHealth)>& fn) {
       asked.push_back(endpoint);
       fn(silent.contains(endpoint) ? RunnerHealth() : health);
     };
@@ -244,9 +245,9 @@
   EndpointTable table;
   RetryShare retries;
   Random random;
-  ForwardParts parts;
+  ForwardContext parts;
   Forwarder forwarder;
-  EntryServer server;
+  CallerServer server;
   std::shared_ptr<TcpConnection> caller;
   std::string got;
   bool ended = false;
--- a/pinford/testing/forwarder_test.cc
+++ b/pinford/testing/forwarder_test.cc
@@ -239,8 +239,8 @@
   f.Script({{EventsHead() + Chunk(Event(1))}}, {{Sealed("1", "ab")}});
   f.Ask("GET", "/stream/", milliseconds(40));
   f.List({"b"});
-  f.upstream.Forget("a");
-  f.forwarder.ForgetEndpoint("a");
+  f.upstream.DropConnections("a");
+  f.forwarder.RemoveEndpoint("a");
   f.a.WriteMore(Chunk(Event(2)) + "0\r\n\r\n");
   f.RunFor(milliseconds(40));
   EXPECT_NE(f.got.find(Chunk(Event(2)) + "0\r\n\r\n"), std::string::npos);
@@ -266,7 +266,8 @@
         "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-At-Fault: " +
         f.b.address().ToString() + "\r\nContent-Length: 0\r\n\r\n";
     f.Script({{refusal, Then::kKeep}}, {});
-    // Before it is asked again as one that is down (ask_impaired, 400 ms).
+    // Before it is asked again as one that is down (impaired_probe_interval,
+    // 400 ms).
     const std::string got = f.Ask("POST", "/stream/1", milliseconds(200));
     EXPECT_EQ(StatusOf(got), "503") << c.name;
     // Once, however often it is named in so short a time.
@@ -286,8 +287,8 @@
   f.Script({{EventsHead() + Chunk(Event(1))}}, {});
   f.Ask("POST", "/stream/1", milliseconds(30));
   const std::string stage = f.AtWork().at(0);
-  f.parts.ask = [&f](const std::string& endpoint,
-                     const std::function<void(RunnerHealth)>& fn) {
+  f.parts.probe = [&f](const std::string& endpoint,
+                       const std::function<void(RunnerHealth)>& fn) {
     f.asked.push_back(endpoint);
     const bool silent = f.silent.contains(endpoint);
     f.loop.After(milliseconds(silent ? 30 : 2),
@@ -298,7 +299,7 @@
                [&] { f.a.WriteMore(Chunk(Event(++events))); });
   const std::vector<std::string> all = {"a", "c", "d"};
   const auto doubt_all = [&] {
-    for (const std::string& name : all) f.forwarder.Doubt(name);
+    for (const std::string& name : all) f.forwarder.ProbeIfDue(name);
     f.RunFor(milliseconds(200));
   };
   f.silent = {all.begin(), all.end()};
@@ -328,7 +329,7 @@
   const std::vector<std::string> first = f.AtWork();
   ASSERT_EQ(first.size(), 1);
   f.silent.insert(first[0]);
-  f.forwarder.Doubt(first[0]);
+  f.forwarder.ProbeIfDue(first[0]);
   ASSERT_EQ(f.rerouted.size(), 1);
   const Address second_at = f.rerouted[0].first[1].at;
   std::string second;
@@ -336,7 +337,7 @@
     if (row.listed.address == second_at) second = name;
   }
   f.silent.insert(second);
-  f.forwarder.Doubt(second);
+  f.forwarder.ProbeIfDue(second);
   EXPECT_EQ(f.rerouted.size(), 1);  // a change is under way
   f.rerouted[0].second({RerouteStatus::kDone, ""});
   ASSERT_EQ(f.rerouted.size(), 2);
@@ -353,14 +354,14 @@
 TEST(Forwarder, AStageThatStartsAnewIsReplaced) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.parts.off.Add(Mechanism::kMoveAtRestart);
+    if (!on) f.parts.mechanisms.Add(Mechanism::kMoveOnRestart);
     f.MakePool({"c", "d", "e"});
     f.Script({{EventsHead() + Chunk(Event(1))}}, {});
     f.Ask("POST", "/stream/1", milliseconds(30));
     ASSERT_EQ(f.AtWork().size(), 1);
     const std::string stage = f.AtWork()[0];
-    f.table.OnNewLife(f.loop.now(), stage);
-    f.forwarder.OnNewLife(stage);
+    f.table.OnRestart(f.loop.now(), stage);
+    f.forwarder.OnRestart(stage);
     EXPECT_EQ(f.rerouted.size(), on ? 1 : 0);
     EXPECT_EQ(f.table.LoadOf(stage), 0);
     EXPECT_FALSE(f.forwarder.watch()->IsDown(stage));
@@ -377,14 +378,14 @@
   Fixture f;
   f.MakePool({"c", "d"});
   std::function<void(RunnerHealth)> answer;
-  f.parts.ask = [&answer](const std::string&,
-                          std::function<void(RunnerHealth)> fn) {
+  f.parts.probe = [&answer](const std::string&,
+                            std::function<void(RunnerHealth)> fn) {
     answer = std::move(fn);
   };
-  f.forwarder.Doubt("c");
+  f.forwarder.ProbeIfDue("c");
   ASSERT_TRUE(answer);
-  f.table.OnNewLife(f.loop.now(), "c");
-  f.forwarder.OnNewLife("c");
+  f.table.OnRestart(f.loop.now(), "c");
+  f.forwarder.OnRestart("c");
   answer({});
   EXPECT_FALSE(f.forwarder.watch()->IsDown("c"));
   EXPECT_FALSE(f.table.rows().at("c").down);
@@ -398,11 +399,11 @@
   f.Script({{EventsHead() + Chunk(Event(1))}}, {});
   f.Ask("POST", "/stream/1", milliseconds(30));
   f.silent.insert(f.AtWork().at(0));
-  f.forwarder.Doubt(f.AtWork().at(0));
+  f.forwarder.ProbeIfDue(f.AtWork().at(0));
   ASSERT_EQ(f.rerouted.size(), 1);
   const Address named = f.rerouted[0].first[1].at;
   f.asked.clear();
-  f.rerouted[0].second({RerouteStatus::kNoPart, named.ToString()});
+  f.rerouted[0].second({RerouteStatus::kRefusedByStage, named.ToString()});
   ASSERT_EQ(f.asked.size(), 1);
   EXPECT_EQ(f.table.AddressOf(f.asked[0]), named);
   EXPECT_FALSE(f.table.TakesNewWork(f.loop.now(), f.asked[0]));
@@ -440,11 +441,11 @@
   f.Script({{EventsHead() + Chunk(Event(1))}}, {});
   f.Ask("POST", "/stream/1", milliseconds(30));
   f.silent.insert(f.AtWork().at(0));
-  f.forwarder.Doubt(f.AtWork().at(0));
+  f.forwarder.ProbeIfDue(f.AtWork().at(0));
   ASSERT_EQ(f.rerouted.size(), 1);
   f.silent.clear();
   f.rerouted[0].second(
-      {RerouteStatus::kNoPart, f.rerouted[0].first[1].at.ToString()});
+      {RerouteStatus::kRefusedByStage, f.rerouted[0].first[1].at.ToString()});
   f.RunFor(milliseconds(150));
   ASSERT_GE(f.rerouted.size(), 2);
   EXPECT_NE(f.rerouted[1].first[1].at, f.rerouted[0].first[1].at);
@@ -458,7 +459,7 @@
 TEST(Forwarder, StagesAreReplacedOnlyWhereThatIsSwitchedOn) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.parts.off.Add(Mechanism::kStageReplacement);
+    if (!on) f.parts.mechanisms.Add(Mechanism::kStageReplacement);
     f.MakePool({"c", "d", "e"});
     RetryShare::Options none;
     none.ratio = none.extra = 0;
@@ -466,7 +467,7 @@
     f.Script({{EventsHead() + Chunk(Event(1))}}, {});
     f.Ask("POST", "/stream/1", milliseconds(30));
     f.silent.insert(f.AtWork().at(0));
-    f.forwarder.Doubt(f.AtWork().at(0));
+    f.forwarder.ProbeIfDue(f.AtWork().at(0));
     f.RunFor(milliseconds(200));
     EXPECT_EQ(!f.rerouted.empty(), on);
   }
@@ -489,9 +490,9 @@
     list.push_back(e);
   }
   f.table.OnList(list);
-  f.table.SetPace(near, 3);  // dearer than the others
+  f.table.SetSlowdown(near, 3);  // dearer than the others
   f.silent.insert(lost);
-  f.forwarder.Doubt(lost);
+  f.forwarder.ProbeIfDue(lost);
   ASSERT_EQ(f.rerouted.size(), 1);
   EXPECT_EQ(f.rerouted[0].first[1].at, f.table.AddressOf(near));
 }
@@ -501,14 +502,14 @@
 TEST(Forwarder, AStreamStaysWithAStageThatIsSlow) {
   for (const bool timed : {true, false}) {
     Fixture f;
-    if (!timed) f.parts.off.Add(Mechanism::kTimedRecovery);
+    if (!timed) f.parts.mechanisms.Add(Mechanism::kTimedRecovery);
     f.MakePool({"c", "d"});
     f.Script({{EventsHead() + Chunk(Event(1))}}, {});
     f.Ask("POST", "/stream/1", milliseconds(30));
     f.a.WriteMore(Chunk(Event(2)));
     f.RunFor(milliseconds(30));
-    f.health.pace = 3;
-    f.forwarder.Doubt(f.AtWork().at(0));
+    f.health.slowdown = 3;
+    f.forwarder.ProbeIfDue(f.AtWork().at(0));
     EXPECT_EQ(f.rerouted.size(), timed ? 0 : 1);
   }
 }
@@ -519,11 +520,11 @@
   Fixture f;
   f.MakePool({"c"});
   f.Script({{"", Then::kKeep}}, {});
-  f.health.pace = 12;
+  f.health.slowdown = 12;
   // Beyond 0.45 of the 600 ms that the route aims at.
   f.Ask("POST", "/stream/1", milliseconds(400));
   EXPECT_NE(std::find(f.asked.begin(), f.asked.end(), "c"), f.asked.end());
-  EXPECT_EQ(f.table.rows().at("c").pace, 12);
+  EXPECT_EQ(f.table.rows().at("c").slowdown, 12);
 }
 
 // A box has just started: who comes before it knows anything waits for that,
@@ -549,9 +550,9 @@
     f.Script({{c.first, Then::kReset}, {rest}}, {});
     f.List({"a"});
     f.parts.classify = [&c](const RequestFacts&) {
-      RequestClass treatment;
-      treatment.tier = c.tier;
-      return treatment;
+      RequestClass request_class;
+      request_class.tier = c.tier;
+      return request_class;
     };
     RetryShare::Options one;
     one.ratio = 0;
@@ -582,7 +583,7 @@
 TEST(Forwarder, WithoutAConfigurationACallerIsSoonRefused) {
   Fixture f;
   f.forwarder.set_routes(nullptr);
-  EXPECT_EQ(f.Ask("GET", "/get/1", StartQueueOptions().longest / 2), "");
+  EXPECT_EQ(f.Ask("GET", "/get/1", StartQueueOptions().max_wait / 2), "");
   const std::string got = f.Ask("GET", "/get/1", milliseconds(200));
   EXPECT_EQ(StatusOf(got), "503");
   EXPECT_NE(got.find("Retry-After"), std::string::npos);
@@ -598,8 +599,8 @@
   EXPECT_TRUE(queue.Add(now + milliseconds(10), 2));
   EXPECT_FALSE(queue.Add(now + milliseconds(10), 3));
   EXPECT_TRUE(queue.TakeOverdue(now + milliseconds(99)).empty());
-  EXPECT_EQ(queue.TakeOverdue(now + options.longest), std::vector<int>{1});
-  EXPECT_TRUE(queue.Add(now + options.longest, 3));
+  EXPECT_EQ(queue.TakeOverdue(now + options.max_wait), std::vector<int>{1});
+  EXPECT_TRUE(queue.Add(now + options.max_wait, 3));
   EXPECT_EQ(queue.TakeAll(), (std::vector<int>{2, 3}));
   EXPECT_TRUE(queue.TakeAll().empty());
 }
--- a/pinford/testing/hall_planner_test.cc
+++ b/pinford/testing/hall_planner_test.cc
@@ -139,7 +139,7 @@
           std::make_unique<FakeOrders>(box, &runners, &random, loss));
       HallPlannerEvents events;
       events.view = [this] { return View(); };
-      events.on_duty = [] { return true; };
+      events.is_candidate = [] { return true; };
       planners.push_back(std::make_unique<TestPlanner>(
           clients.back().get(), orders.back().get(), box, "h",
           "box-" + std::to_string(i), options, events));
@@ -260,7 +260,7 @@
   for (int seed = 0; seed < 60; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     World w(seed, 0);
-    w.store.faults.lease_length = 0.3;
+    w.store.faults.lease_factor = 0.3;
     for (int i = 0; i < 20; i++) {
       const int a = 1 + static_cast<int>(w.random() % 3);
       w.clock.After(seconds(10 * i), [&w, a] {
@@ -269,7 +269,7 @@
     }
     w.clock.Advance(seconds(200));
     CheckPlans(w);
-    w.store.faults.lease_length = 1;
+    w.store.faults.lease_factor = 1;
     w.clock.Advance(seconds(150));
     CheckPlans(w);
     EXPECT_TRUE(w.AsPlanned());
--- a/pinford/testing/inputs_test.cc
+++ b/pinford/testing/inputs_test.cc
@@ -341,7 +341,7 @@
   Claim claim;
   claim.attempt = "a";
   claim.state = ClaimState::kDone;
-  Configuration configuration = Succeed({}, "s", "a", {{"f", "x"}});
+  Configuration configuration = MakeSuccessor({}, "s", "a", {{"f", "x"}});
   LoadReport report;
   report.layers = 8;
   const std::string samples[] = {
--- a/pinford/testing/membership_test.cc
+++ b/pinford/testing/membership_test.cc
@@ -259,22 +259,22 @@
 TEST(Membership, DutiesFallToTwo) {
   Net net(8, 1, 0);
   net.clock_.Advance(seconds(30));
-  auto on_duty = [&net](const std::string& duty) {
+  auto is_candidate = [&net](const std::string& duty) {
     int n = 0;
     for (int i = 0; i < 8; i++) {
       if (!net.at(i).up) continue;
-      n += net.at(i).membership->OnDuty(net.clock_.now(), duty, 2);
+      n += net.at(i).membership->IsElected(net.clock_.now(), duty, 2);
     }
     return n;
   };
   for (int d = 0; d < 50; d++) {
-    EXPECT_EQ(on_duty("duty " + std::to_string(d)), 2);
+    EXPECT_EQ(is_candidate("duty " + std::to_string(d)), 2);
   }
   net.Stop(2);
   net.Stop(5);
   net.clock_.Advance(seconds(60));
   for (int d = 0; d < 50; d++) {
-    EXPECT_EQ(on_duty("duty " + std::to_string(d)), 2);
+    EXPECT_EQ(is_candidate("duty " + std::to_string(d)), 2);
   }
 }
 
--- a/pinford/testing/once_call_test.cc
+++ b/pinford/testing/once_call_test.cc
@@ -19,8 +19,8 @@
     double refuse_busy = 0;
     double lose_request = 0;
     double lose_reply = 0;
-    double fail = 0;                    // answers 500 after running
-    std::optional<Duration> rest = {};  // what refusals as busy ask for
+    double fail = 0;                       // answers 500 after running
+    std::optional<Duration> backoff = {};  // what refusals as busy ask for
   };
 
   FakeService(PausedClock* clock, uint64_t seed)
@@ -54,7 +54,7 @@
     if (Chance(faults.refuse_busy)) {
       refused++;
       r.status = CallStatus::kRefusedBusy;
-      r.rest = faults.rest;
+      r.backoff = faults.backoff;
       Reply(box, fn, r);
       return;
     }
@@ -245,7 +245,7 @@
 TEST(OnceCall, EndpointsThatAskForRestAreLeftAlone) {
   World w(5, 1);
   w.service.faults.refuse_busy = 1;
-  w.service.faults.rest = seconds(5);
+  w.service.faults.backoff = seconds(5);
   for (int i = 0; i < 20; i++) {
     w.Begin(0, "r" + std::to_string(i), "");
     w.clock.Advance(milliseconds(200));
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "pinford/event_loop.h"
-#include "pinford/forwarding/peers_first.h"
+#include "pinford/forwarding/startup_peer_check.h"
 #include "pinford/peer_link.h"
 #include "pinford/testing/free_ports.h"
 
@@ -101,8 +101,8 @@
     options.interval = milliseconds(20);
     return options;
   }
-  static SourceRoster::Options RosterOptions() {
-    SourceRoster::Options options;
+  static SourceSelector::Options RosterOptions() {
+    SourceSelector::Options options;
     options.fails_for = milliseconds(200);
     return options;
   }
@@ -111,14 +111,16 @@
     events.version = [this](DocumentKind kind) {
       return kind == DocumentKind::kEndpoints ? list_version : 7;
     };
-    events.proof = [this](DocumentKind) { return proof_; };
+    events.fresh_as_of = [this](DocumentKind) { return proof_; };
     events.on_body = [this](DocumentKind, const DocumentState& state,
                             const std::string&) {
       bodies.push_back(state.body);
       list_version = state.version;
       return true;
     };
-    events.on_proof = [this](DocumentKind, Time proof) { proof_ = proof; };
+    events.on_freshness = [this](DocumentKind, Time fresh_as_of) {
+      proof_ = fresh_as_of;
+    };
     return events;
   }
 
@@ -127,7 +129,7 @@
   Membership membership_;
   PeerLink link_;
   Time proof_{};
-  SourceRoster roster_;
+  SourceSelector roster_;
   PeerSource<PeerLink, EventLoop> source_;
   std::unique_ptr<Peer> peers_[2];
 };
@@ -218,14 +220,14 @@
   EXPECT_EQ(f.other->asked_from, none);
 }
 
-TEST(PeersFirst, IsOverWithAnAnswerOrAfterAWhile) {
+TEST(StartupPeerCheck, IsOverWithAnAnswerOrAfterAWhile) {
   const Time now = Time{} + seconds(1);
-  EXPECT_TRUE(PeersFirst(now, false).Over(now));
-  PeersFirst asks(now, true);
-  EXPECT_FALSE(asks.Over(now + PeersFirst::kPatience - milliseconds(1)));
-  EXPECT_TRUE(asks.Over(now + PeersFirst::kPatience));
+  EXPECT_TRUE(StartupPeerCheck(now, false).Done(now));
+  StartupPeerCheck asks(now, true);
+  EXPECT_FALSE(asks.Done(now + StartupPeerCheck::kPatience - milliseconds(1)));
+  EXPECT_TRUE(asks.Done(now + StartupPeerCheck::kPatience));
   asks.OnAnswer();
-  EXPECT_TRUE(asks.Over(now));
+  EXPECT_TRUE(asks.Done(now));
 }
 
 }  // namespace
--- a/pinford/testing/pool_capacity_test.cc
+++ b/pinford/testing/pool_capacity_test.cc
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "pinford/runner_price.h"
+#include "pinford/runner_cost.h"
 
 namespace pinford {
 namespace {
@@ -25,7 +25,7 @@
   static EndpointTable::Options Options() {
     EndpointTable::Options options;
     options.report_valid = hours(1);
-    options.hand_over_directly = true;
+    options.direct_handoff = true;
     return options;
   }
 
@@ -52,8 +52,8 @@
       report.holds = r.holds;
       report.slots = 10;
       report.layer_seconds = 0.001;
-      report.read_seconds = kReadSeconds;
-      report.room = kRoom;
+      report.prefill_seconds = kReadSeconds;
+      report.memory_capacity = kRoom;
       table_.OnReport(now_, r.name, report);
     }
   }
@@ -67,40 +67,40 @@
 TEST_F(PoolCapacityTest, IsThatOfTheShortestLayer) {
   const PoolCapacity c = Capacity();
   EXPECT_EQ(c.halls(), (std::vector<std::string>{"h1", "h2"}));
-  EXPECT_EQ(c.LeastOf("h1", {0, 2}).holders, 2);
-  EXPECT_EQ(c.LeastOf("h1").holders, 1);
-  EXPECT_DOUBLE_EQ(c.LeastOf("h1", {0, 2}).read_per_s, 1000);
-  EXPECT_DOUBLE_EQ(c.LeastOf("h1").read_per_s, 500);
-  EXPECT_DOUBLE_EQ(c.LeastOf("h2").read_per_s, 250);
-  EXPECT_DOUBLE_EQ(c.LeastOf("h1", {0, 1}).free_room, 100);
-  EXPECT_EQ(c.ShortestLayer("h1"), 2);
-  EXPECT_EQ(c.LeastOf("h3").holders, 0);
-  EXPECT_EQ(c.LeastOf("h1", {2, 2}).holders, 0);
+  EXPECT_EQ(c.MinOverLayers("h1", {0, 2}).holders, 2);
+  EXPECT_EQ(c.MinOverLayers("h1").holders, 1);
+  EXPECT_DOUBLE_EQ(c.MinOverLayers("h1", {0, 2}).prefill_per_s, 1000);
+  EXPECT_DOUBLE_EQ(c.MinOverLayers("h1").prefill_per_s, 500);
+  EXPECT_DOUBLE_EQ(c.MinOverLayers("h2").prefill_per_s, 250);
+  EXPECT_DOUBLE_EQ(c.MinOverLayers("h1", {0, 1}).free_memory, 100);
+  EXPECT_EQ(c.BottleneckLayer("h1"), 2);
+  EXPECT_EQ(c.MinOverLayers("h3").holders, 0);
+  EXPECT_EQ(c.MinOverLayers("h1", {2, 2}).holders, 0);
 }
 
 TEST_F(PoolCapacityTest, FollowsWhatIsKnownOfARunner) {
-  table_.SetPace("a", 10);
-  EXPECT_DOUBLE_EQ(Capacity().LeastOf("h1", {0, 2}).read_per_s, 550);
+  table_.SetSlowdown("a", 10);
+  EXPECT_DOUBLE_EQ(Capacity().MinOverLayers("h1", {0, 2}).prefill_per_s, 550);
   table_.SetDown("a", true);
-  EXPECT_EQ(Capacity().LeastOf("h1", {0, 2}).holders, 1);
+  EXPECT_EQ(Capacity().MinOverLayers("h1", {0, 2}).holders, 1);
   table_.SetDown("c", true);
-  EXPECT_EQ(Capacity().LeastOf("h1").holders, 0);
-  EXPECT_DOUBLE_EQ(Capacity().LeastOf("h1").read_per_s, 0);
+  EXPECT_EQ(Capacity().MinOverLayers("h1").holders, 0);
+  EXPECT_DOUBLE_EQ(Capacity().MinOverLayers("h1").prefill_per_s, 0);
   // A prompt of 500 tokens: half of its time for a second, over two.
-  table_.OnPrompt(now_, "d", 500 * kLayers);
-  EXPECT_NEAR(Capacity().LeastOf("h2").read_per_s, 12.5, 1);
+  table_.OnPrefillSent(now_, "d", 500 * kLayers);
+  EXPECT_NEAR(Capacity().MinOverLayers("h2").prefill_per_s, 12.5, 1);
 }
 
 TEST_F(PoolCapacityTest, WhatWaitsMakesARunnerDear) {
   table_.set_boxes(10);
   EXPECT_EQ(table_.WaitingOf("a"), 0);
-  table_.OnWaiting("a", 200);
+  table_.OnPrefillQueued("a", 200);
   EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 10 * 200 * kReadSeconds);
-  table_.SetPace("a", 3);
+  table_.SetSlowdown("a", 3);
   EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 3 * 10 * 200 * kReadSeconds);
-  table_.OnWaitingDone("a", 150);
+  table_.OnPrefillDone("a", 150);
   EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 3 * 10 * 50 * kReadSeconds);
-  table_.OnWaitingDone("a", 1000);
+  table_.OnPrefillDone("a", 1000);
   EXPECT_EQ(table_.WaitingOf("a"), 0);
   EXPECT_EQ(QueueFactor(0), 1);
   EXPECT_LT(QueueFactor(0.05), QueueFactor(0.1));
@@ -117,7 +117,7 @@
   };
   table_.set_boxes(10);
   const std::string before = first();
-  table_.OnWaiting(before, 200);
+  table_.OnPrefillQueued(before, 200);
   EXPECT_NE(first(), before);
 }
 
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -7,7 +7,7 @@
 
 #include "pinford/endpoint_table.h"
 #include "pinford/membership.h"
-#include "pinford/runner_price.h"
+#include "pinford/runner_cost.h"
 
 namespace pinford {
 namespace {
@@ -30,7 +30,7 @@
   static EndpointTable::Options Options() {
     EndpointTable::Options options;
     options.report_valid = hours(1);
-    options.hand_over_directly = true;
+    options.direct_handoff = true;
     return options;
   }
 
@@ -52,7 +52,7 @@
       report.holds = r.holds;
       report.slots = kSlots;
       report.layer_seconds = r.step / kLayers;
-      report.room = kRoom;
+      report.memory_capacity = kRoom;
       table_.OnReport(now_, r.name, report);
     }
   }
@@ -116,14 +116,16 @@
     table_.OnSent("a", c.own);
     table_.OnPeerCounts({{NameId("a"), {c.peers, 0}}});
     const double account = (c.own + c.peers) / kRoom;
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), account, 1e-9);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), account, 1e-9);
     table_.OnObserved(now_, "a", c.said, 0);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), c.said / kRoom, 1e-9);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), c.said / kRoom, 1e-9);
     // What is sent afterwards counts beside it.
     table_.OnSent("a", 50);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), (c.said + 50) / kRoom, 1e-9);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), (c.said + 50) / kRoom,
+                1e-9);
     now_ += seconds(20);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), account + 50 / kRoom, 0.01);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), account + 50 / kRoom,
+                0.01);
   }
 }
 
@@ -163,12 +165,12 @@
   table_.OnSent("a", 300);
   table_.OnSent("b", 500);
   table_.OnSent("c", 400);
-  EndpointTable::Shortage s = table_.ShortestOf(now_, "m", "1");
+  EndpointTable::MemoryBottleneck s = table_.MemoryBottleneckOf(now_, "m", "1");
   EXPECT_EQ(s.layer, 8);  // held by b alone
   EXPECT_EQ(s.holders, 1);
-  EXPECT_NEAR(s.taken, 0.5, 1e-9);
+  EXPECT_NEAR(s.memory_used, 0.5, 1e-9);
   table_.SetDown("b", true);
-  s = table_.ShortestOf(now_, "m", "1");
+  s = table_.MemoryBottleneckOf(now_, "m", "1");
   EXPECT_EQ(s.layer, 8);
   EXPECT_EQ(s.holders, 0);
 }
@@ -184,14 +186,15 @@
     EndpointTable table("h1", Options(), Random(1));
     std::swap(table, table_);
     Add(runners);
-    table_.set_crossing_seconds(1 / 20000.0);  // a link carries 20 a second
+    table_.set_transfer_seconds_per_token(
+        1 / 20000.0);  // a link carries 20 a second
     constexpr int kSent = 600;
     int n = 0;
     for (int i = 0; i < kSent; i++) {
       now_ += milliseconds(10);
       const auto chain = Pick();
       if (table_.HallOf(chain->back().endpoint) == "h1") continue;
-      table_.OnCrossing(now_, 1000);
+      table_.OnTransferSent(now_, 1000);
       n++;
     }
     return n * 100.0 / kSent;  // a second
@@ -209,8 +212,8 @@
 double MostOnOne(bool by_speed_alone, double gap_share) {
   EndpointTable::Options options;
   options.report_valid = hours(1);
-  options.hand_over_directly = true;
-  if (by_speed_alone) options.off.Add(Mechanism::kSpreadPrice);
+  options.direct_handoff = true;
+  if (by_speed_alone) options.mechanisms.Add(Mechanism::kSpeedWeight);
   EndpointTable table("h", options, Random(1));
   table.set_gap_share(gap_share);
   const Time now = Time{} + seconds(100);
@@ -228,7 +231,7 @@
     report.holds = {0, kLayers};
     report.slots = 1000;
     report.layer_seconds = e.name == "0" ? 0.00003 : 0.00015;
-    report.room = kRoom;
+    report.memory_capacity = kRoom;
     table.OnReport(now, e.name, report);
   }
   std::map<std::string, int> streams;
@@ -288,31 +291,31 @@
 
 // Every mechanism has a name that reads back, and is on unless it is named.
 TEST(Mechanisms, HaveNamesAndAreOnByDefault) {
-  MechanismsOff all;
+  MechanismSwitches all;
   for (int i = 0; i < kMechanisms; i++) {
     const auto m = static_cast<Mechanism>(i);
     EXPECT_EQ(MechanismNamed(MechanismName(m)), m);
-    MechanismsOff one;
-    EXPECT_TRUE(one.on(m));
+    MechanismSwitches one;
+    EXPECT_TRUE(one.enabled(m));
     one.Add(m);
-    EXPECT_FALSE(one.on(m));
+    EXPECT_FALSE(one.enabled(m));
     EXPECT_EQ(one.ToString(), MechanismName(m));
     all.Add(m);
   }
   EXPECT_EQ(MechanismNamed("magic"), std::nullopt);
   for (int i = 0; i < kMechanisms; i++) {
-    EXPECT_FALSE(all.on(static_cast<Mechanism>(i)));
+    EXPECT_FALSE(all.enabled(static_cast<Mechanism>(i)));
   }
 }
 
 // What is switched off decides nothing.
 TEST(Mechanisms, SwitchedOffTheyDecideNothing) {
   struct Case {
-    Mechanism off;
+    Mechanism mechanisms;
     std::function<void(EndpointTable*, Time)> load;
   };
   const Case cases[] = {
-      {Mechanism::kEntrySlots,
+      {Mechanism::kFirstStageSlots,
        [](EndpointTable* t, Time) {
          t->OnPeerCounts({{NameId("a"), {0, kSlots}}});
        }},
@@ -320,11 +323,11 @@
        [](EndpointTable* t, Time) {
          t->OnPeerCounts({{NameId("a"), {2000, 0}}});
        }},
-      {Mechanism::kObservedRoom,
+      {Mechanism::kObservedMemory,
        [](EndpointTable* t, Time now) { t->OnObserved(now, "a", 2000, 0); }},
-      {Mechanism::kRoomBound,
+      {Mechanism::kMemoryLimit,
        [](EndpointTable* t, Time) { t->OnSent("a", 2000); }},
-      {Mechanism::kServeAtNeed,
+      {Mechanism::kLastResort,
        [](EndpointTable* t, Time now) {
          t->OnFailure(now, "a", now);
          t->OnObserved(now + milliseconds(1), "a", 0, 0);
@@ -332,11 +335,11 @@
   };
   const Time now = Time{} + seconds(100);
   for (const Case& c : cases) {
-    for (const bool off : {false, true}) {
+    for (const bool mechanisms : {false, true}) {
       EndpointTable::Options options;
       options.report_valid = hours(1);
-      options.hand_over_directly = true;
-      if (off) options.off.Add(c.off);
+      options.direct_handoff = true;
+      if (mechanisms) options.mechanisms.Add(c.mechanisms);
       EndpointTable table("h", options, Random(1));
       ListedEndpoint e;
       e.name = "a";
@@ -349,16 +352,16 @@
       report.holds = {0, 1};
       report.slots = kSlots;
       report.layer_seconds = 0.001;
-      report.room = kRoom;
+      report.memory_capacity = kRoom;
       table.OnReport(now - seconds(1), "a", report);
       c.load(&table, now);
       const auto chain =
           table.PickChainFor(now + milliseconds(2), "m", "1", {0, 1},
                              [](const std::string&) { return 1.0; });
       // Serving at need is the one that lets in, the others keep out.
-      const bool lets_in = c.off == Mechanism::kServeAtNeed;
-      EXPECT_EQ(chain.has_value(), off != lets_in)
-          << MechanismName(c.off) << " off: " << off;
+      const bool lets_in = c.mechanisms == Mechanism::kLastResort;
+      EXPECT_EQ(chain.has_value(), mechanisms != lets_in)
+          << MechanismName(c.mechanisms) << " off: " << mechanisms;
     }
   }
 }
--- a/pinford/testing/pool_planner_test.cc
+++ b/pinford/testing/pool_planner_test.cc
@@ -93,7 +93,7 @@
     row.loading = order.range;
     row.loaded = clock_->now() + load_time;
     loads++;
-    return LayerOrderStatus::kBegun;
+    return LayerOrderStatus::kStarted;
   }
 
   // Crashes and comes back empty, under another id.
@@ -204,7 +204,7 @@
   explicit World(uint64_t seed, int most_moves = 0, bool take_over_ask = true)
       : random(seed), store(&clock, seed), pool(&clock) {
     options.most_moves = most_moves;
-    if (!take_over_ask) options.off.Add(Mechanism::kTakeOverAsk);
+    if (!take_over_ask) options.mechanisms.Add(Mechanism::kTakeoverProbe);
     auto c = std::make_shared<ServiceConfiguration>();
     c->version = 1;
     EnginePool engine;
@@ -259,7 +259,7 @@
         clients.back().get(), orders.back().get(), box,
         "box-" + std::to_string(i), options, events));
     planners.back()->Start(milliseconds(100));
-    clients.back()->era.set_on_rise(
+    clients.back()->era.set_on_increase(
         [planner = planners.back().get()](uint64_t, uint64_t) {
           planner->OnStoreRestored();
           EXPECT_FALSE(planner->planning());
--- a/pinford/testing/reading_load_test.cc
+++ b/pinford/testing/prefill_load_test.cc
@@ -33,8 +33,8 @@
   r.layers = kLayers;
   r.holds = {0, kLayers};
   r.layer_seconds = step / kLayers;
-  r.read_seconds = 1 / (prompts * 1000 * kLayers);
-  r.room = 1e6;
+  r.prefill_seconds = 1 / (prompts * 1000 * kLayers);
+  r.memory_capacity = 1e6;
   return r;
 }
 
@@ -73,7 +73,7 @@
     for (int b = 0; b < boxes; b++) {
       EndpointTable::Options options;
       options.report_valid = hours(1);
-      options.hand_over_directly = true;
+      options.direct_handoff = true;
       tables_.push_back(
           std::make_unique<EndpointTable>("h", options, Random(b + 1)));
       tables_[b]->OnList(list);
@@ -83,8 +83,8 @@
       }
     }
   }
-  void set_crossing_seconds(double s) {
-    for (auto& table : tables_) table->set_crossing_seconds(s);
+  void set_transfer_seconds_per_token(double s) {
+    for (auto& table : tables_) table->set_transfer_seconds_per_token(s);
   }
 
   // Some box sends a prompt of a thousand tokens, `after` the one before.
@@ -96,10 +96,10 @@
         now_, "m", "1", {0, kLayers}, [](const std::string&) { return 1.0; });
     if (!chain) return {};
     for (const Stage& stage : *chain) {
-      table.OnPrompt(now_, stage.endpoint, kTokens * stage.range.size());
+      table.OnPrefillSent(now_, stage.endpoint, kTokens * stage.range.size());
     }
     const std::string& hall = table.HallOf(chain->back().endpoint);
-    if (hall != "h") table.OnCrossing(now_, kTokens);
+    if (hall != "h") table.OnTransferSent(now_, kTokens);
     if (last_hall != nullptr) *last_hall = hall;
     return *chain;
   }
@@ -161,7 +161,7 @@
   Fleet fleet(8, {runner("slow", "h", {0, kLayers}, 0.016),
                   runner("first", "h", {0, 5}, 0.002),
                   runner("second", "other", {5, kLayers}, 0.002)});
-  fleet.set_crossing_seconds(1 / (kLinksCarry * 1000));
+  fleet.set_transfer_seconds_per_token(1 / (kLinksCarry * 1000));
   double crossed = 0;
   for (int i = 0; i < kSeconds * kPerSecond; i++) {
     std::string last_hall;
@@ -174,7 +174,7 @@
 
 TEST(ReadingLoad, WhatCannotBeToldCostsNothing) {
   LoadReport unknown = Report(0.002, 50);
-  unknown.read_seconds = 0;
+  unknown.prefill_seconds = 0;
   const auto got = Spread(
       8, 119, {{Listed("fast"), unknown}, {Listed("slow"), Report(0.016, 60)}});
   EXPECT_GT(got.at("fast"), 100);
--- a/pinford/testing/prefix_mirror_test.cc
+++ b/pinford/testing/prefix_mirror_test.cc
@@ -94,7 +94,7 @@
     if (other || since < forgotten_) {
       Answer(Duration(0), fn, [] {
         PrefixResult r;
-        r.status = StoreStatus::kForgotten;
+        r.status = StoreStatus::kCompacted;
         return r;
       });
       return;
@@ -109,7 +109,7 @@
       PrefixResult r;
       // Since it was looked at, 2 ms ago.
       if (since.era() < revision_.era() || since < forgotten_) {
-        r.status = StoreStatus::kForgotten;
+        r.status = StoreStatus::kCompacted;
         return r;
       }
       r.status = news ? StoreStatus::kOk : StoreStatus::kTimeout;
@@ -155,7 +155,7 @@
       const Duration back =
           is_late ? milliseconds(500 + random_() % 2500) : milliseconds(2);
       clock_->After(back, [this, fn, r, told = revision_.era()] {
-        fn(era.Saw(told) ? r : PrefixResult());
+        fn(era.Observe(told) ? r : PrefixResult());
       });
     });
   }
@@ -177,7 +177,7 @@
   Mirrored(FakePrefixStore* store, PausedClock* clock,
            const PrefixMirrorOptions& options = {})
       : mirror(store, clock, "p/", options, Events()) {
-    store->era.set_on_rise([this](uint64_t, uint64_t) { mirror.ListAgain(); });
+    store->era.set_on_increase([this](uint64_t, uint64_t) { mirror.Relist(); });
   }
 
   PrefixMirrorEvents Events() {
@@ -188,7 +188,7 @@
       lists++;
     };
     events.on_changes = [this](const PrefixResult& r) { Take(r); };
-    events.on_proof = [](Time) {};
+    events.on_freshness = [](Time) {};
     events.on_reachable = [this](bool r, StoreStatus) {
       reachable = r;
       changes_of_reach++;
@@ -197,7 +197,7 @@
   }
   void Take(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
-      if (item.gone) {
+      if (item.removed) {
         copy.erase(item.key);
       } else {
         copy[item.key] = item.value;
@@ -272,7 +272,7 @@
     PausedClock clock;
     FakePrefixStore store(&clock, 1);
     PrefixMirrorOptions options;
-    options.silent_limit = milliseconds(20);
+    options.unreachable_timeout = milliseconds(20);
     Mirrored m(&store, &clock, options);
     m.mirror.Start();
     clock.Advance(seconds(1));
@@ -289,7 +289,7 @@
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   PrefixMirrorOptions options;
-  options.silent_limit = milliseconds(20);
+  options.unreachable_timeout = milliseconds(20);
   Mirrored m(&store, &clock, options);
   m.mirror.Start();
   clock.Advance(seconds(1));
@@ -323,8 +323,8 @@
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
   Mirrored m(&store, &clock);
-  m.mirror.Look();
-  m.mirror.Look();
+  m.mirror.ReadOnce();
+  m.mirror.ReadOnce();
   clock.Advance(seconds(5));
   EXPECT_EQ(m.copy, store.Values());
   EXPECT_EQ(store.calls, 1);
@@ -332,18 +332,18 @@
 
   // One that gets no answer ends, and the next may begin.
   store.lose = 1;
-  m.mirror.Look();
+  m.mirror.ReadOnce();
   clock.Advance(seconds(5));
   EXPECT_EQ(store.calls, 2);
   EXPECT_FALSE(m.reachable);
   store.lose = 0;
   store.Put("p/b", "2");
-  m.mirror.Look();
+  m.mirror.ReadOnce();
   clock.Advance(milliseconds(100));
   EXPECT_EQ(m.copy, store.Values());
 
   // A look that is under way becomes the mirror's first list.
-  m.mirror.Look();
+  m.mirror.ReadOnce();
   m.mirror.Start();
   clock.Advance(milliseconds(100));
   EXPECT_EQ(store.calls, 5) << "a list and a watch";
@@ -386,8 +386,9 @@
         default:
           break;
       }
-      if (m.mirror.proof() == Time{}) continue;
-      const int then = std::prev(truth.upper_bound(m.mirror.proof()))->second;
+      if (m.mirror.fresh_as_of() == Time{}) continue;
+      const int then =
+          std::prev(truth.upper_bound(m.mirror.fresh_as_of()))->second;
       const auto it = m.copy.find("p/n");
       const int have = it == m.copy.end() ? 0 : std::stoi(it->second);
       ASSERT_GE(have, then) << seed << " at step " << step;
@@ -396,7 +397,7 @@
     store.lose = store.late = store.refuse = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
-    EXPECT_LE(clock.now() - m.mirror.proof(), seconds(3)) << seed;
+    EXPECT_LE(clock.now() - m.mirror.fresh_as_of(), seconds(3)) << seed;
   }
 }
 
@@ -469,14 +470,15 @@
           break;
       }
       there[store.Values()] = clock.now();
-      if (m.mirror.proof() == Time{}) continue;
+      if (m.mirror.fresh_as_of() == Time{}) continue;
       ASSERT_TRUE(there.contains(m.copy)) << seed << " at step " << step;
-      ASSERT_GE(there[m.copy], m.mirror.proof()) << seed << " at step " << step;
+      ASSERT_GE(there[m.copy], m.mirror.fresh_as_of())
+          << seed << " at step " << step;
     }
     store.lose = store.late = store.refuse = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
-    EXPECT_LE(clock.now() - m.mirror.proof(), seconds(3)) << seed;
+    EXPECT_LE(clock.now() - m.mirror.fresh_as_of(), seconds(3)) << seed;
   }
   EXPECT_GT(restores, 5000);
 }
--- a/pinford/testing/probe_evidence_test.cc
+++ b/pinford/testing/probe_evidence_test.cc
@@ -28,7 +28,7 @@
     ProbeEvidence evidence;
     for (int ms : c.sent) evidence.OnSent(At(ms));
     for (int ms : c.answered) evidence.OnAnswered(At(ms));
-    EXPECT_EQ(evidence.Blames(At(100)), c.blames) << c.name;
+    EXPECT_EQ(evidence.IndicatesFailure(At(100)), c.blames) << c.name;
   }
 }
 
@@ -37,20 +37,20 @@
   evidence.OnSent(At(0));
   evidence.OnAnswered(At(0));
   for (size_t i = 0; i < ProbeEvidence::kMostKept; i++) evidence.OnSent(At(1));
-  EXPECT_FALSE(evidence.Blames(At(1)));
+  EXPECT_FALSE(evidence.IndicatesFailure(At(1)));
 }
 
 TEST(ProbeEvidence, ADoubtLastsUntilSomethingIsAnswered) {
   ProbeEvidence evidence;
   evidence.OnSent(At(0));
   evidence.OnSent(At(0));
-  EXPECT_FALSE(evidence.Blames(At(0)));
+  EXPECT_FALSE(evidence.IndicatesFailure(At(0)));
   evidence.OnSent(At(200));  // alone
-  EXPECT_FALSE(evidence.Blames(At(200)));
+  EXPECT_FALSE(evidence.IndicatesFailure(At(200)));
   evidence.OnSent(At(400));
   evidence.OnAnswered(At(400));
   evidence.OnSent(At(600));
-  EXPECT_TRUE(evidence.Blames(At(600)));
+  EXPECT_TRUE(evidence.IndicatesFailure(At(600)));
 }
 
 }  // namespace
--- a/pinford/testing/asked_rest_test.cc
+++ b/pinford/testing/requested_backoff_test.cc
@@ -87,7 +87,7 @@
       {"a refusal", [](EndpointTable* t, Time now) { t->OnFull(now, "a"); }},
       {"a shorter rest",
        [](EndpointTable* t, Time now) {
-         t->OnRestAsked(now, "a", milliseconds(10));
+         t->OnBackoffRequested(now, "a", milliseconds(10));
        }},
       {"a list", [&](EndpointTable* t, Time) { t->OnList({listed}); }},
       {"a report",
@@ -100,7 +100,7 @@
        }},
       {"a new life",
        [&](EndpointTable* t, Time now) {
-         t->OnNewLife(now, "a");
+         t->OnRestart(now, "a");
          t->OnReport(now, "a", report);
        }},
       {"down and up again",
@@ -113,7 +113,7 @@
     EndpointTable table("h", Fixture::TableOptions(), Random(1));
     table.OnList({listed});
     table.OnReport(start, "a", report);
-    table.OnRestAsked(start, "a", seconds(3));
+    table.OnBackoffRequested(start, "a", seconds(3));
     c.then(&table, start + milliseconds(100));
     for (const int64_t ms : {100, 500, 1500, 2999}) {
       const Time now = start + milliseconds(ms);
@@ -211,7 +211,7 @@
   ListedEndpoint anew =
       Fixture::Listed("a", EndpointRole::kService, f.b.address());
   anew.incarnation = 2;
-  f.table.OnNewLife(f.loop.now(), "a");
+  f.table.OnRestart(f.loop.now(), "a");
   f.table.OnList({anew});
   LoadReport report;
   report.incarnation = 2;
@@ -234,7 +234,7 @@
   } cases[] = {
       {"asks for rest",
        [](Fixture* f, const std::string& name) {
-         f->table.OnRestAsked(f->loop.now(), name, seconds(1));
+         f->table.OnBackoffRequested(f->loop.now(), name, seconds(1));
        }},
       {"is full",
        [](Fixture* f, const std::string& name) {
--- a/pinford/testing/restored_fleet_test.cc
+++ b/pinford/testing/restored_fleet_test.cc
@@ -21,8 +21,8 @@
 class Schedule {
  public:
   explicit Schedule(int seed) : random(seed), fleet(kBoxes, kHalls) {
-    fleet.reaches = [this](int a, int b) { return !Cut(a) && !Cut(b); };
-    fleet.store.serves = [this](int box) { return serves[box]; };
+    fleet.can_reach = [this](int a, int b) { return !Cut(a) && !Cut(b); };
+    fleet.store.response = [this](int box) { return response[box]; };
   }
 
   bool Cut(int box) const { return cut == box; }
@@ -39,7 +39,7 @@
         fleet.store.Put(++last_version);
         break;
       case 2:
-        for (int i = 0; i < 4; i++) fleet.store.Change();
+        for (int i = 0; i < 4; i++) fleet.store.BumpRevision();
         break;
       case 3:
       case 4:
@@ -52,18 +52,18 @@
         starts++;
         break;
       case 6:
-        serves[box] = random() % 2 == 0 ? FleetStore::Serves::kRefuses
-                                        : FleetStore::Serves::kSilent;
+        response[box] = random() % 2 == 0 ? FleetStore::Response::kRefuse
+                                          : FleetStore::Response::kNone;
         break;
       case 7:
-        std::fill(std::begin(serves), std::end(serves),
-                  FleetStore::Serves::kSilent);
+        std::fill(std::begin(response), std::end(response),
+                  FleetStore::Response::kNone);
         break;
       case 8:
       case 9:
       case 10:
-        std::fill(std::begin(serves), std::end(serves),
-                  FleetStore::Serves::kAnswers);
+        std::fill(std::begin(response), std::end(response),
+                  FleetStore::Response::kAnswer);
         break;
       case 11:
         cut = box;
@@ -83,8 +83,8 @@
   // The trouble ends, and the operator writes what was lost.
   void Settle() {
     cut = -1;
-    std::fill(std::begin(serves), std::end(serves),
-              FleetStore::Serves::kAnswers);
+    std::fill(std::begin(response), std::end(response),
+              FleetStore::Response::kAnswer);
     Rewrite();
     fleet.Run(seconds(8));
   }
@@ -95,7 +95,7 @@
     const uint64_t version = back == 0
                                  ? fleet.store.configuration
                                  : acknowledged[acknowledged.size() - back];
-    for (int i = 0; i < 3; i++) fleet.store.Change();
+    for (int i = 0; i < 3; i++) fleet.store.BumpRevision();
     fleet.store.Restore(std::min(version, fleet.store.configuration));
     restores++;
   }
@@ -140,7 +140,7 @@
   }
 
   Random random;
-  FleetStore::Serves serves[kBoxes] = {};
+  FleetStore::Response response[kBoxes] = {};
   int cut = -1;  // a box that reaches no other
   Fleet fleet;
   uint64_t last_version = 1;
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -28,12 +28,12 @@
 // A settled one of `boxes`, that has just had as many requests.
 RetryShare ShareWith(Time now, int requests, int boxes = 64) {
   RetryShare share(now - seconds(20), RetryShare::Options());
-  share.OnBoxes(now, boxes);
+  share.OnBoxCount(now, boxes);
   for (int i = 0; i < requests; i++) share.OnRequest(now, kService);
   return share;
 }
 
-int TakeAll(RetryShare* share, Time now, RetryNeed need) {
+int TakeAll(RetryShare* share, Time now, RetryClass need) {
   int n = 0;
   while (share->Take(now, kService, need)) n++;
   return n;
@@ -64,7 +64,7 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
     RetryShare share(kStart - c.up, RetryShare::Options());
-    share.OnBoxes(kStart, c.boxes);
+    share.OnBoxCount(kStart, c.boxes);
     const Time before = kStart - seconds(2);
     for (int i = 0; i < c.requests; i++) share.OnRequest(before, kService);
     for (int i = 0; i < c.taken; i++) share.Take(before, kService);
@@ -100,7 +100,7 @@
 
 TEST(RetryLoans, ABoxInNeedDoesNotLend) {
   RetryShare share = ShareWith(kStart, 30, 2);
-  EXPECT_GT(TakeAll(&share, kStart, RetryNeed::kBegunStream), 80);
+  EXPECT_GT(TakeAll(&share, kStart, RetryClass::kBegunStream), 80);
   RetryShare borrower = ShareWith(kStart, 30);
   borrower.Borrow(kService, 3, kStart + seconds(1));
   EXPECT_EQ(share.Lend(kStart, kService, 9), 0);
@@ -108,21 +108,22 @@
 }
 
 TEST(RetryLoans, BegunStreamsAndUrgentRequestsGoFirst) {
-  for (const RetryNeed need : {RetryNeed::kBegunStream, RetryNeed::kUrgent}) {
+  for (const RetryClass need :
+       {RetryClass::kBegunStream, RetryClass::kUrgent}) {
     RetryShare share = ShareWith(kStart, 100, 10);  // 16 + 16
-    EXPECT_EQ(TakeAll(&share, kStart, RetryNeed::kOther), 24);
+    EXPECT_EQ(TakeAll(&share, kStart, RetryClass::kOther), 24);
     EXPECT_EQ(TakeAll(&share, kStart, need), 8);
     share.Borrow(kService, 2, kStart + seconds(1));
-    EXPECT_EQ(TakeAll(&share, kStart, RetryNeed::kOther), 0);
+    EXPECT_EQ(TakeAll(&share, kStart, RetryClass::kOther), 0);
     EXPECT_EQ(TakeAll(&share, kStart, need), 2);
-    EXPECT_EQ(share.refused(RetryNeed::kOther), 2);
+    EXPECT_EQ(share.refused(RetryClass::kOther), 2);
     EXPECT_EQ(share.refused(need), 2);
     EXPECT_EQ(share.refused(), 4);
     // What is borrowed ends.
     share.Borrow(kService, 2, kStart + seconds(1));
     EXPECT_EQ(TakeAll(&share, kStart + seconds(1), need), 0);
   }
-  EXPECT_EQ(RetryNeedName(RetryNeed::kUrgent), "urgent");
+  EXPECT_EQ(RetryClassName(RetryClass::kUrgent), "urgent");
 }
 
 // A box that has just started and lacks `lacks` retries.
@@ -130,7 +131,7 @@
   explicit Needy(int lacks, uint64_t seed = 1)
       : share(kStart, RetryShare::Options()),
         loans(&share, RetryLoans::Options(), Random(seed)) {
-    share.OnBoxes(kStart, 64);
+    share.OnBoxCount(kStart, 64);
     for (int i = 0; i < lacks; i++) share.Take(kStart, kService);
   }
   RetryShare share;
@@ -149,14 +150,14 @@
     RetryShare share = ShareWith(kStart, 0, 8);
     SCOPED_TRACE(late.count());
     Needy box(0);
-    EXPECT_TRUE(box.loans.Asks(kStart).empty());
+    EXPECT_TRUE(box.loans.MakeAsks(kStart).empty());
     EXPECT_FALSE(box.share.Take(kStart + milliseconds(1), kService));
     const Time next = kStart + tick + milliseconds(2) + late;
-    const std::vector<RetryAsk> asks = box.loans.Asks(next);
+    const std::vector<RetryAsk> asks = box.loans.MakeAsks(next);
     ASSERT_EQ(asks.size(), 1u);
     EXPECT_EQ(asks[0].count, 1);
     // It is asked for once.
-    EXPECT_TRUE(box.loans.Asks(next + tick + milliseconds(1)).empty());
+    EXPECT_TRUE(box.loans.MakeAsks(next + tick + milliseconds(1)).empty());
   }
 }
 
@@ -170,19 +171,19 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.lacks);
     Needy box(c.lacks);
-    const std::vector<RetryAsk> asks = box.loans.Asks(kStart);
+    const std::vector<RetryAsk> asks = box.loans.MakeAsks(kStart);
     ASSERT_EQ(asks.size(), c.peers);
     for (const RetryAsk& ask : asks) EXPECT_EQ(ask.count, c.each);
-    EXPECT_TRUE(box.loans.Asks(kStart).empty());
+    EXPECT_TRUE(box.loans.MakeAsks(kStart).empty());
   }
   // Where a burst goes on, it asks before it has to refuse: of the 7 that it
   // has, 5 go at once, and 5 more would not be left.
   RetryShare share = ShareWith(kStart, 30);
   RetryLoans loans(&share, RetryLoans::Options(), Random(1));
   for (int i = 0; i < 3; i++) EXPECT_TRUE(share.Take(kStart, kService));
-  EXPECT_TRUE(loans.Asks(kStart).empty());
+  EXPECT_TRUE(loans.MakeAsks(kStart).empty());
   for (int i = 0; i < 2; i++) EXPECT_TRUE(share.Take(kStart, kService));
-  EXPECT_FALSE(loans.Asks(kStart).empty());
+  EXPECT_FALSE(loans.MakeAsks(kStart).empty());
 }
 
 TEST(RetryLoans, AnAnswerCountsOnceInTimeAndForNoMoreThanWasAsked) {
@@ -204,16 +205,16 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
     Needy box(4);
-    const RetryAsk ask = box.loans.Asks(kStart).at(0);
+    const RetryAsk ask = box.loans.MakeAsks(kStart).at(0);
     const RetryLoan loan{ask.nonce + c.nonce_change,
                          static_cast<uint8_t>(c.count)};
     const Time now = kStart + c.after;
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.first);
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.second);
-    EXPECT_EQ(TakeAll(&box.share, now, RetryNeed::kBegunStream), c.first);
+    EXPECT_EQ(TakeAll(&box.share, now, RetryClass::kBegunStream), c.first);
     // A new life knows nothing of the last one's asks.
     Needy next(4, 2);
-    EXPECT_FALSE(next.loans.Asks(kStart).empty());
+    EXPECT_FALSE(next.loans.MakeAsks(kStart).empty());
     EXPECT_EQ(next.loans.OnLoan(now, loan), 0);
   }
 }
@@ -226,7 +227,7 @@
   for (int ms = 0; ms < 9990; ms += 10) {
     const Time now = kStart + milliseconds(ms);
     for (int i = 0; i < 100; i++) box.share.Take(now, kService);
-    for (const RetryAsk& ask : box.loans.Asks(now)) {
+    for (const RetryAsk& ask : box.loans.MakeAsks(now)) {
       asks++;
       granted += box.loans.OnLoan(now, {ask.nonce, 255});
     }
@@ -279,7 +280,7 @@
     box.loans.emplace(&*box.share, RetryLoans::Options(), Random(network_()));
     box.stands_until = now() + milliseconds(200);
   }
-  bool Take(int b, RetryNeed need) {
+  bool Take(int b, RetryClass need) {
     if (!boxes_[b].share->Take(now(), kService, need)) return false;
     retries_.push_back(now());
     return true;
@@ -291,7 +292,7 @@
     for (int tick = 0; now() < end; tick++) {
       for (int b = 0; b < size(); b++) {
         Box& box = boxes_[b];
-        box.share->OnBoxes(now(), box.cut ? size() / 2 : size());
+        box.share->OnBoxCount(now(), box.cut ? size() / 2 : size());
         if (!Stands(box) && (tick + b) % every == 0) {
           box.share->OnRequest(now(), kService);
           requests_.push_back(now());
@@ -299,7 +300,7 @@
       }
       MakeTrouble();
       step();
-      for (int b = 0; b < size(); b++) Ask(b);
+      for (int b = 0; b < size(); b++) SendRetryRequests(b);
       clock_.Advance(milliseconds(20));
     }
   }
@@ -363,9 +364,9 @@
     if (left <= Duration(0)) return fn();
     clock_.After(left, [this, to, fn] { Receive(to, fn); });
   }
-  void Ask(int b) {
+  void SendRetryRequests(int b) {
     if (!lending_ || Stands(boxes_[b])) return;
-    for (const RetryAsk& ask : boxes_[b].loans->Asks(now())) {
+    for (const RetryAsk& ask : boxes_[b].loans->MakeAsks(now())) {
       int to = static_cast<int>(network_() % (size() - 1));
       if (to >= b) to++;
       Deliver(b, to, [this, b, to, ask] {
@@ -419,7 +420,7 @@
     }
     for (int b = 0; b < fleet_->size(); b++) {
       if (!greedy_[b] || fleet_->stands(b)) continue;
-      while (fleet_->Take(b, kRetryNeeds[random_() % 3])) {
+      while (fleet_->Take(b, kRetryClasses[random_() % 3])) {
       }
     }
   }
@@ -548,7 +549,7 @@
   fleet.Run(milliseconds(2500), 3, [&] {
     if (tick++ % 3 != 0) return;
     for (int i = waiting; i > 0; i--) {
-      if (fleet.Take(0, RetryNeed::kBegunStream)) waiting--;
+      if (fleet.Take(0, RetryClass::kBegunStream)) waiting--;
     }
     served.in_all = 30 - waiting;
     if (tick == 1) served.at_once = served.in_all;
@@ -639,7 +640,7 @@
   Node a(&loop, "a", ports[0], ports[1]);
   Node b(&loop, "b", ports[1], ports[0]);
   // One peer is known, so that of two asks one goes.
-  a.gossip.Ask({{8, "", kService, 3}, {9, "", kService, 3}});
+  a.gossip.SendRetryRequests({{8, "", kService, 3}, {9, "", kService, 3}});
   loop.After(milliseconds(100), [&loop] { loop.Stop(); });
   loop.Run();
   ASSERT_EQ(b.asks.size(), 1u);
@@ -688,7 +689,7 @@
     });
     loop.After(milliseconds(2500), [&loop] { loop.Stop(); });
     loop.Run();
-    EXPECT_EQ(TakeAll(needy, loop.now(), RetryNeed::kBegunStream), on ? 3 : 0);
+    EXPECT_EQ(TakeAll(needy, loop.now(), RetryClass::kBegunStream), on ? 3 : 0);
   }
 }
 
--- a/pinford/testing/slope_benchmark.cc
+++ b/pinford/testing/slope_benchmark.cc
@@ -12,7 +12,7 @@
 #include "pinford/endpoint_table.h"
 #include "pinford/engine_protocol.h"
 #include "pinford/forwarding/pool_placement.h"
-#include "pinford/forwarding/source_roster.h"
+#include "pinford/forwarding/source_selector.h"
 #include "pinford/membership.h"
 #include "pinford/policy.h"
 #include "pinford/timeline.h"
@@ -111,7 +111,7 @@
   const auto runners = RunnersOf(pool, static_cast<int>(state.range(0)), 3,
                                  static_cast<int>(state.range(1)));
   for (auto _ : state) {
-    benchmark::DoNotOptimize(PlaceRest(pool, runners, {}));
+    benchmark::DoNotOptimize(PlaceUnderfilledRunners(pool, runners, {}));
   }
 }
 BENCHMARK(BM_PlaceRest)
@@ -162,9 +162,9 @@
   Membership membership(rows[0], {}, Membership::Options(), Random(1));
   const Time now = Time{} + seconds(1);
   membership.OnRows(now, rows);
-  SourceRoster::Options options;
+  SourceSelector::Options options;
   options.refresh = Duration(0);
-  SourceRoster roster(&membership, options);
+  SourceSelector roster(&membership, options);
   for (auto _ : state) benchmark::DoNotOptimize(roster.rank(now));
 }
 BENCHMARK(BM_SourceRoster)->Args({60, 4})->Args({300, 5})->Args({730, 22});
@@ -359,7 +359,7 @@
     source += "-- a line that says what the next one is there for\n";
   }
   const std::string text =
-      WriteConfiguration(Succeed({}, "s", "a", {{"p.lua", source}}));
+      WriteConfiguration(MakeSuccessor({}, "s", "a", {{"p.lua", source}}));
   for (auto _ : state) {
     std::optional<Configuration> c = ParseConfiguration(text);
     Findings findings;
--- a/pinford/testing/stage_recovery_test.cc
+++ b/pinford/testing/stage_recovery_test.cc
@@ -18,7 +18,7 @@
 RecoveryFacts Down() {
   RecoveryFacts f;
   f.down = true;
-  f.begun = true;
+  f.started = true;
   f.allowed = kAllowed;
   f.silent = milliseconds(60);
   f.anew = milliseconds(150);
@@ -72,7 +72,7 @@
     Duration gap_if_kept;
     int more_crossings;
     Duration replace_all;
-    bool begun;
+    bool started;
     RecoveryMove move;
   } cases[] = {
       {"well within", milliseconds(60), 0, milliseconds(100), true,
@@ -93,7 +93,7 @@
     f.gap_if_kept = c.gap_if_kept;
     f.more_crossings = c.more_crossings;
     f.replace_all = c.replace_all;
-    f.begun = c.begun;
+    f.started = c.started;
     EXPECT_EQ(ChooseRecovery(f).move, c.move) << c.name;
   }
 }
@@ -144,7 +144,7 @@
   for (int i = 0; i < 20000; i++) {
     RecoveryFacts f;
     f.down = either();
-    f.begun = either();
+    f.started = either();
     f.allowed = some(1000);
     f.silent = some(2000);
     f.gap_if_kept = some(1000);
@@ -163,13 +163,13 @@
 
 // A hall has lost its only holder of some layers. Streams that get stages in
 // other halls cross one after the other; those that begin anew are read there,
-// over `read_per_s`.
+// over `prefill_per_s`.
 struct Loss {
   int streams = 84;
   double tokens = 900;  // of each
-  double crossing_seconds = 38e-6;
+  double transfer_seconds_per_token = 38e-6;
   int links = 2;
-  double read_per_s = 400000;  // of other halls, whole chains
+  double prefill_per_s = 400000;  // of other halls, whole chains
   int retries = 84;
 };
 
@@ -188,9 +188,9 @@
   int retries = loss.retries;
   RecoveryLoad load;
   load.tokens = loss.streams * loss.tokens;
-  load.read_per_s = loss.read_per_s;
+  load.prefill_per_s = loss.prefill_per_s;
   load.more_crossings = 2;
-  load.crossing_seconds = loss.crossing_seconds;
+  load.transfer_seconds_per_token = loss.transfer_seconds_per_token;
   load.links = loss.links;
   for (int i = 0; i < loss.streams; i++) {
     RecoveryFacts f = Down();
@@ -204,12 +204,12 @@
     double done = 0;
     if (anew) {
       retries--;
-      read_busy += loss.tokens / loss.read_per_s;
+      read_busy += loss.tokens / loss.prefill_per_s;
       constexpr double kWholeChain = 0.06;  // seconds, of one by itself
       done = kWholeChain + read_busy;
     } else {
-      link_busy += load.more_crossings * loss.tokens * loss.crossing_seconds /
-                   loss.links;
+      link_busy += load.more_crossings * loss.tokens *
+                   loss.transfer_seconds_per_token / loss.links;
       done = link_busy;
     }
     const Duration pause = kNoticed + FromSeconds(done);
--- a/pinford/testing/store_duty_test.cc
+++ b/pinford/testing/store_calls_test.cc
@@ -52,7 +52,7 @@
 // them, and nobody lacks a proof meanwhile.
 TEST_P(StoreCalls, WhenTheStoreComesBackFromACopy) {
   fleet_.Run(seconds(10));
-  fleet_.Lacking(All);
+  fleet_.CountStale(All);
   for (int round = 0; round < 3; round++) {
     fleet_.store.Restore();
     if (round == 2) fleet_.store.Restore();
@@ -65,7 +65,7 @@
     }
     fleet_.Run(seconds(2));
   }
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 // A box that the store does not answer, and one that reaches no other box but
@@ -73,9 +73,9 @@
 TEST_P(StoreCalls, WhoCannotReachTheRestoredStoreFollowsItsPeers) {
   fleet_.Run(seconds(10));
   const int cut = fleet_.MirrorBoxes()[0];
-  fleet_.store.serves = [cut](int box) {
-    return box == cut ? FleetStore::Serves::kSilent
-                      : FleetStore::Serves::kAnswers;
+  fleet_.store.response = [cut](int box) {
+    return box == cut ? FleetStore::Response::kNone
+                      : FleetStore::Response::kAnswer;
   };
   fleet_.Run(seconds(5));
   fleet_.store.Restore();
@@ -93,13 +93,13 @@
   for (const bool refuse : {true, false}) {
     for (int offset = 0; offset < 1600; offset += step) {
       Fleet fleet(GetParam().boxes, GetParam().halls);
-      fleet.killed_refuse = refuse;
+      fleet.killed_boxes_refuse = refuse;
       fleet.Run(seconds(10) + milliseconds(offset));
       for (const int i : fleet.MirrorBoxes()) fleet.Kill(i);
-      fleet.store.Change();
+      fleet.store.BumpRevision();
       fleet.Run(milliseconds(1500));
       for (int i = 0; i < fleet.size(); i++) {
-        if (!fleet.at(i).up) continue;
+        if (!fleet.at(i).running) continue;
         ASSERT_EQ(fleet.at(i).list(), fleet.store.revision.packed())
             << i << " refuse " << refuse << " after " << offset;
       }
@@ -118,73 +118,73 @@
 
 TEST_P(StoreCalls, WhileAllIsWell) {
   fleet_.Run(seconds(10));
-  fleet_.Lacking(All);
+  fleet_.CountStale(All);
   EXPECT_LE(fleet_.Run(seconds(20)), 22 * halls());
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 // A first of a hall that is gone, cut off or turned away, alone.
 TEST_P(StoreCalls, WhenMirrorsAreLost) {
   fleet_.Run(seconds(10));
-  fleet_.Lacking(All);
+  fleet_.CountStale(All);
   const std::vector<int> mirrors = fleet_.MirrorBoxes();
   for (const int i : mirrors) fleet_.Kill(i);
   EXPECT_LE(fleet_.Run(seconds(20)), 80 * halls());
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 TEST_P(StoreCalls, WhenTheStoreTurnsMirrorsAway) {
-  using Serves = FleetStore::Serves;
-  for (const Serves how : {Serves::kRefuses, Serves::kSilent}) {
+  using Response = FleetStore::Response;
+  for (const Response how : {Response::kRefuse, Response::kNone}) {
     fleet_.Run(seconds(10));
-    fleet_.Lacking(All);
+    fleet_.CountStale(All);
     const std::vector<int> away = fleet_.MirrorBoxes();
-    fleet_.store.serves = [&away, how](int box) {
+    fleet_.store.response = [&away, how](int box) {
       const bool is_away =
           std::find(away.begin(), away.end(), box) != away.end();
-      return is_away ? how : Serves::kAnswers;
+      return is_away ? how : Response::kAnswer;
     };
     EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
-    EXPECT_EQ(fleet_.Lacking(All), 0);
-    fleet_.store.serves = [](int) { return Serves::kAnswers; };
+    EXPECT_EQ(fleet_.CountStale(All), 0);
+    fleet_.store.response = [](int) { return Response::kAnswer; };
   }
 }
 
 // Half of all boxes, drawn: somebody near a mirror is served.
 TEST_P(StoreCalls, WhenTheStoreTurnsHalfAway) {
-  using Serves = FleetStore::Serves;
+  using Response = FleetStore::Response;
   fleet_.Run(seconds(10));
-  fleet_.Lacking(All);
+  fleet_.CountStale(All);
   Random random(5);
   std::vector<bool> away(fleet_.size());
   for (int i = 0; i < fleet_.size(); i++) away[i] = random() % 2 == 0;
-  fleet_.store.serves = [&away](int box) {
-    return away[box] ? Serves::kSilent : Serves::kAnswers;
+  fleet_.store.response = [&away](int box) {
+    return away[box] ? Response::kNone : Response::kAnswer;
   };
   EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 TEST_P(StoreCalls, WhenTheStoreIsSilent) {
-  using Serves = FleetStore::Serves;
+  using Response = FleetStore::Response;
   fleet_.Run(seconds(10));
-  fleet_.store.serves = [](int) { return Serves::kSilent; };
+  fleet_.store.response = [](int) { return Response::kNone; };
   EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
-  fleet_.store.serves = [](int) { return Serves::kAnswers; };
+  fleet_.store.response = [](int) { return Response::kAnswer; };
   // All have a proof again a second and a half after its return.
   fleet_.Run(milliseconds(1500));
-  fleet_.Lacking(All);
+  fleet_.CountStale(All);
   fleet_.Run(seconds(5));
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 TEST_P(StoreCalls, WhenAllBoxesRestart) {
   fleet_.Run(seconds(10));
   for (int i = 0; i < fleet_.size(); i++) fleet_.Start(i);
   EXPECT_LE(fleet_.Run(seconds(10)), 25 * halls() + 15 * kSeeds);
-  fleet_.Lacking(All);
+  fleet_.CountStale(All);
   fleet_.Run(seconds(5));
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 // Boxes come back within 0.3 s, the seeds last: callers are refused until a box
@@ -196,7 +196,7 @@
     const int starts = i < kSeeds ? 300 : i * 37 % 300;
     return fleet_.clock.now() - begun >= milliseconds(starts);
   };
-  fleet_.reaches = [&is_up](int a, int b) { return is_up(a) && is_up(b); };
+  fleet_.can_reach = [&is_up](int a, int b) { return is_up(a) && is_up(b); };
   for (int i = 0; i < fleet_.size(); i++) fleet_.Start(i);
   const auto all_have = [this] {
     for (int i = 0; i < fleet_.size(); i++) {
@@ -229,7 +229,7 @@
   fleet_.Run(seconds(1));
   EXPECT_EQ(lacking(), 0);
   for (int i = 0; i < fleet_.size(); i++) {
-    const Duration full = fleet_.at(i).link_free - fleet_.clock.now();
+    const Duration full = fleet_.at(i).link_free_at - fleet_.clock.now();
     EXPECT_LE(full, milliseconds(150)) << "what waits for its link, " << i;
   }
 }
@@ -244,7 +244,7 @@
   fleet_.at(planner).duty.set_plans(true);
   fleet_.Run(seconds(1));
   for (int change = 0; change < 10; change++) {
-    fleet_.store.Change();
+    fleet_.store.BumpRevision();
     fleet_.Run(milliseconds(200));
     EXPECT_EQ(fleet_.at(planner).list(), fleet_.store.revision.packed())
         << change;
@@ -254,33 +254,33 @@
 // A hall that reaches the store but no other hall.
 TEST_P(StoreCalls, WhenAHallIsAlone) {
   fleet_.Run(seconds(10));
-  fleet_.Lacking(All);
-  fleet_.reaches = [this](int a, int b) {
+  fleet_.CountStale(All);
+  fleet_.can_reach = [this](int a, int b) {
     return (fleet_.hall(a) == 0) == (fleet_.hall(b) == 0);
   };
   EXPECT_LE(fleet_.Run(seconds(20)), 30 * halls());
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 // Single boxes that reach the store but nobody else.
 TEST_P(StoreCalls, OfABoxAlone) {
   fleet_.Run(seconds(10));
-  fleet_.Lacking(All);
+  fleet_.CountStale(All);
   const int alone = fleet_.size() - 1;
-  fleet_.reaches = [alone](int a, int b) { return a != alone && b != alone; };
+  fleet_.can_reach = [alone](int a, int b) { return a != alone && b != alone; };
   EXPECT_LE(fleet_.Run(seconds(20)), 80 * (halls() + 1));
-  EXPECT_EQ(fleet_.Lacking(All), 0);
+  EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
 // The store turns all away that rank near the top of their hall, and serves
 // one box somewhere: its proof reaches its own hall by digests, which are not
 // played here, and looks stay bounded.
 TEST_P(StoreCalls, WhenOnlyOneBoxIsServed) {
-  using Serves = FleetStore::Serves;
+  using Response = FleetStore::Response;
   fleet_.Run(seconds(10));
   const int served = fleet_.size() - 1;
-  fleet_.store.serves = [served](int box) {
-    return box == served ? Serves::kAnswers : Serves::kRefuses;
+  fleet_.store.response = [served](int box) {
+    return box == served ? Response::kAnswer : Response::kRefuse;
   };
   EXPECT_LE(fleet_.Run(seconds(20)), 200 * halls());
 }
--- a/pinford/testing/upstream_client_test.cc
+++ b/pinford/testing/upstream_client_test.cc
@@ -111,13 +111,13 @@
        false},
       {"no length, reset",
        {"HTTP/1.1 200 OK\r\nId: 1\r\n\r\nab", Then::kReset},
-       UpstreamEnd::kCut,
+       UpstreamEnd::kTruncated,
        "ab",
        false},
       {"cut short",
        {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nab",
         Then::kClose},
-       UpstreamEnd::kCut,
+       UpstreamEnd::kTruncated,
        "ab",
        false},
       {"closed without a word",
@@ -130,10 +130,14 @@
        UpstreamEnd::kBroken,
        "",
        false},
-      {"no HTTP", {"\x01\x02 hello\r\n\r\n"}, UpstreamEnd::kGarbage, "", false},
+      {"no HTTP",
+       {"\x01\x02 hello\r\n\r\n"},
+       UpstreamEnd::kMalformed,
+       "",
+       false},
       {"garbage in the chunks",
        {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\nxx\r\n"},
-       UpstreamEnd::kGarbage,
+       UpstreamEnd::kMalformed,
        "",
        false},
   };
@@ -162,7 +166,8 @@
     f.endpoint.steps = {{whole.substr(0, n), Then::kClose}};
     const Result r = f.Get("1");
     ASSERT_TRUE(r.over) << n;
-    EXPECT_TRUE(r.end == UpstreamEnd::kBroken || r.end == UpstreamEnd::kCut)
+    EXPECT_TRUE(r.end == UpstreamEnd::kBroken ||
+                r.end == UpstreamEnd::kTruncated)
         << n;
   }
 }
@@ -213,7 +218,7 @@
     Result first;
     f.Send("1", &first, f.endpoint.address());
     if (!in_use) f.RunFor(milliseconds(60));
-    f.client.Forget("e");
+    f.client.DropConnections("e");
     f.RunFor(milliseconds(60));
     EXPECT_EQ(first.body, "ab");
     EXPECT_EQ(f.Get("2").body, "cd");
