--- a/pinford/forwarding/attempt_result.cc
+++ b/pinford/forwarding/attempt_result.cc
@@ -19,8 +19,8 @@
     case UpstreamEnd::kRefused:
       return {Executed::kNo, ResponseUse::kNone, EndpointFeedback::kFailed};
     case UpstreamEnd::kBroken:
-    case UpstreamEnd::kGarbage:
-    case UpstreamEnd::kCut:
+    case UpstreamEnd::kMalformed:
+    case UpstreamEnd::kTruncated:
       return {Executed::kMaybe, ResponseUse::kNone, EndpointFeedback::kFailed};
     case UpstreamEnd::kComplete:
       break;
--- a/pinford/forwarding/attempt_result.h
+++ b/pinford/forwarding/attempt_result.h
@@ -52,7 +52,7 @@
   // next success; a probe decides whether it is down.
   kFailed,
   // The endpoint named in the response, or else the one that sent it, accepts
-  // no work now. Lasts for EndpointTable::Options::full_rest, or, if a probe
+  // no work now. Lasts for EndpointTable::Options::full_backoff, or, if a probe
   // finds it down, until it responds again.
   kRejected,
 };
--- a/pinford/forwarding/forward_target.cc
+++ b/pinford/forwarding/forward_target.cc
@@ -12,7 +12,7 @@
     : table_(table),
       watch_(watch),
       options_(options),
-      timed_recovery_(table->off().on(Mechanism::kTimedRecovery)) {}
+      timed_recovery_(table->mechanisms().enabled(Mechanism::kTimedRecovery)) {}
 
 bool ForwardTarget::Pick(Time now, const std::set<std::string>& tried) {
   chain_.clear();
@@ -41,16 +41,17 @@
       now, options_.service, *version, {0, options_.layers},
       options_.hall_weight, options_.layer_work);
   if (!chain || chain->empty()) {
-    memory_bottleneck_ = table_->ShortestOf(now, options_.service, *version);
+    memory_bottleneck_ =
+        table_->MemoryBottleneckOf(now, options_.service, *version);
     return false;
   }
   memory_bottleneck_.reset();
   max_memory_use_ = max_prefill_load_ = 0;
   for (const Stage& stage : *chain) {
-    max_memory_use_ =
-        std::max(max_memory_use_, table_->TakenOf(now, stage.endpoint));
+    max_memory_use_ = std::max(
+        max_memory_use_, table_->MemoryUtilizationOf(now, stage.endpoint));
     max_prefill_load_ =
-        std::max(max_prefill_load_, table_->ReadingOf(now, stage.endpoint));
+        std::max(max_prefill_load_, table_->PrefillLoadOf(now, stage.endpoint));
   }
   ReserveChain(now, *chain);
   chain_ = std::move(*chain);
@@ -76,26 +77,26 @@
 void ForwardTarget::ReserveChain(Time now, const Chain& chain) {
   constexpr double kTokens = 1000;  // layer_work is in thousands
   const double crossing = HallTransfers(chain) * options_.layer_work * kTokens;
-  table_->OnCrossing(now, crossing);
-  table_->OnCrossingWaiting(crossing);
+  table_->OnTransferSent(now, crossing);
+  table_->OnTransferQueued(crossing);
   pending_transfer_ += crossing;
   for (const Stage& stage : chain) {
     table_->OnSent(stage.endpoint, WorkOf(stage));
     // Stages that stay keep their prefilled tokens.
     if (Uses(stage.endpoint)) continue;
     const double tokens = options_.prompt * stage.range.size();
-    table_->OnPrompt(now, stage.endpoint, tokens);
-    table_->OnWaiting(stage.endpoint, tokens);
+    table_->OnPrefillSent(now, stage.endpoint, tokens);
+    table_->OnPrefillQueued(stage.endpoint, tokens);
     pending_prefill_.emplace_back(stage.endpoint, tokens);
   }
 }
 
 void ForwardTarget::ClearPendingLoad() {
   for (const auto& [endpoint, tokens] : pending_prefill_) {
-    table_->OnWaitingDone(endpoint, tokens);
+    table_->OnPrefillDone(endpoint, tokens);
   }
   pending_prefill_.clear();
-  table_->OnCrossingDone(std::exchange(pending_transfer_, 0));
+  table_->OnTransferDone(std::exchange(pending_transfer_, 0));
 }
 
 void ForwardTarget::ReleaseChain(const Chain& chain) {
@@ -162,14 +163,15 @@
 
 bool ForwardTarget::AnyStageIdleSince(Time t) const {
   return std::any_of(chain_.begin(), chain_.end(), [this, t](const Stage& s) {
-    return watch_->ProgressOf(s.endpoint) <= t;
+    return watch_->LastProgressOf(s.endpoint) <= t;
   });
 }
 
 std::vector<std::string> ForwardTarget::StagesIdleSince(Time t) const {
   std::vector<std::string> out;
   for (const Stage& stage : chain_) {
-    if (watch_->ProgressOf(stage.endpoint) <= t) out.push_back(stage.endpoint);
+    if (watch_->LastProgressOf(stage.endpoint) <= t)
+      out.push_back(stage.endpoint);
   }
   return out;
 }
@@ -177,7 +179,7 @@
 void ForwardTarget::FailStagesIdleSince(Time t, Time now, Time sent) {
   if (!pool()) table_->OnFailure(now, endpoint_, sent);
   for (const Stage& stage : chain_) {
-    if (watch_->ProgressOf(stage.endpoint) > t) continue;
+    if (watch_->LastProgressOf(stage.endpoint) > t) continue;
     table_->OnFailure(now, stage.endpoint, sent);
   }
 }
@@ -291,12 +293,13 @@
   bool first = true;
   for (const Stage& s : StagesNotIn(next, chain_)) {
     const std::string& hall = table_->HallOf(s.endpoint);
-    const double prefill = capacity.LeastOf(hall, s.range).read_per_s;
-    load.read_per_s = first ? prefill : std::min(load.read_per_s, prefill);
+    const double prefill = capacity.MinOverLayers(hall, s.range).prefill_per_s;
+    load.prefill_per_s =
+        first ? prefill : std::min(load.prefill_per_s, prefill);
     first = false;
   }
   load.extra_transfers = HallTransfers(next) - hall_transfers();
-  load.crossing_seconds = table_->crossing_seconds();
+  load.transfer_seconds_per_token = table_->transfer_seconds_per_token();
   load.links = std::max(1, static_cast<int>(capacity.halls().size()) - 1);
   return load;
 }
--- a/pinford/forwarding/forwarded_request.cc
+++ b/pinford/forwarding/forwarded_request.cc
@@ -12,15 +12,15 @@
 // Reading from the endpoint pauses while more is unsent to a slow caller.
 static constexpr size_t kMaxUnsentBytes = 256 << 10;
 
-ForwardedRequest::ForwardedRequest(ForwardParts* context, Forwarder* owner,
-                                   ForwardOrder order)
+ForwardedRequest::ForwardedRequest(ForwardContext* context, Forwarder* owner,
+                                   AdmittedRequest order)
     : context_(context),
       owner_(owner),
       order_(std::move(order)),
       route_(*order_.route),
       log_(context, &order_),
       target_(context->table, owner->watch(), TargetOptions(*context, order_)),
-      timed_recovery_(context->off.on(Mechanism::kTimedRecovery)) {
+      timed_recovery_(context->mechanisms.enabled(Mechanism::kTimedRecovery)) {
   const std::string last(
       order_.exchange->head().header(context_->protocol.headers.last_event));
   if (!last.empty()) {
@@ -36,7 +36,7 @@
 
 void ForwardedRequest::Start() {
   auto self = weak_from_this();
-  order_.exchange->set_on_hang_up([self] {
+  order_.exchange->set_on_disconnect([self] {
     if (auto r = self.lock()) r->OnCallerDisconnect();
   });
   deadline_timer_ = context_->loop->After(order_.limit - now(), [self] {
@@ -64,25 +64,25 @@
 void ForwardedRequest::Send() {
   const Time t = now();
   picks_++;
-  ForwardNotes notes;
+  AttemptHeaders notes;
   notes.customer = order_.customer;
   notes.instance = target_.endpoint();
   notes.time_left = order_.limit - t;
-  notes.urgency = UrgencyOf(order_.treatment.tier);
+  notes.urgency = UrgencyOf(order_.request_class.tier);
   if (attempts_ > 0 && events_.last_id()) {
     notes.last_event = std::to_string(*events_.last_id());
   }
   notes.chain = target_.WithAddresses(target_.chain());
   last_target_ =
       target_.pool() ? ChainText(target_.chain()) : target_.endpoint();
-  const EntryExchange& exchange = *order_.exchange;
+  const CallerExchange& exchange = *order_.exchange;
   UpstreamRequest request;
   request.endpoint = target_.endpoint();
   request.to = target_.address();
   request.bytes = WriteForwardedRequest(exchange.head(), exchange.body(),
                                         context_->protocol, notes);
   request.id = order_.id;
-  if (!route_.may_repeat()) request.max_rest = kMaxIdleForOnce;
+  if (!route_.may_repeat()) request.max_idle_time = kMaxIdleForOnce;
   phase_ = Phase::kWaiting;
   body_.clear();
   events_.DropPartial();
@@ -115,10 +115,10 @@
 // picked, the request's key may have been revoked, or the endpoint may have
 // stopped accepting requests.
 bool ForwardedRequest::BeforeSend() {
-  config_fresh_ = !order_.keyed || context_->config_is_fresh();
+  config_fresh_ = !order_.requires_key || context_->config_is_fresh();
   if (!config_fresh_) return false;
   const std::string& endpoint = target_.endpoint();
-  backoff_left_ = context_->table->RestLeft(now(), endpoint);
+  backoff_left_ = context_->table->BackoffLeft(now(), endpoint);
   if (!context_->table->MaySend(now(), endpoint)) {
     context_->metrics->Count("sends_withheld_total");
     return false;
@@ -148,10 +148,11 @@
   if (notice.leaving && context_->on_leaving) {
     context_->on_leaving(target_.endpoint(), target_.incarnation());
   }
-  if (!notice.rest) return;
-  context_->table->OnRestAsked(now(), target_.endpoint(), *notice.rest);
+  if (!notice.backoff) return;
+  context_->table->OnBackoffRequested(now(), target_.endpoint(),
+                                      *notice.backoff);
   context_->metrics->Count("rests_asked_total");
-  log_.BackoffRequested(target_, *notice.rest);
+  log_.BackoffRequested(target_, *notice.backoff);
 }
 
 void ForwardedRequest::OnBody(std::string bytes) {
@@ -169,13 +170,13 @@
   const Time t = now();
   last_progress_ = t;
   target_.OnEvents(t);
-  EntryExchange& exchange = *order_.exchange;
+  CallerExchange& exchange = *order_.exchange;
   if (!exchange.streaming()) {
     first_event_ = t;
     first_wait_ = wait_cause_;
     owner_->OnFirstEvent(t - sent_);
     exchange.StartStream(answer_.status, answer_.reason,
-                         PassedHeaders(answer_, context_->protocol));
+                         ForwardedResponseHeaders(answer_, context_->protocol));
   } else {
     RecordGap(t - last_event_);
     owner_->OnGap(t - last_event_, route_.target_gap);
@@ -205,7 +206,7 @@
   if (phase_ == Phase::kWaiting) return facts;
   // A response that ends within an event is incomplete.
   const bool cut = phase_ == Phase::kEvents && events_.has_partial();
-  if (end == UpstreamEnd::kComplete && cut) facts.end = UpstreamEnd::kCut;
+  if (end == UpstreamEnd::kComplete && cut) facts.end = UpstreamEnd::kTruncated;
   facts.status = answer_.status;
   facts.reported_not_run = answer_.CountOf(names.not_run) > 0;
   facts.sealed = !answer_.header(names.seal).empty();
@@ -247,7 +248,7 @@
       return;
     case EndpointFeedback::kFailed:
       context_->table->OnFailure(now(), target_.endpoint(), sent_);
-      if (target_.pool()) owner_->Doubt(target_.endpoint());
+      if (target_.pool()) owner_->ProbeIfDue(target_.endpoint());
       return;
     case EndpointFeedback::kRejected:
       break;
@@ -261,8 +262,8 @@
   context_->table->OnFull(now(), endpoint);
   // An endpoint that asked this box to back off has reported its state and is
   // not probed either.
-  if (context_->table->RestLeft(now(), endpoint) > Duration(0)) return;
-  if (target_.pool()) owner_->Doubt(endpoint);
+  if (context_->table->BackoffLeft(now(), endpoint) > Duration(0)) return;
+  if (target_.pool()) owner_->ProbeIfDue(endpoint);
 }
 
 void ForwardedRequest::RecordRun() {
@@ -285,8 +286,9 @@
 }
 
 void ForwardedRequest::ForwardAnswer() {
-  EntryExchange& exchange = *order_.exchange;
-  const HttpHeaders headers = PassedHeaders(answer_, context_->protocol);
+  CallerExchange& exchange = *order_.exchange;
+  const HttpHeaders headers =
+      ForwardedResponseHeaders(answer_, context_->protocol);
   if (phase_ != Phase::kEvents) {
     exchange.Reply(answer_.status, answer_.reason, headers, body_);
     Finish(answer_.status < 300 ? kComplete : "failed by endpoint");
@@ -316,9 +318,10 @@
 }
 
 Duration ForwardedRequest::SilenceLimit() const {
-  const bool begun = phase_ == Phase::kEvents && first_event_ != Time{};
-  return SilenceLimitOf(
-      route_, begun, begun ? owner_->mean_gap() : owner_->mean_first_event());
+  const bool started = phase_ == Phase::kEvents && first_event_ != Time{};
+  return SilenceTimeout(
+      route_, started,
+      started ? owner_->mean_gap() : owner_->mean_first_event());
 }
 
 void ForwardedRequest::OnStalled(Time t) {
@@ -386,7 +389,7 @@
   context_->loop->Cancel(std::exchange(deadline_timer_, 0));
   context_->loop->Cancel(std::exchange(recheck_timer_, 0));
   const Time t = now();
-  const EntryExchange& exchange = *order_.exchange;
+  const CallerExchange& exchange = *order_.exchange;
   RequestLog::End end;
   end.outcome = outcome;
   end.attempts = attempts_;
@@ -394,15 +397,15 @@
   end.target = &target_;
   end.may_have_run = may_have_run_;
   end.events = events_.events();
-  end.took = t - exchange.begun();
+  end.took = t - exchange.started();
   end.first =
-      first_event_ != Time{} ? first_event_ - exchange.begun() : end.took;
+      first_event_ != Time{} ? first_event_ - exchange.started() : end.took;
   end.first_wait = first_event_ != Time{} ? first_wait_ : wait_cause_;
   // The pause in which a caller disconnects counts too.
   if (first_event_ != Time{}) RecordGap(t - last_event_);
   end.longest_gap = longest_gap_;
   end.gap_wait = gap_wait_;
-  end.process_delay = context_->loop->delays().LongestSince(exchange.begun());
+  end.process_delay = context_->loop->delays().LongestSince(exchange.started());
   end.caller_end = exchange.caller_end();
   end.cut = exchange.streaming() && !end.caller_end && outcome != kComplete;
   log_.Ended(end);
--- a/pinford/forwarding/forwarded_request.h
+++ b/pinford/forwarding/forwarded_request.h
@@ -24,11 +24,11 @@
 #include <string>
 #include <vector>
 
+#include "pinford/forwarding/admitted_request.h"
 #include "pinford/forwarding/attempt_result.h"
 #include "pinford/forwarding/endpoint_notice.h"
 #include "pinford/forwarding/event_stream.h"
 #include "pinford/forwarding/forward_head.h"
-#include "pinford/forwarding/forward_order.h"
 #include "pinford/forwarding/forward_target.h"
 #include "pinford/forwarding/forwarder.h"
 #include "pinford/forwarding/request_log.h"
@@ -38,7 +38,8 @@
 
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest> {
  public:
-  ForwardedRequest(ForwardParts* context, Forwarder* owner, ForwardOrder order);
+  ForwardedRequest(ForwardContext* context, Forwarder* owner,
+                   AdmittedRequest order);
   ~ForwardedRequest();
 
   void Start();
@@ -94,7 +95,7 @@
   // Returns whether another attempt is allowed after `runs` attempts that may
   // have run. If it needs a retry, acquires one, at most one until it is sent.
   bool AcquireAttempt(Time now, int runs);
-  RetryNeed retry_class() const;
+  RetryClass retry_class() const;
   // Makes a started stream wait for a chain, for a retry, or for the
   // configuration to be confirmed. Returns false if the request is no started
   // stream.
@@ -145,9 +146,9 @@
 
   Time now() const { return context_->loop->now(); }
 
-  ForwardParts* context_;
+  ForwardContext* context_;
   Forwarder* owner_;
-  ForwardOrder order_;
+  AdmittedRequest order_;
   const Route& route_;
   RequestLog log_;
 
--- a/pinford/forwarding/forwarder.cc
+++ b/pinford/forwarding/forwarder.cc
@@ -19,14 +19,14 @@
   std::string_view message;
 };
 
-Forwarder::Forwarder(ForwardParts* context)
+Forwarder::Forwarder(ForwardContext* context)
     : context_(context),
       start_queue_(StartQueueOptions()),
       watch_(EndpointWatch::Options()) {}
 
 Forwarder::~Forwarder() = default;
 
-void Forwarder::Refuse(const EntryPtr& exchange, const Refusal& why) {
+void Forwarder::Refuse(const CallerExchangePtr& exchange, const Refusal& why) {
   const std::string id(
       exchange->head().header(context_->protocol.headers.request_id));
   HttpHeaders headers = {{"Content-Type", std::string(kJsonType)}};
@@ -64,7 +64,7 @@
   return initialized_;
 }
 
-void Forwarder::Enqueue(const EntryPtr& exchange) {
+void Forwarder::Enqueue(const CallerExchangePtr& exchange) {
   if (!start_queue_.Add(context_->loop->now(), exchange)) {
     Refuse(exchange,
            {503, "starting", "too many requests wait for a configuration"});
@@ -75,12 +75,12 @@
 
 void Forwarder::AdmitWaiting() {
   if (!IsInitialized()) return;
-  for (EntryPtr& exchange : start_queue_.PopAll()) {
+  for (CallerExchangePtr& exchange : start_queue_.PopAll()) {
     if (exchange->open()) Handle(std::move(exchange));
   }
 }
 
-void Forwarder::Handle(EntryPtr exchange) {
+void Forwarder::Handle(CallerExchangePtr exchange) {
   const HttpHead& head = exchange->head();
   const ForwardHeaders& names = context_->protocol.headers;
   if (!IsInitialized()) {
@@ -106,12 +106,12 @@
   const std::string_view key = head.header(names.key);
   const bool one_key = head.CountOf(names.key) == 1;
   const Customer* customer = one_key ? routes_->CustomerOf(key) : nullptr;
-  const bool keyed = route != nullptr && routes_->NeedsKey(*route);
-  if (keyed && customer == nullptr && config_fresh) {
+  const bool requires_key = route != nullptr && routes_->NeedsKey(*route);
+  if (requires_key && customer == nullptr && config_fresh) {
     Refuse(exchange, {401, "no_key", "no customer has this key"});
     return;
   }
-  if (!config_fresh && (route == nullptr || keyed)) {
+  if (!config_fresh && (route == nullptr || requires_key)) {
     Refuse(exchange, {503, "unproved", "the configuration may be out of date"});
     return;
   }
@@ -119,11 +119,11 @@
     Refuse(exchange, {503, "stopping", "this box is stopping"});
     return;
   }
-  ForwardOrder order;
+  AdmittedRequest order;
   order.exchange = exchange;
   order.routes = routes_;
   order.route = route;
-  order.keyed = keyed;
+  order.requires_key = requires_key;
   order.priority = route->priority;
   if (customer != nullptr) {
     order.customer = customer->name;
@@ -134,8 +134,8 @@
   order.service = DrawService(*route, draw);
   order.id = std::string(head.header(names.request_id));
   exchange->set_log_id(order.id);
-  order.treatment = context_->classify(FactsOf(order));
-  if (order.treatment.refuse) {
+  order.request_class = context_->classify(FactsOf(order));
+  if (order.request_class.refuse) {
     Refuse(exchange, {503, "policy", "refused by the policy"});
     return;
   }
@@ -143,7 +143,7 @@
   if (auto ms = ParseMillis(head.header(names.time_left))) {
     limit = std::min(limit, Duration(milliseconds(*ms)));
   }
-  order.limit = exchange->begun() + limit;
+  order.limit = exchange->started() + limit;
   context_->retries->OnRequest(context_->loop->now(), order.service);
   context_->metrics->Count("requests_total", "route=\"" + route->name + "\"");
   auto request =
@@ -160,7 +160,7 @@
          now + route.timeout < stop_deadline_;
 }
 
-void Forwarder::GiveUpAll() {
+void Forwarder::AbortAll() {
   const std::list<std::shared_ptr<ForwardedRequest>> all = active_;
   for (const auto& request : all) request->OnShutdown();
 }
@@ -177,14 +177,14 @@
 
 void Forwarder::Tick() {
   const Time now = context_->loop->now();
-  for (const EntryPtr& exchange : start_queue_.PopExpired(now)) {
+  for (const CallerExchangePtr& exchange : start_queue_.PopExpired(now)) {
     if (!exchange->open()) continue;
     Refuse(exchange, {503, "starting", "no configuration is known yet"});
   }
   const std::list<std::shared_ptr<ForwardedRequest>> all = active_;
   for (const auto& request : all) request->Tick(now);
-  if (!context_->off.on(Mechanism::kSilenceWatch)) return;
-  for (const std::string& name : watch_.ToAsk(now)) SendProbe(name);
+  if (!context_->mechanisms.enabled(Mechanism::kIdleProbe)) return;
+  for (const std::string& name : watch_.EndpointsToProbe(now)) SendProbe(name);
 }
 
 // Updates a moving mean over about the last 50 samples.
@@ -205,33 +205,33 @@
   context_->table->set_gap_share(mean_gap_ratio_);
 }
 
-void Forwarder::Doubt(const std::string& endpoint) {
-  if (watch_.BeginAsk(context_->loop->now(), endpoint)) SendProbe(endpoint);
+void Forwarder::ProbeIfDue(const std::string& endpoint) {
+  if (watch_.BeginProbe(context_->loop->now(), endpoint)) SendProbe(endpoint);
 }
 
 void Forwarder::SendProbe(const std::string& endpoint) {
   context_->metrics->Count("endpoints_asked_total");
-  const Time restarted = context_->table->LifeBegun(endpoint);
+  const Time restarted = context_->table->LastRestartOf(endpoint);
   const Time sent = context_->loop->now();
   if (!watch_.IsDown(endpoint)) evidence_.OnSent(sent);
-  context_->ask(endpoint,
-                [this, endpoint, restarted, sent](const RunnerHealth& health) {
-                  // The result is of an earlier incarnation.
-                  if (context_->table->LifeBegun(endpoint) != restarted) return;
-                  OnProbeResult(endpoint, sent, health);
-                });
+  context_->probe(
+      endpoint, [this, endpoint, restarted, sent](const RunnerHealth& health) {
+        // The result is of an earlier incarnation.
+        if (context_->table->LastRestartOf(endpoint) != restarted) return;
+        OnProbeResult(endpoint, sent, health);
+      });
 }
 
 void Forwarder::ProbeAgain(const std::string& endpoint) {
   context_->metrics->Count("probes_undecided_total");
-  if (!watch_.OnUndecided(endpoint)) return;
+  if (!watch_.OnProbeInconclusive(endpoint)) return;
   ProbeControlRunner();
-  Doubt(endpoint);
+  ProbeIfDue(endpoint);
 }
 
 void Forwarder::ProbeControlRunner() {
   const Time now = context_->loop->now();
-  if (now - control_probed_at_ < ProbeEvidence::kTogether) return;
+  if (now - control_probed_at_ < ProbeEvidence::kConcurrentWindow) return;
   control_probed_at_ = now;
   std::vector<const std::string*> candidates;
   for (const auto& [name, row] : context_->table->rows()) {
@@ -241,22 +241,22 @@
   }
   if (candidates.empty()) return;
   std::uniform_int_distribution<size_t> any(0, candidates.size() - 1);
-  Doubt(*candidates[any(*context_->random)]);
+  ProbeIfDue(*candidates[any(*context_->random)]);
 }
 
 void Forwarder::OnProbeResult(const std::string& endpoint, Time sent,
                               const RunnerHealth& health) {
   if (health.answered) {
     evidence_.OnAnswered(sent);
-  } else if (!watch_.IsDown(endpoint) && !evidence_.Blames(sent)) {
+  } else if (!watch_.IsDown(endpoint) && !evidence_.IndicatesFailure(sent)) {
     ProbeAgain(endpoint);
     return;
   }
   const EndpointWatch::Change change =
-      watch_.OnAnswer(endpoint, health.works, health.pace);
+      watch_.OnProbeResult(endpoint, health.works, health.slowdown);
   context_->table->SetDown(endpoint, !health.works);
   if (health.works) {
-    context_->table->SetPace(endpoint, health.pace);
+    context_->table->SetSlowdown(endpoint, health.slowdown);
     context_->table->OnObserved(context_->loop->now(), endpoint, health.used,
                                 health.entries);
   }
@@ -267,7 +267,7 @@
            LogFields()
                .Add("endpoint", endpoint)
                .Add("works", health.works)
-               .Add("pace", health.pace)
+               .Add("pace", health.slowdown)
                .Add("held_up_ms",
                     ToMillis(context_->loop->delays().LongestSince(sent)))
                .Add("ms", ToMillis(took)));
@@ -276,7 +276,7 @@
   // notified of it too: without that, 51 of 64 boxes had to find by themselves
   // that a first stage had become twelve times too slow.
   const bool notify =
-      !health.works || context_->off.on(Mechanism::kTimedRecovery);
+      !health.works || context_->mechanisms.enabled(Mechanism::kTimedRecovery);
   if (notify && context_->on_impaired) context_->on_impaired(endpoint);
   MoveRequests(endpoint);
 }
@@ -295,12 +295,12 @@
       .first->second;
 }
 
-void Forwarder::OnNewLife(const std::string& endpoint) {
-  if (context_->off.on(Mechanism::kMoveAtRestart)) {
-    watch_.OnAnswer(endpoint, false, 1);
+void Forwarder::OnRestart(const std::string& endpoint) {
+  if (context_->mechanisms.enabled(Mechanism::kMoveOnRestart)) {
+    watch_.OnProbeResult(endpoint, false, 1);
     MoveRequests(endpoint);
   }
-  watch_.OnNewLife(endpoint);
+  watch_.OnRestart(endpoint);
 }
 
 void Forwarder::MoveRequests(const std::string& endpoint) {
--- a/pinford/forwarding/forwarder.h
+++ b/pinford/forwarding/forwarder.h
@@ -20,8 +20,8 @@
 #include <string>
 
 #include "pinford/endpoint_table.h"
+#include "pinford/forwarding/caller_server.h"
 #include "pinford/forwarding/endpoint_watch.h"
-#include "pinford/forwarding/entry_server.h"
 #include "pinford/forwarding/forward_protocol.h"
 #include "pinford/forwarding/pool_client.h"
 #include "pinford/forwarding/probe_evidence.h"
@@ -38,7 +38,7 @@
 class ForwardedRequest;
 
 // What forwarded requests share. All of it must outlive them.
-struct ForwardParts {
+struct ForwardContext {
   EventLoop* loop;
   UpstreamClient* upstream;
   EndpointTable* table;
@@ -59,7 +59,7 @@
   // Queries a runner for its health.
   std::function<void(const std::string& endpoint,
                      std::function<void(RunnerHealth)>)>
-      ask;
+      probe;
   // A request waits for the first configuration or list of endpoints.
   std::function<void()> on_caller_waiting;
   // This box's own probe found a runner down or slow.
@@ -71,12 +71,12 @@
   std::function<void(const Address& entry, const std::string& request,
                      const std::vector<AddressedStage>& chain, RerouteHandler)>
       reroute;
-  MechanismsOff off;
+  MechanismSwitches mechanisms;
 };
 
 class Forwarder {
  public:
-  explicit Forwarder(ForwardParts* context);
+  explicit Forwarder(ForwardContext* context);
   ~Forwarder();
 
   void set_routes(std::shared_ptr<const RouteTable> routes) {
@@ -93,9 +93,9 @@
   }
 
   // Fails all requests in progress because the box exits.
-  void GiveUpAll();
+  void AbortAll();
 
-  void Handle(EntryPtr exchange);
+  void Handle(CallerExchangePtr exchange);
   // A configuration or a list of endpoints was received. Handles the requests
   // that waited for the first of each.
   void AdmitWaiting();
@@ -105,7 +105,7 @@
   EndpointWatch* watch() { return &watch_; }
   // Probes a runner that a request suspects to be faulty, unless it was probed
   // recently.
-  void Doubt(const std::string& endpoint);
+  void ProbeIfDue(const std::string& endpoint);
   // Update the moving means over all requests: of the time to the first event
   // and of the gap between two events.
   void OnFirstEvent(Duration took);
@@ -116,10 +116,10 @@
   // The pool's prefill capacity, at most kTick old.
   const PoolCapacity& CapacityOf(const std::string& service,
                                  const std::string& version);
-  void ForgetEndpoint(const std::string& endpoint) { watch_.Forget(endpoint); }
+  void RemoveEndpoint(const std::string& endpoint) { watch_.Forget(endpoint); }
   // The endpoint has restarted: requests that ran there are lost and move to
   // other runners at once.
-  void OnNewLife(const std::string& endpoint);
+  void OnRestart(const std::string& endpoint);
 
   size_t active() const { return active_.size(); }
 
@@ -132,14 +132,14 @@
 
   // Whether a configuration and endpoints are known, or once were.
   bool IsInitialized();
-  void Enqueue(const EntryPtr& exchange);
-  void Refuse(const EntryPtr& exchange, const Refusal& why);
+  void Enqueue(const CallerExchangePtr& exchange);
+  void Refuse(const CallerExchangePtr& exchange, const Refusal& why);
   void OnRequestDone(ForwardedRequest* request);
 
-  ForwardParts* context_;
+  ForwardContext* context_;
   std::shared_ptr<const RouteTable> routes_;
   bool initialized_ = false;
-  StartQueue<EntryPtr> start_queue_;
+  StartQueue<CallerExchangePtr> start_queue_;
   std::list<std::shared_ptr<ForwardedRequest>> active_;
   template <typename T>
   static void UpdateMean(T sample, T* mean);
--- a/pinford/forwarding/request_log.cc
+++ b/pinford/forwarding/request_log.cc
@@ -117,7 +117,7 @@
   if (const auto& s = e.target->memory_bottleneck()) {
     fields.Add("short_layer", s->layer)
         .Add("short_holders", s->holders)
-        .Add("short_taken", s->taken);
+        .Add("short_taken", s->memory_used);
   }
   // Warnings have a rate limit of their own, so that an interrupted response
   // stays in the log however much else is logged.
--- a/pinford/forwarding/request_log.h
+++ b/pinford/forwarding/request_log.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <string_view>
 
+#include "pinford/forwarding/admitted_request.h"
 #include "pinford/forwarding/attempt_result.h"
-#include "pinford/forwarding/forward_order.h"
 #include "pinford/forwarding/forward_target.h"
 #include "pinford/forwarding/forwarder.h"
 #include "pinford/forwarding/wait_cause.h"
@@ -21,7 +21,7 @@
 class RequestLog {
  public:
   // Both must outlive the log.
-  RequestLog(const ForwardParts* context, const ForwardOrder* order)
+  RequestLog(const ForwardContext* context, const AdmittedRequest* order)
       : context_(context), order_(order) {}
 
   // An attempt that did not succeed.
@@ -89,8 +89,8 @@
   void Ended(const End& e) const;
 
  private:
-  const ForwardParts* context_;
-  const ForwardOrder* order_;
+  const ForwardContext* context_;
+  const AdmittedRequest* order_;
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/request_recovery.cc
+++ b/pinford/forwarding/request_recovery.cc
@@ -21,7 +21,7 @@
 
 void ForwardedRequest::OnStageImpaired(const std::string& endpoint) {
   if (finished_ || upstream_id_ == 0 || replacing_) return;
-  if (!context_->off.on(Mechanism::kStageReplacement)) return;
+  if (!context_->mechanisms.enabled(Mechanism::kStageReplacement)) return;
   if (target_.Uses(endpoint)) ReplaceStages(now());
 }
 
@@ -79,7 +79,7 @@
   f.down = target_.HasDownStage();
   f.started = first_event_ != Time{};
   f.allowed = f.started ? route_.target_gap : route_.target_latency;
-  f.idle = f.started ? t - last_event_ : t - order_.exchange->begun();
+  f.idle = f.started ? t - last_event_ : t - order_.exchange->started();
   f.gap_if_unchanged =
       FromSeconds(ToSeconds(owner_->mean_gap()) * target_.Slowdown());
   const auto version = target_.Version(t);
@@ -89,7 +89,8 @@
     f.replace_all = TimeToRecoverAll(load);
     f.extra_transfers = load.extra_transfers;
   }
-  f.queue_position = QueuePosition(UnitHash(order_.id), order_.treatment.tier);
+  f.queue_position =
+      QueuePosition(UnitHash(order_.id), order_.request_class.tier);
   f.restart_time = kContentionFactor * owner_->mean_first_event();
   f.may_restart = MayRepeat() && possible_runs_ + 1 < route_.max_attempts;
   const Recovery recovery = ChooseRecovery(f);
@@ -142,7 +143,7 @@
   }
   target_.ReleaseChain(chain);
   wait_cause_ = WaitCause::kNone;
-  if (result.status == RerouteStatus::kNoPart) {
+  if (result.status == RerouteStatus::kRefusedByStage) {
     OnRejected(target_.StageAt(chain, result.at_fault));
   }
   if (!MayRepeat() || !AcquireAttempt(t, possible_runs_ + 1)) return;
@@ -152,7 +153,8 @@
 // A stream whose stage is down makes no progress by itself. If it could not be
 // recovered before, runners may have joined, loaded layers or come back since.
 bool ForwardedRequest::ReevaluateRecovery(Time t) {
-  if (!timed_recovery_ || !context_->off.on(Mechanism::kStageReplacement))
+  if (!timed_recovery_ ||
+      !context_->mechanisms.enabled(Mechanism::kStageReplacement))
     return false;
   if (first_event_ == Time{} || t - recovery_decided_at_ < kRecheckInterval)
     return false;
@@ -167,7 +169,7 @@
 // too slow for 9 s.
 void ForwardedRequest::ProbeIdleStages() {
   for (const std::string& endpoint : target_.StagesIdleSince(sent_)) {
-    owner_->Doubt(endpoint);
+    owner_->ProbeIfDue(endpoint);
   }
 }
 
--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -49,7 +49,7 @@
 bool ForwardedRequest::MayRepeat() const {
   const bool stream = route_.kind == RequestKind::kStream;
   return route_.may_repeat() &&
-         (!stream || context_->off.on(Mechanism::kResume));
+         (!stream || context_->mechanisms.enabled(Mechanism::kResume));
 }
 
 bool ForwardedRequest::AcquireAttempt(Time t, int runs) {
@@ -66,24 +66,25 @@
   return retry_acquired_;
 }
 
-RetryNeed ForwardedRequest::retry_class() const {
-  if (order_.exchange->streaming()) return RetryNeed::kStartedStream;
-  const bool urgent = order_.treatment.tier == Tier::kCritical;
-  return urgent ? RetryNeed::kUrgent : RetryNeed::kOther;
+RetryClass ForwardedRequest::retry_class() const {
+  if (order_.exchange->streaming()) return RetryClass::kStartedStream;
+  const bool urgent = order_.request_class.tier == Tier::kCritical;
+  return urgent ? RetryClass::kUrgent : RetryClass::kOther;
 }
 
 void ForwardedRequest::Fail(std::string_view why, bool timed_out) {
   const ForwardHeaders& names = context_->protocol.headers;
-  EntryExchange& exchange = *order_.exchange;
+  CallerExchange& exchange = *order_.exchange;
   if (exchange.streaming()) {
     exchange.Abort();
     Finish(why);
     return;
   }
   if (endpoint_error_) {
-    exchange.Reply(endpoint_error_->status, endpoint_error_->reason,
-                   PassedHeaders(*endpoint_error_, context_->protocol),
-                   endpoint_error_body_);
+    exchange.Reply(
+        endpoint_error_->status, endpoint_error_->reason,
+        ForwardedResponseHeaders(*endpoint_error_, context_->protocol),
+        endpoint_error_body_);
     Finish("failed by endpoint");
     return;
   }
--- a/pinford/forwarding/retry_loans.cc
+++ b/pinford/forwarding/retry_loans.cc
@@ -12,7 +12,7 @@
   return std::max(0, max_count - static_cast<int>(times->size()));
 }
 
-std::vector<RetryAsk> RetryLoans::Asks(Time now) {
+std::vector<RetryAsk> RetryLoans::MakeAsks(Time now) {
   // Refusals before the last asks may still be served by these.
   const Duration min_shortage_span = share_->options().min_shortage_span;
   if (!ask_times_.empty() && now - ask_times_.back() < min_shortage_span)
--- a/pinford/forwarding/retry_loans.h
+++ b/pinford/forwarding/retry_loans.h
@@ -62,7 +62,7 @@
 
   // Returns the asks to send now, each to a different peer. Call it at every
   // tick.
-  std::vector<RetryAsk> Asks(Time now);
+  std::vector<RetryAsk> MakeAsks(Time now);
   // Returns the response to a peer's ask, if this box lends.
   std::optional<RetryLoan> OnAsk(Time now, const RetryAsk& ask);
   // Accepts a loan. Returns how many retries were borrowed.
--- a/pinford/forwarding/retry_share.cc
+++ b/pinford/forwarding/retry_share.cc
@@ -7,14 +7,14 @@
 
 namespace pinford {
 
-static constexpr EnumName<RetryNeed> kRetryClassNames[] = {
-    {RetryNeed::kStartedStream, "begun_stream"},
-    {RetryNeed::kUrgent, "urgent"},
-    {RetryNeed::kOther, "other"},
+static constexpr EnumName<RetryClass> kRetryClassNames[] = {
+    {RetryClass::kStartedStream, "begun_stream"},
+    {RetryClass::kUrgent, "urgent"},
+    {RetryClass::kOther, "other"},
 };
-static_assert(std::size(kRetryClassNames) == std::size(kRetryNeeds));
+static_assert(std::size(kRetryClassNames) == std::size(kRetryClasses));
 
-std::string_view RetryNeedName(RetryNeed retry_class) {
+std::string_view RetryClassName(RetryClass retry_class) {
   return NameIn(kRetryClassNames, retry_class);
 }
 
@@ -43,14 +43,14 @@
                     options_.loan_validity);
 }
 
-void RetryShare::OnBoxes(Time now, int n) {
+void RetryShare::OnBoxCount(Time now, int n) {
   if (n < boxes_ && now - boxes_updated_at_ < options_.box_count_hold) return;
   boxes_ = std::max(1, n);
   boxes_updated_at_ = now;
 }
 
 double RetryShare::FixedPart(Time now) const {
-  if (now - started_ < options_.settle) return 0;
+  if (now - started_ < options_.settle_time) return 0;
   return options_.extra / boxes_;
 }
 
@@ -66,16 +66,17 @@
 }
 
 bool RetryShare::Acquire(Time now, const std::string& service,
-                         RetryNeed retry_class) {
+                         RetryClass retry_class) {
   Window& w = windows_[service];
   DropExpired(now, &w);
-  const bool preferred = retry_class != RetryNeed::kOther;
+  const bool preferred = retry_class != RetryClass::kOther;
   if (preferred && !w.borrowed.empty()) {
     w.borrowed.pop_front();
     w.acquired.push_back(now);
     return true;
   }
-  const double bound = Limit(now, w) * (preferred ? 1 : 1 - options_.kept);
+  const double bound =
+      Limit(now, w) * (preferred ? 1 : 1 - options_.reserved_share);
   if (SizeOf(w.retries) + SizeOf(w.lent) + 1 > bound) {
     refused_[static_cast<int>(retry_class)]++;
     if (preferred) w.refusals.push_back(now);
@@ -133,8 +134,8 @@
   // The box may need again what it has used recently.
   const auto recent = std::lower_bound(w.retries.begin(), w.retries.end(),
                                        now - options_.loan_validity);
-  const double held_back =
-      options_.kept * bound + static_cast<double>(w.retries.end() - recent);
+  const double held_back = options_.reserved_share * bound +
+                           static_cast<double>(w.retries.end() - recent);
   const double spare =
       std::min(EarnedForLoan(now, w) - used, bound - used - held_back);
   const int n = std::clamp(static_cast<int>(spare), 0, std::max(0, max_count));
--- a/pinford/forwarding/retry_share.h
+++ b/pinford/forwarding/retry_share.h
@@ -50,15 +50,15 @@
 namespace pinford {
 
 // What a retry is for.
-enum class RetryNeed {
+enum class RetryClass {
   kStartedStream,  // the caller would have to discard what it has received
   kUrgent,         // a request of the most urgent tier
   kOther,          // the caller is refused at once and can try again
 };
-inline constexpr RetryNeed kRetryNeeds[] = {
-    RetryNeed::kStartedStream, RetryNeed::kUrgent, RetryNeed::kOther};
+inline constexpr RetryClass kRetryClasses[] = {
+    RetryClass::kStartedStream, RetryClass::kUrgent, RetryClass::kOther};
 
-std::string_view RetryNeedName(RetryNeed retry_class);
+std::string_view RetryClassName(RetryClass retry_class);
 
 class RetryShare {
  public:
@@ -70,14 +70,14 @@
     // and a box may assume fewer boxes than there are.
     double safety_factor = 0.8;
     // Time after the start to learn of all boxes.
-    Duration settle = seconds(4);
+    Duration settle_time = seconds(4);
     // How long the largest number of boxes seen is kept.
     Duration box_count_hold = seconds(60);
     // Part of the share reserved for started streams and urgent requests. It
     // has to last until a loan arrives, for the streams that one box loses with
     // a runner. A larger part would be refused to other requests without being
     // used in most windows.
-    double kept = 0.25;
+    double reserved_share = 0.25;
     // A loan expires this long after the ask. A stream waits 2.5 s for a retry;
     // longer loans would be of little use to it and bind the lender for longer.
     Duration loan_validity = seconds(1);
@@ -94,15 +94,15 @@
   void set_options(const Options& options) { options_ = options; }
   const Options& options() const { return options_; }
   // `n` boxes are alive now, including this one.
-  void OnBoxes(Time now, int n);
+  void OnBoxCount(Time now, int n);
   int boxes() const { return boxes_; }
 
   void OnRequest(Time now, const std::string& service);
   // Counts a retry and returns true if one may be sent now.
   bool Acquire(Time now, const std::string& service,
-               RetryNeed retry_class = RetryNeed::kStartedStream);
+               RetryClass retry_class = RetryClass::kStartedStream);
   int64_t refused() const;
-  int64_t refused(RetryNeed retry_class) const {
+  int64_t refused(RetryClass retry_class) const {
     return refused_[static_cast<int>(retry_class)];
   }
 
@@ -151,7 +151,7 @@
   int boxes_ = 1;
   Time boxes_updated_at_{};
   std::map<std::string, Window> windows_;
-  int64_t refused_[std::size(kRetryNeeds)] = {};
+  int64_t refused_[std::size(kRetryClasses)] = {};
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/stage_recovery.cc
+++ b/pinford/forwarding/stage_recovery.cc
@@ -23,10 +23,11 @@
 
 Duration TimeToRecoverAll(const RecoveryLoad& load) {
   if (load.tokens <= 0) return Duration(0);
-  if (load.read_per_s <= 0) return Duration::max();
-  const double prefill = load.tokens / load.read_per_s;
+  if (load.prefill_per_s <= 0) return Duration::max();
+  const double prefill = load.tokens / load.prefill_per_s;
   const double transfer = std::max(0, load.extra_transfers) * load.tokens *
-                          load.crossing_seconds / std::max(1, load.links);
+                          load.transfer_seconds_per_token /
+                          std::max(1, load.links);
   // Prefill starts as tokens arrive, so the slower of the two is the limit.
   return FromSeconds(std::max(prefill, transfer));
 }
--- a/pinford/forwarding/stage_recovery.h
+++ b/pinford/forwarding/stage_recovery.h
@@ -44,11 +44,13 @@
 
 // The streams that lose a stage together, as far as a box can know.
 struct RecoveryLoad {
-  double tokens = 0;      // of all streams of the stage, to be prefilled again
-  double read_per_s = 0;  // prefill rate of the new stages together, tokens/s
-  int extra_transfers = 0;      // cross-hall handoffs beyond those before
-  double crossing_seconds = 0;  // link time of one token between two halls
-  int links = 1;                // that share the transfers
+  double tokens = 0;  // of all streams of the stage, to be prefilled again
+  double prefill_per_s =
+      0;                    // prefill rate of the new stages together, tokens/s
+  int extra_transfers = 0;  // cross-hall handoffs beyond those before
+  double transfer_seconds_per_token =
+      0;          // link time of one token between two halls
+  int links = 1;  // that share the transfers
 };
 
 // Time until all streams of the load have been recovered; Duration::max() if
--- a/pinford/forwarding/start_queue.h
+++ b/pinford/forwarding/start_queue.h
@@ -24,7 +24,7 @@
 struct StartQueueOptions {
   // A round trip to a seed or to the store takes 10 to 30 ms; the strictest
   // latency that callers ask for is 120 ms.
-  Duration longest = milliseconds(100);
+  Duration max_wait = milliseconds(100);
   // Limits memory: 800 bytes each on average, 4 MB in the worst case.
   size_t max_items = 256;
 };
@@ -44,7 +44,7 @@
   std::vector<Item> PopExpired(Time now) {
     std::vector<Item> out;
     while (!waiting_.empty() &&
-           now - waiting_.front().first >= options_.longest) {
+           now - waiting_.front().first >= options_.max_wait) {
       out.push_back(std::move(waiting_.front().second));
       waiting_.pop_front();
     }
--- a/pinford/testing/forwarder_fixture.h
+++ b/pinford/testing/forwarder_fixture.h
@@ -76,8 +76,9 @@
                 {},
                 {}},
         forwarder(&context),
-        server(&loop, EntryServer::Limits(),
-               [this](EntryPtr e) { forwarder.Handle(std::move(e)); }) {
+        server(&loop, CallerServer::Limits(), [this](CallerExchangePtr e) {
+          forwarder.Handle(std::move(e));
+        }) {
     address = {"127.0.0.1", static_cast<uint16_t>(FreePorts(1)[0])};
     EXPECT_TRUE(server.Listen(address));
     SetEndpoints({"a", "b"});
@@ -88,8 +89,8 @@
     const struct {
       const char* prefix;
       RequestKind kind;
-    } routes[] = {{"/get/", RequestKind::kRepeatable},
-                  {"/once/", RequestKind::kOnce},
+    } routes[] = {{"/get/", RequestKind::kIdempotent},
+                  {"/once/", RequestKind::kAtMostOnce},
                   {"/stream/", RequestKind::kStream}};
     for (const auto& r : routes) {
       Route route;
@@ -167,8 +168,8 @@
       report.slots = 8;
       table.OnReport(loop.now(), e.name, report);
     }
-    context.ask = [this](const std::string& endpoint,
-                         const std::function<void(RunnerHealth)>& fn) {
+    context.probe = [this](const std::string& endpoint,
+                           const std::function<void(RunnerHealth)>& fn) {
       probed.push_back(endpoint);
       fn(unresponsive.contains(endpoint) ? RunnerHealth() : health);
     };
@@ -244,9 +245,9 @@
   EndpointTable table;
   RetryShare retries;
   Random random;
-  ForwardParts context;
+  ForwardContext context;
   Forwarder forwarder;
-  EntryServer server;
+  CallerServer server;
   std::shared_ptr<TcpConnection> caller;
   std::string got;
   bool ended = false;
--- a/pinford/testing/forwarder_test.cc
+++ b/pinford/testing/forwarder_test.cc
@@ -247,8 +247,8 @@
   f.Script({{StreamHead() + Chunk(Event(1))}}, {{Sealed("1", "ab")}});
   f.SendRequest("GET", "/stream/", milliseconds(40));
   f.SetEndpoints({"b"});
-  f.upstream.Forget("a");
-  f.forwarder.ForgetEndpoint("a");
+  f.upstream.DropConnections("a");
+  f.forwarder.RemoveEndpoint("a");
   f.a.WriteMore(Chunk(Event(2)) + "0\r\n\r\n");
   f.RunFor(milliseconds(40));
   EXPECT_NE(f.got.find(Chunk(Event(2)) + "0\r\n\r\n"), std::string::npos);
@@ -274,7 +274,8 @@
         "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-At-Fault: " +
         f.b.address().ToString() + "\r\nContent-Length: 0\r\n\r\n";
     f.Script({{refusal, Then::kKeep}}, {});
-    // Before it is asked again as one that is down (ask_impaired, 400 ms).
+    // Before it is asked again as one that is down (impaired_probe_interval,
+    // 400 ms).
     const std::string got =
         f.SendRequest("POST", "/stream/1", milliseconds(200));
     EXPECT_EQ(StatusOf(got), "503") << c.name;
@@ -295,8 +296,8 @@
   f.Script({{StreamHead() + Chunk(Event(1))}}, {});
   f.SendRequest("POST", "/stream/1", milliseconds(30));
   const std::string stage = f.BusyRunners().at(0);
-  f.context.ask = [&f](const std::string& endpoint,
-                       const std::function<void(RunnerHealth)>& fn) {
+  f.context.probe = [&f](const std::string& endpoint,
+                         const std::function<void(RunnerHealth)>& fn) {
     f.probed.push_back(endpoint);
     const bool unresponsive = f.unresponsive.contains(endpoint);
     f.loop.After(milliseconds(unresponsive ? 30 : 2), [&f, unresponsive, fn] {
@@ -308,7 +309,7 @@
                [&] { f.a.WriteMore(Chunk(Event(++events))); });
   const std::vector<std::string> all = {"a", "c", "d"};
   const auto doubt_all = [&] {
-    for (const std::string& name : all) f.forwarder.Doubt(name);
+    for (const std::string& name : all) f.forwarder.ProbeIfDue(name);
     f.RunFor(milliseconds(200));
   };
   f.unresponsive = {all.begin(), all.end()};
@@ -338,7 +339,7 @@
   const std::vector<std::string> first = f.BusyRunners();
   ASSERT_EQ(first.size(), 1);
   f.unresponsive.insert(first[0]);
-  f.forwarder.Doubt(first[0]);
+  f.forwarder.ProbeIfDue(first[0]);
   ASSERT_EQ(f.reroutes.size(), 1);
   const Address second_at = f.reroutes[0].first[1].at;
   std::string second;
@@ -346,7 +347,7 @@
     if (row.listed.address == second_at) second = name;
   }
   f.unresponsive.insert(second);
-  f.forwarder.Doubt(second);
+  f.forwarder.ProbeIfDue(second);
   EXPECT_EQ(f.reroutes.size(), 1);  // a change is under way
   f.reroutes[0].second({RerouteStatus::kDone, ""});
   ASSERT_EQ(f.reroutes.size(), 2);
@@ -363,14 +364,14 @@
 TEST(Forwarder, ARestartedStageIsReplaced) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.context.off.Add(Mechanism::kMoveAtRestart);
+    if (!on) f.context.mechanisms.Add(Mechanism::kMoveOnRestart);
     f.MakePool({"c", "d", "e"});
     f.Script({{StreamHead() + Chunk(Event(1))}}, {});
     f.SendRequest("POST", "/stream/1", milliseconds(30));
     ASSERT_EQ(f.BusyRunners().size(), 1);
     const std::string stage = f.BusyRunners()[0];
-    f.table.OnNewLife(f.loop.now(), stage);
-    f.forwarder.OnNewLife(stage);
+    f.table.OnRestart(f.loop.now(), stage);
+    f.forwarder.OnRestart(stage);
     EXPECT_EQ(f.reroutes.size(), on ? 1 : 0);
     EXPECT_EQ(f.table.LoadOf(stage), 0);
     EXPECT_FALSE(f.forwarder.watch()->IsDown(stage));
@@ -387,14 +388,14 @@
   Fixture f;
   f.MakePool({"c", "d"});
   std::function<void(RunnerHealth)> answer;
-  f.context.ask = [&answer](const std::string&,
-                            std::function<void(RunnerHealth)> fn) {
+  f.context.probe = [&answer](const std::string&,
+                              std::function<void(RunnerHealth)> fn) {
     answer = std::move(fn);
   };
-  f.forwarder.Doubt("c");
+  f.forwarder.ProbeIfDue("c");
   ASSERT_TRUE(answer);
-  f.table.OnNewLife(f.loop.now(), "c");
-  f.forwarder.OnNewLife("c");
+  f.table.OnRestart(f.loop.now(), "c");
+  f.forwarder.OnRestart("c");
   answer({});
   EXPECT_FALSE(f.forwarder.watch()->IsDown("c"));
   EXPECT_FALSE(f.table.rows().at("c").down);
@@ -408,11 +409,11 @@
   f.Script({{StreamHead() + Chunk(Event(1))}}, {});
   f.SendRequest("POST", "/stream/1", milliseconds(30));
   f.unresponsive.insert(f.BusyRunners().at(0));
-  f.forwarder.Doubt(f.BusyRunners().at(0));
+  f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
   ASSERT_EQ(f.reroutes.size(), 1);
   const Address named = f.reroutes[0].first[1].at;
   f.probed.clear();
-  f.reroutes[0].second({RerouteStatus::kNoPart, named.ToString()});
+  f.reroutes[0].second({RerouteStatus::kRefusedByStage, named.ToString()});
   ASSERT_EQ(f.probed.size(), 1);
   EXPECT_EQ(f.table.AddressOf(f.probed[0]), named);
   EXPECT_FALSE(f.table.TakesNewWork(f.loop.now(), f.probed[0]));
@@ -450,11 +451,11 @@
   f.Script({{StreamHead() + Chunk(Event(1))}}, {});
   f.SendRequest("POST", "/stream/1", milliseconds(30));
   f.unresponsive.insert(f.BusyRunners().at(0));
-  f.forwarder.Doubt(f.BusyRunners().at(0));
+  f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
   ASSERT_EQ(f.reroutes.size(), 1);
   f.unresponsive.clear();
   f.reroutes[0].second(
-      {RerouteStatus::kNoPart, f.reroutes[0].first[1].at.ToString()});
+      {RerouteStatus::kRefusedByStage, f.reroutes[0].first[1].at.ToString()});
   f.RunFor(milliseconds(150));
   ASSERT_GE(f.reroutes.size(), 2);
   EXPECT_NE(f.reroutes[1].first[1].at, f.reroutes[0].first[1].at);
@@ -468,7 +469,7 @@
 TEST(Forwarder, StagesAreReplacedOnlyIfEnabled) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.context.off.Add(Mechanism::kStageReplacement);
+    if (!on) f.context.mechanisms.Add(Mechanism::kStageReplacement);
     f.MakePool({"c", "d", "e"});
     RetryShare::Options none;
     none.ratio = none.extra = 0;
@@ -476,7 +477,7 @@
     f.Script({{StreamHead() + Chunk(Event(1))}}, {});
     f.SendRequest("POST", "/stream/1", milliseconds(30));
     f.unresponsive.insert(f.BusyRunners().at(0));
-    f.forwarder.Doubt(f.BusyRunners().at(0));
+    f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
     f.RunFor(milliseconds(200));
     EXPECT_EQ(!f.reroutes.empty(), on);
   }
@@ -499,9 +500,9 @@
     list.push_back(e);
   }
   f.table.OnList(list);
-  f.table.SetPace(near, 3);  // dearer than the others
+  f.table.SetSlowdown(near, 3);  // dearer than the others
   f.unresponsive.insert(lost);
-  f.forwarder.Doubt(lost);
+  f.forwarder.ProbeIfDue(lost);
   ASSERT_EQ(f.reroutes.size(), 1);
   EXPECT_EQ(f.reroutes[0].first[1].at, f.table.AddressOf(near));
 }
@@ -511,14 +512,14 @@
 TEST(Forwarder, AStreamStaysWithASlowStage) {
   for (const bool timed : {true, false}) {
     Fixture f;
-    if (!timed) f.context.off.Add(Mechanism::kTimedRecovery);
+    if (!timed) f.context.mechanisms.Add(Mechanism::kTimedRecovery);
     f.MakePool({"c", "d"});
     f.Script({{StreamHead() + Chunk(Event(1))}}, {});
     f.SendRequest("POST", "/stream/1", milliseconds(30));
     f.a.WriteMore(Chunk(Event(2)));
     f.RunFor(milliseconds(30));
-    f.health.pace = 3;
-    f.forwarder.Doubt(f.BusyRunners().at(0));
+    f.health.slowdown = 3;
+    f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
     EXPECT_EQ(f.reroutes.size(), timed ? 0 : 1);
   }
 }
@@ -529,11 +530,11 @@
   Fixture f;
   f.MakePool({"c"});
   f.Script({{"", Then::kKeep}}, {});
-  f.health.pace = 12;
+  f.health.slowdown = 12;
   // Beyond 0.45 of the 600 ms that the route aims at.
   f.SendRequest("POST", "/stream/1", milliseconds(400));
   EXPECT_NE(std::find(f.probed.begin(), f.probed.end(), "c"), f.probed.end());
-  EXPECT_EQ(f.table.rows().at("c").pace, 12);
+  EXPECT_EQ(f.table.rows().at("c").slowdown, 12);
 }
 
 // A box has just started: who comes before it knows anything waits for that,
@@ -559,9 +560,9 @@
     f.Script({{c.first, Then::kReset}, {rest}}, {});
     f.SetEndpoints({"a"});
     f.context.classify = [&c](const RequestFacts&) {
-      RequestClass treatment;
-      treatment.tier = c.tier;
-      return treatment;
+      RequestClass request_class;
+      request_class.tier = c.tier;
+      return request_class;
     };
     RetryShare::Options one;
     one.ratio = 0;
@@ -592,7 +593,7 @@
 TEST(Forwarder, WithoutAConfigurationACallerIsSoonRefused) {
   Fixture f;
   f.forwarder.set_routes(nullptr);
-  EXPECT_EQ(f.SendRequest("GET", "/get/1", StartQueueOptions().longest / 2),
+  EXPECT_EQ(f.SendRequest("GET", "/get/1", StartQueueOptions().max_wait / 2),
             "");
   const std::string got = f.SendRequest("GET", "/get/1", milliseconds(200));
   EXPECT_EQ(StatusOf(got), "503");
@@ -609,8 +610,8 @@
   EXPECT_TRUE(queue.Add(now + milliseconds(10), 2));
   EXPECT_FALSE(queue.Add(now + milliseconds(10), 3));
   EXPECT_TRUE(queue.PopExpired(now + milliseconds(99)).empty());
-  EXPECT_EQ(queue.PopExpired(now + options.longest), std::vector<int>{1});
-  EXPECT_TRUE(queue.Add(now + options.longest, 3));
+  EXPECT_EQ(queue.PopExpired(now + options.max_wait), std::vector<int>{1});
+  EXPECT_TRUE(queue.Add(now + options.max_wait, 3));
   EXPECT_EQ(queue.PopAll(), (std::vector<int>{2, 3}));
   EXPECT_TRUE(queue.PopAll().empty());
 }
--- a/pinford/testing/asked_rest_test.cc
+++ b/pinford/testing/requested_backoff_test.cc
@@ -80,7 +80,7 @@
       {"a refusal", [](EndpointTable* t, Time now) { t->OnFull(now, "a"); }},
       {"a shorter backoff",
        [](EndpointTable* t, Time now) {
-         t->OnRestAsked(now, "a", milliseconds(10));
+         t->OnBackoffRequested(now, "a", milliseconds(10));
        }},
       {"a list", [&](EndpointTable* t, Time) { t->OnList({listed}); }},
       {"a report",
@@ -93,7 +93,7 @@
        }},
       {"a restart",
        [&](EndpointTable* t, Time now) {
-         t->OnNewLife(now, "a");
+         t->OnRestart(now, "a");
          t->OnReport(now, "a", report);
        }},
       {"down and up again",
@@ -106,7 +106,7 @@
     EndpointTable table("h", Fixture::TableOptions(), Random(1));
     table.OnList({listed});
     table.OnReport(start, "a", report);
-    table.OnRestAsked(start, "a", seconds(3));
+    table.OnBackoffRequested(start, "a", seconds(3));
     c.then(&table, start + milliseconds(100));
     for (const int64_t ms : {100, 500, 1500, 2999}) {
       const Time now = start + milliseconds(ms);
@@ -207,7 +207,7 @@
   ListedEndpoint restarted =
       Fixture::Listed("a", EndpointRole::kService, f.b.address());
   restarted.incarnation = 2;
-  f.table.OnNewLife(f.loop.now(), "a");
+  f.table.OnRestart(f.loop.now(), "a");
   f.table.OnList({restarted});
   LoadReport report;
   report.incarnation = 2;
@@ -230,7 +230,7 @@
   } cases[] = {
       {"asks for backoff",
        [](Fixture* f, const std::string& name) {
-         f->table.OnRestAsked(f->loop.now(), name, seconds(1));
+         f->table.OnBackoffRequested(f->loop.now(), name, seconds(1));
        }},
       {"is full",
        [](Fixture* f, const std::string& name) {
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -28,12 +28,12 @@
 // A settled one of `boxes`, that has just had as many requests.
 RetryShare ShareWith(Time now, int requests, int boxes = 64) {
   RetryShare share(now - seconds(20), RetryShare::Options());
-  share.OnBoxes(now, boxes);
+  share.OnBoxCount(now, boxes);
   for (int i = 0; i < requests; i++) share.OnRequest(now, kService);
   return share;
 }
 
-int AcquireAll(RetryShare* share, Time now, RetryNeed retry_class) {
+int AcquireAll(RetryShare* share, Time now, RetryClass retry_class) {
   int n = 0;
   while (share->Acquire(now, kService, retry_class)) n++;
   return n;
@@ -64,7 +64,7 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
     RetryShare share(kStart - c.up, RetryShare::Options());
-    share.OnBoxes(kStart, c.boxes);
+    share.OnBoxCount(kStart, c.boxes);
     const Time before = kStart - seconds(2);
     for (int i = 0; i < c.requests; i++) share.OnRequest(before, kService);
     for (int i = 0; i < c.taken; i++) share.Acquire(before, kService);
@@ -100,7 +100,7 @@
 
 TEST(RetryLoans, ABoxShortOfRetriesDoesNotLend) {
   RetryShare share = ShareWith(kStart, 30, 2);
-  EXPECT_GT(AcquireAll(&share, kStart, RetryNeed::kStartedStream), 80);
+  EXPECT_GT(AcquireAll(&share, kStart, RetryClass::kStartedStream), 80);
   RetryShare borrower = ShareWith(kStart, 30);
   borrower.Borrow(kService, 3, kStart + seconds(1));
   EXPECT_EQ(share.Lend(kStart, kService, 9), 0);
@@ -108,22 +108,22 @@
 }
 
 TEST(RetryLoans, StartedStreamsAndUrgentRequestsGoFirst) {
-  for (const RetryNeed retry_class :
-       {RetryNeed::kStartedStream, RetryNeed::kUrgent}) {
+  for (const RetryClass retry_class :
+       {RetryClass::kStartedStream, RetryClass::kUrgent}) {
     RetryShare share = ShareWith(kStart, 100, 10);  // 16 + 16
-    EXPECT_EQ(AcquireAll(&share, kStart, RetryNeed::kOther), 24);
+    EXPECT_EQ(AcquireAll(&share, kStart, RetryClass::kOther), 24);
     EXPECT_EQ(AcquireAll(&share, kStart, retry_class), 8);
     share.Borrow(kService, 2, kStart + seconds(1));
-    EXPECT_EQ(AcquireAll(&share, kStart, RetryNeed::kOther), 0);
+    EXPECT_EQ(AcquireAll(&share, kStart, RetryClass::kOther), 0);
     EXPECT_EQ(AcquireAll(&share, kStart, retry_class), 2);
-    EXPECT_EQ(share.refused(RetryNeed::kOther), 2);
+    EXPECT_EQ(share.refused(RetryClass::kOther), 2);
     EXPECT_EQ(share.refused(retry_class), 2);
     EXPECT_EQ(share.refused(), 4);
     // What is borrowed ends.
     share.Borrow(kService, 2, kStart + seconds(1));
     EXPECT_EQ(AcquireAll(&share, kStart + seconds(1), retry_class), 0);
   }
-  EXPECT_EQ(RetryNeedName(RetryNeed::kUrgent), "urgent");
+  EXPECT_EQ(RetryClassName(RetryClass::kUrgent), "urgent");
 }
 
 // A box that has just started and lacks `lacks` retries.
@@ -131,7 +131,7 @@
   explicit Borrower(int lacks, uint64_t seed = 1)
       : share(kStart, RetryShare::Options()),
         loans(&share, RetryLoans::Options(), Random(seed)) {
-    share.OnBoxes(kStart, 64);
+    share.OnBoxCount(kStart, 64);
     for (int i = 0; i < lacks; i++) share.Acquire(kStart, kService);
   }
   RetryShare share;
@@ -150,14 +150,14 @@
     RetryShare share = ShareWith(kStart, 0, 8);
     SCOPED_TRACE(late.count());
     Borrower box(0);
-    EXPECT_TRUE(box.loans.Asks(kStart).empty());
+    EXPECT_TRUE(box.loans.MakeAsks(kStart).empty());
     EXPECT_FALSE(box.share.Acquire(kStart + milliseconds(1), kService));
     const Time next = kStart + tick + milliseconds(2) + late;
-    const std::vector<RetryAsk> asks = box.loans.Asks(next);
+    const std::vector<RetryAsk> asks = box.loans.MakeAsks(next);
     ASSERT_EQ(asks.size(), 1u);
     EXPECT_EQ(asks[0].count, 1);
     // It is asked for once.
-    EXPECT_TRUE(box.loans.Asks(next + tick + milliseconds(1)).empty());
+    EXPECT_TRUE(box.loans.MakeAsks(next + tick + milliseconds(1)).empty());
   }
 }
 
@@ -171,19 +171,19 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.lacks);
     Borrower box(c.lacks);
-    const std::vector<RetryAsk> asks = box.loans.Asks(kStart);
+    const std::vector<RetryAsk> asks = box.loans.MakeAsks(kStart);
     ASSERT_EQ(asks.size(), c.peers);
     for (const RetryAsk& ask : asks) EXPECT_EQ(ask.count, c.each);
-    EXPECT_TRUE(box.loans.Asks(kStart).empty());
+    EXPECT_TRUE(box.loans.MakeAsks(kStart).empty());
   }
   // Where a burst goes on, it asks before it has to refuse: of the 7 that it
   // has, 5 go at once, and 5 more would not be left.
   RetryShare share = ShareWith(kStart, 30);
   RetryLoans loans(&share, RetryLoans::Options(), Random(1));
   for (int i = 0; i < 3; i++) EXPECT_TRUE(share.Acquire(kStart, kService));
-  EXPECT_TRUE(loans.Asks(kStart).empty());
+  EXPECT_TRUE(loans.MakeAsks(kStart).empty());
   for (int i = 0; i < 2; i++) EXPECT_TRUE(share.Acquire(kStart, kService));
-  EXPECT_FALSE(loans.Asks(kStart).empty());
+  EXPECT_FALSE(loans.MakeAsks(kStart).empty());
 }
 
 TEST(RetryLoans, ALoanCountsOnceInTimeAndUpToTheAsk) {
@@ -205,16 +205,16 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
     Borrower box(4);
-    const RetryAsk ask = box.loans.Asks(kStart).at(0);
+    const RetryAsk ask = box.loans.MakeAsks(kStart).at(0);
     const RetryLoan loan{ask.nonce + c.nonce_change,
                          static_cast<uint8_t>(c.count)};
     const Time now = kStart + c.after;
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.first);
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.second);
-    EXPECT_EQ(AcquireAll(&box.share, now, RetryNeed::kStartedStream), c.first);
+    EXPECT_EQ(AcquireAll(&box.share, now, RetryClass::kStartedStream), c.first);
     // A new life knows nothing of the last one's asks.
     Borrower next(4, 2);
-    EXPECT_FALSE(next.loans.Asks(kStart).empty());
+    EXPECT_FALSE(next.loans.MakeAsks(kStart).empty());
     EXPECT_EQ(next.loans.OnLoan(now, loan), 0);
   }
 }
@@ -227,7 +227,7 @@
   for (int ms = 0; ms < 9990; ms += 10) {
     const Time now = kStart + milliseconds(ms);
     for (int i = 0; i < 100; i++) box.share.Acquire(now, kService);
-    for (const RetryAsk& ask : box.loans.Asks(now)) {
+    for (const RetryAsk& ask : box.loans.MakeAsks(now)) {
       asks++;
       granted += box.loans.OnLoan(now, {ask.nonce, 255});
     }
@@ -280,7 +280,7 @@
     box.loans.emplace(&*box.share, RetryLoans::Options(), Random(network_()));
     box.paused_until = now() + milliseconds(200);
   }
-  bool Acquire(int b, RetryNeed retry_class) {
+  bool Acquire(int b, RetryClass retry_class) {
     if (!boxes_[b].share->Acquire(now(), kService, retry_class)) return false;
     retries_.push_back(now());
     return true;
@@ -292,7 +292,7 @@
     for (int tick = 0; now() < end; tick++) {
       for (int b = 0; b < size(); b++) {
         Box& box = boxes_[b];
-        box.share->OnBoxes(now(), box.cut ? size() / 2 : size());
+        box.share->OnBoxCount(now(), box.cut ? size() / 2 : size());
         if (!IsPaused(box) && (tick + b) % every == 0) {
           box.share->OnRequest(now(), kService);
           requests_.push_back(now());
@@ -300,7 +300,7 @@
       }
       InjectFaults();
       step();
-      for (int b = 0; b < size(); b++) Ask(b);
+      for (int b = 0; b < size(); b++) SendRetryRequests(b);
       clock_.Advance(milliseconds(20));
     }
   }
@@ -365,9 +365,9 @@
     if (left <= Duration(0)) return fn();
     clock_.After(left, [this, to, fn] { Receive(to, fn); });
   }
-  void Ask(int b) {
+  void SendRetryRequests(int b) {
     if (!lending_ || IsPaused(boxes_[b])) return;
-    for (const RetryAsk& ask : boxes_[b].loans->Asks(now())) {
+    for (const RetryAsk& ask : boxes_[b].loans->MakeAsks(now())) {
       int to = static_cast<int>(network_() % (size() - 1));
       if (to >= b) to++;
       Deliver(b, to, [this, b, to, ask] {
@@ -421,7 +421,7 @@
     }
     for (int b = 0; b < fleet_->size(); b++) {
       if (!greedy_[b] || fleet_->paused(b)) continue;
-      while (fleet_->Acquire(b, kRetryNeeds[random_() % 3])) {
+      while (fleet_->Acquire(b, kRetryClasses[random_() % 3])) {
       }
     }
   }
@@ -550,7 +550,7 @@
   fleet.Run(milliseconds(2500), 3, [&] {
     if (tick++ % 3 != 0) return;
     for (int i = waiting; i > 0; i--) {
-      if (fleet.Acquire(0, RetryNeed::kStartedStream)) waiting--;
+      if (fleet.Acquire(0, RetryClass::kStartedStream)) waiting--;
     }
     served.in_all = 30 - waiting;
     if (tick == 1) served.at_once = served.in_all;
@@ -641,7 +641,7 @@
   Node a(&loop, "a", ports[0], ports[1]);
   Node b(&loop, "b", ports[1], ports[0]);
   // One peer is known, so that of two asks one goes.
-  a.gossip.Ask({{8, "", kService, 3}, {9, "", kService, 3}});
+  a.gossip.SendRetryRequests({{8, "", kService, 3}, {9, "", kService, 3}});
   loop.After(milliseconds(100), [&loop] { loop.Stop(); });
   loop.Run();
   ASSERT_EQ(b.asks.size(), 1u);
@@ -690,7 +690,7 @@
     });
     loop.After(milliseconds(2500), [&loop] { loop.Stop(); });
     loop.Run();
-    EXPECT_EQ(AcquireAll(borrower, loop.now(), RetryNeed::kStartedStream),
+    EXPECT_EQ(AcquireAll(borrower, loop.now(), RetryClass::kStartedStream),
               on ? 3 : 0);
   }
 }
--- a/pinford/testing/stage_recovery_test.cc
+++ b/pinford/testing/stage_recovery_test.cc
@@ -164,13 +164,13 @@
 
 // A hall has lost its only holder of some layers. Streams with replacement
 // stages in other halls are transferred one after the other; restarted streams
-// are prefilled there, at `read_per_s`.
+// are prefilled there, at `prefill_per_s`.
 struct Loss {
   int streams = 84;
   double tokens = 900;  // per stream
-  double crossing_seconds = 38e-6;
+  double transfer_seconds_per_token = 38e-6;
   int links = 2;
-  double read_per_s = 400000;  // whole chains of other halls
+  double prefill_per_s = 400000;  // whole chains of other halls
   int retries = 84;
 };
 
@@ -189,9 +189,9 @@
   int retries = loss.retries;
   RecoveryLoad load;
   load.tokens = loss.streams * loss.tokens;
-  load.read_per_s = loss.read_per_s;
+  load.prefill_per_s = loss.prefill_per_s;
   load.extra_transfers = 2;
-  load.crossing_seconds = loss.crossing_seconds;
+  load.transfer_seconds_per_token = loss.transfer_seconds_per_token;
   load.links = loss.links;
   for (int i = 0; i < loss.streams; i++) {
     RecoveryFacts f = Down();
@@ -206,12 +206,12 @@
     double done = 0;
     if (restart) {
       retries--;
-      prefill_busy += loss.tokens / loss.read_per_s;
+      prefill_busy += loss.tokens / loss.prefill_per_s;
       constexpr double kWholeChain = 0.06;  // seconds, for a single stream
       done = kWholeChain + prefill_busy;
     } else {
-      link_busy += load.extra_transfers * loss.tokens * loss.crossing_seconds /
-                   loss.links;
+      link_busy += load.extra_transfers * loss.tokens *
+                   loss.transfer_seconds_per_token / loss.links;
       done = link_busy;
     }
     const Duration pause = kDetectionTime + FromSeconds(done);
