--- a/pinford/forwarding/forwarded_request.cc
+++ b/pinford/forwarding/forwarded_request.cc
@@ -13,16 +13,17 @@
 static constexpr size_t kMaxUnsentBytes = 256 << 10;
 
 ForwardedRequest::ForwardedRequest(ForwardContext* context, Forwarder* owner,
-                                   AdmittedRequest order)
+                                   AdmittedRequest admitted)
     : context_(context),
       owner_(owner),
-      order_(std::move(order)),
-      route_(*order_.route),
-      log_(context, &order_),
-      target_(context->table, owner->watch(), TargetOptions(*context, order_)),
+      admitted_(std::move(admitted)),
+      route_(*admitted_.route),
+      log_(context, &admitted_),
+      target_(context->table, owner->watch(),
+              TargetOptions(*context, admitted_)),
       timed_recovery_(context->mechanisms.enabled(Mechanism::kTimedRecovery)) {
   const std::string last(
-      order_.exchange->head().header(context_->protocol.headers.last_event));
+      admitted_.exchange->head().header(context_->protocol.headers.last_event));
   if (!last.empty()) {
     events_.set_last_id(std::strtoull(last.c_str(), nullptr, 10));
   }
@@ -36,10 +37,10 @@
 
 void ForwardedRequest::Start() {
   auto self = weak_from_this();
-  order_.exchange->set_on_disconnect([self] {
+  admitted_.exchange->set_on_disconnect([self] {
     if (auto r = self.lock()) r->OnCallerDisconnect();
   });
-  deadline_timer_ = context_->loop->After(order_.limit - now(), [self] {
+  deadline_timer_ = context_->loop->After(admitted_.limit - now(), [self] {
     if (auto r = self.lock()) r->OnDeadline();
   });
   StartAttempt();
@@ -65,23 +66,23 @@
   const Time t = now();
   picks_++;
   AttemptHeaders notes;
-  notes.customer = order_.customer;
+  notes.customer = admitted_.customer;
   notes.instance = target_.endpoint();
-  notes.time_left = order_.limit - t;
-  notes.urgency = UrgencyOf(order_.request_class.tier);
+  notes.time_left = admitted_.limit - t;
+  notes.urgency = UrgencyOf(admitted_.request_class.tier);
   if (attempts_ > 0 && events_.last_id()) {
     notes.last_event = std::to_string(*events_.last_id());
   }
   notes.chain = target_.WithAddresses(target_.chain());
   last_target_ =
       target_.pool() ? ChainText(target_.chain()) : target_.endpoint();
-  const CallerExchange& exchange = *order_.exchange;
+  const CallerExchange& exchange = *admitted_.exchange;
   UpstreamRequest request;
   request.endpoint = target_.endpoint();
   request.to = target_.address();
   request.bytes = WriteForwardedRequest(exchange.head(), exchange.body(),
                                         context_->protocol, notes);
-  request.id = order_.id;
+  request.id = admitted_.id;
   if (!route_.may_repeat()) request.max_idle_time = kMaxIdleForOnce;
   phase_ = Phase::kWaiting;
   body_.clear();
@@ -115,7 +116,7 @@
 // picked, the request's key may have been revoked, or the endpoint may have
 // stopped accepting requests.
 bool ForwardedRequest::BeforeSend() {
-  config_fresh_ = !order_.requires_key || context_->config_is_fresh();
+  config_fresh_ = !admitted_.requires_key || context_->config_is_fresh();
   if (!config_fresh_) return false;
   const std::string& endpoint = target_.endpoint();
   backoff_left_ = context_->table->BackoffLeft(now(), endpoint);
@@ -170,7 +171,7 @@
   const Time t = now();
   last_progress_ = t;
   target_.OnEvents(t);
-  CallerExchange& exchange = *order_.exchange;
+  CallerExchange& exchange = *admitted_.exchange;
   if (!exchange.streaming()) {
     first_event_ = t;
     first_wait_ = wait_cause_;
@@ -224,7 +225,7 @@
   Release(result.use == ResponseUse::kForward);
   switch (result.use) {
     case ResponseUse::kForward:
-      if (phase_ != Phase::kEvents && order_.exchange->streaming()) {
+      if (phase_ != Phase::kEvents && admitted_.exchange->streaming()) {
         // The caller already has the head of a stream.
         Fail("an answer that is no stream");
         return;
@@ -286,7 +287,7 @@
 }
 
 void ForwardedRequest::ForwardAnswer() {
-  CallerExchange& exchange = *order_.exchange;
+  CallerExchange& exchange = *admitted_.exchange;
   const HttpHeaders headers =
       ForwardedResponseHeaders(answer_, context_->protocol);
   if (phase_ != Phase::kEvents) {
@@ -307,7 +308,7 @@
   if (finished_ || upstream_id_ == 0 || replacing_) return;
   if (paused_) {
     last_progress_ = t;
-    if (order_.exchange->unsent() > 0) return;
+    if (admitted_.exchange->unsent() > 0) return;
     paused_ = false;
     context_->upstream->Pause(upstream_id_, false);
     return;
@@ -389,7 +390,7 @@
   context_->loop->Cancel(std::exchange(deadline_timer_, 0));
   context_->loop->Cancel(std::exchange(recheck_timer_, 0));
   const Time t = now();
-  const CallerExchange& exchange = *order_.exchange;
+  const CallerExchange& exchange = *admitted_.exchange;
   RequestLog::End end;
   end.outcome = outcome;
   end.attempts = attempts_;
--- a/pinford/forwarding/forwarded_request.h
+++ b/pinford/forwarding/forwarded_request.h
@@ -39,7 +39,7 @@
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest> {
  public:
   ForwardedRequest(ForwardContext* context, Forwarder* owner,
-                   AdmittedRequest order);
+                   AdmittedRequest admitted);
   ~ForwardedRequest();
 
   void Start();
@@ -119,8 +119,9 @@
   void RequestReroute(Time now, const Chain& chain, Duration expected);
   void OnRerouted(const Chain& chain, const RerouteResult& result,
                   Duration expected);
-  // Chooses the recovery, where `next` is the chain without the impaired
-  // stages: by estimated time, and with Mechanism::kTimedRecovery switched off.
+  // Choose the recovery, where `next` is the chain without the impaired stages:
+  // DecideRecovery by estimated times, DefaultRecovery if
+  // Mechanism::kTimedRecovery is off.
   Recovery DecideRecovery(Time now, const std::optional<Chain>& next) const;
   Recovery DefaultRecovery(const std::optional<Chain>& next) const;
   // Whether to wait for a retry for a short time rather than use `next`, which
@@ -148,7 +149,7 @@
 
   ForwardContext* context_;
   Forwarder* owner_;
-  AdmittedRequest order_;
+  AdmittedRequest admitted_;
   const Route& route_;
   RequestLog log_;
 
--- a/pinford/forwarding/forwarder.cc
+++ b/pinford/forwarding/forwarder.cc
@@ -119,23 +119,23 @@
     Refuse(exchange, {503, "stopping", "this box is stopping"});
     return;
   }
-  AdmittedRequest order;
-  order.exchange = exchange;
-  order.routes = routes_;
-  order.route = route;
-  order.requires_key = requires_key;
-  order.priority = route->priority;
+  AdmittedRequest admitted;
+  admitted.exchange = exchange;
+  admitted.routes = routes_;
+  admitted.route = route;
+  admitted.requires_key = requires_key;
+  admitted.priority = route->priority;
   if (customer != nullptr) {
-    order.customer = customer->name;
-    if (customer->priority) order.priority = *customer->priority;
+    admitted.customer = customer->name;
+    if (customer->priority) admitted.priority = *customer->priority;
   }
   const double draw =
       std::uniform_real_distribution<double>(0, 1)(*context_->random);
-  order.service = DrawService(*route, draw);
-  order.id = std::string(head.header(names.request_id));
-  exchange->set_log_id(order.id);
-  order.request_class = context_->classify(FactsOf(order));
-  if (order.request_class.refuse) {
+  admitted.service = DrawService(*route, draw);
+  admitted.id = std::string(head.header(names.request_id));
+  exchange->set_log_id(admitted.id);
+  admitted.request_class = context_->classify(FactsOf(admitted));
+  if (admitted.request_class.refuse) {
     Refuse(exchange, {503, "policy", "refused by the policy"});
     return;
   }
@@ -143,11 +143,11 @@
   if (auto ms = ParseMillis(head.header(names.time_left))) {
     limit = std::min(limit, Duration(milliseconds(*ms)));
   }
-  order.limit = exchange->started() + limit;
-  context_->retries->OnRequest(context_->loop->now(), order.service);
+  admitted.limit = exchange->started() + limit;
+  context_->retries->OnRequest(context_->loop->now(), admitted.service);
   context_->metrics->Count("requests_total", "route=\"" + route->name + "\"");
   auto request =
-      std::make_shared<ForwardedRequest>(context_, this, std::move(order));
+      std::make_shared<ForwardedRequest>(context_, this, std::move(admitted));
   active_.push_back(request);
   request->Start();
 }
--- a/pinford/forwarding/request_log.cc
+++ b/pinford/forwarding/request_log.cc
@@ -16,7 +16,7 @@
   context_->metrics->Count("attempts_failed_total",
                            Label("end", UpstreamEndName(a.end)));
   Write("attempt_failed", LogFields()
-                              .Add("id", order_->id)
+                              .Add("id", admitted_->id)
                               .Add("attempt", a.attempt)
                               .Add("endpoint", a.target->endpoint())
                               .Add("stages", a.target->chain().size())
@@ -31,17 +31,17 @@
 }
 
 void RequestLog::BackoffRequested(const ForwardTarget& target,
-                                  Duration rest) const {
+                                  Duration backoff) const {
   Write("rest_asked", LogFields()
-                          .Add("id", order_->id)
+                          .Add("id", admitted_->id)
                           .Add("endpoint", target.endpoint())
-                          .Add("rest_ms", ToMillis(rest)));
+                          .Add("rest_ms", ToMillis(backoff)));
 }
 
 void RequestLog::Restarted(std::string_view event,
                            const AbandonedAttempt& l) const {
   Write(event, LogFields()
-                   .Add("id", order_->id)
+                   .Add("id", admitted_->id)
                    .Add("attempt", l.attempt)
                    .Add("endpoint", l.target->endpoint())
                    .Add("events", l.events)
@@ -54,7 +54,7 @@
   context_->metrics->Count("chains_replaced_total",
                            Label("status", RerouteStatusName(r.status)));
   Write("stages_replaced", LogFields()
-                               .Add("id", order_->id)
+                               .Add("id", admitted_->id)
                                .Add("endpoint", r.target->endpoint())
                                .Add("chain", ChainText(r.chain))
                                .Add("more_crossings", r.extra_transfers)
@@ -69,7 +69,7 @@
   context_->metrics->Count("recoveries_total",
                            Label("move", RecoveryActionName(r.action)));
   Write("recovery", LogFields()
-                        .Add("id", order_->id)
+                        .Add("id", admitted_->id)
                         .Add("endpoint", target.endpoint())
                         .Add("move", RecoveryActionName(r.action))
                         .Add("expected_ms", ToMillis(r.expected))
@@ -94,11 +94,11 @@
   context_->metrics->Observe("answer_seconds", "", ToSeconds(e.took));
   context_->metrics->Observe("first_byte_seconds", "", ToSeconds(e.first));
   LogFields fields;
-  fields.Add("id", order_->id)
-      .Add("route", order_->route->name)
-      .Add("customer", order_->customer)
-      .Add("service", order_->service)
-      .Add("config", order_->routes->version())
+  fields.Add("id", admitted_->id)
+      .Add("route", admitted_->route->name)
+      .Add("customer", admitted_->customer)
+      .Add("service", admitted_->service)
+      .Add("config", admitted_->routes->version())
       .Add("proof_age_ms", ToMillis(context_->freshness_age()))
       .Add("outcome", e.outcome)
       .Add("attempts", e.attempts)
--- a/pinford/forwarding/request_log.h
+++ b/pinford/forwarding/request_log.h
@@ -21,8 +21,8 @@
 class RequestLog {
  public:
   // Both must outlive the log.
-  RequestLog(const ForwardContext* context, const AdmittedRequest* order)
-      : context_(context), order_(order) {}
+  RequestLog(const ForwardContext* context, const AdmittedRequest* admitted)
+      : context_(context), admitted_(admitted) {}
 
   // An attempt that did not succeed.
   struct AttemptEnd {
@@ -42,7 +42,7 @@
   void AttemptFailed(const AttemptEnd& a) const;
 
   // The endpoint asked this box to back off for that long.
-  void BackoffRequested(const ForwardTarget& target, Duration rest) const;
+  void BackoffRequested(const ForwardTarget& target, Duration backoff) const;
 
   // An attempt was abandoned for another one; `event` says why.
   struct AbandonedAttempt {
@@ -90,7 +90,7 @@
 
  private:
   const ForwardContext* context_;
-  const AdmittedRequest* order_;
+  const AdmittedRequest* admitted_;
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/request_recovery.cc
+++ b/pinford/forwarding/request_recovery.cc
@@ -79,18 +79,18 @@
   f.down = target_.HasDownStage();
   f.started = first_event_ != Time{};
   f.allowed = f.started ? route_.target_gap : route_.target_latency;
-  f.idle = f.started ? t - last_event_ : t - order_.exchange->started();
+  f.idle = f.started ? t - last_event_ : t - admitted_.exchange->started();
   f.gap_if_unchanged =
       FromSeconds(ToSeconds(owner_->mean_gap()) * target_.Slowdown());
   const auto version = target_.Version(t);
   if (next && was_sent_ && version) {
     const RecoveryLoad load = target_.RecoveryLoadFor(
-        t, *next, owner_->CapacityOf(order_.service, *version));
+        t, *next, owner_->CapacityOf(admitted_.service, *version));
     f.replace_all = TimeToRecoverAll(load);
     f.extra_transfers = load.extra_transfers;
   }
   f.queue_position =
-      QueuePosition(UnitHash(order_.id), order_.request_class.tier);
+      QueuePosition(UnitHash(admitted_.id), admitted_.request_class.tier);
   f.restart_time = kContentionFactor * owner_->mean_first_event();
   f.may_restart = MayRepeat() && possible_runs_ + 1 < route_.max_attempts;
   const Recovery recovery = ChooseRecovery(f);
@@ -104,7 +104,8 @@
   last_progress_ = t;
   wait_cause_ = WaitCause::kReroute;
   target_.ReserveChain(t, chain);
-  context_->reroute(target_.address(), order_.id, target_.WithAddresses(chain),
+  context_->reroute(target_.address(), admitted_.id,
+                    target_.WithAddresses(chain),
                     [self = weak_from_this(), chain, expected,
                      attempt = upstream_id_](const RerouteResult& result) {
                       auto r = self.lock();
--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -41,7 +41,8 @@
   }
   // A chain that was full stays full for a while, so the request waits. If the
   // rejection was due to a stage that is down, the next pick leaves it out.
-  const bool rejected = facts.reported_not_run && order_.exchange->streaming();
+  const bool rejected =
+      facts.reported_not_run && admitted_.exchange->streaming();
   const bool full = rejected && !(timed_recovery_ && resume_refusals_++ == 0);
   if (!full || !WaitForChain()) StartAttempt();
 }
@@ -55,26 +56,26 @@
 bool ForwardedRequest::AcquireAttempt(Time t, int runs) {
   no_attempt_reason_ = "not run there";
   if (runs >= route_.max_attempts) return false;
-  const bool begun = order_.exchange->streaming();
+  const bool begun = admitted_.exchange->streaming();
   if (!begun && picks_ >= route_.max_attempts + kMaxExtraRefusals) return false;
-  if (order_.limit - t < kMinTimeLeft) return false;
+  if (admitted_.limit - t < kMinTimeLeft) return false;
   // An attempt that was never sent needs no retry.
   if (!was_sent_ || retry_acquired_) return true;
   retry_acquired_ =
-      context_->retries->Acquire(t, order_.service, retry_class());
+      context_->retries->Acquire(t, admitted_.service, retry_class());
   if (!retry_acquired_) no_attempt_reason_ = kNoRetryLeft;
   return retry_acquired_;
 }
 
 RetryClass ForwardedRequest::retry_class() const {
-  if (order_.exchange->streaming()) return RetryClass::kStartedStream;
-  const bool urgent = order_.request_class.tier == Tier::kCritical;
+  if (admitted_.exchange->streaming()) return RetryClass::kStartedStream;
+  const bool urgent = admitted_.request_class.tier == Tier::kCritical;
   return urgent ? RetryClass::kUrgent : RetryClass::kOther;
 }
 
 void ForwardedRequest::Fail(std::string_view why, bool timed_out) {
   const ForwardHeaders& names = context_->protocol.headers;
-  CallerExchange& exchange = *order_.exchange;
+  CallerExchange& exchange = *admitted_.exchange;
   if (exchange.streaming()) {
     exchange.Abort();
     Finish(why);
@@ -89,7 +90,7 @@
     return;
   }
   HttpHeaders headers = {{"Content-Type", std::string(kJsonType)},
-                         {names.request_id, order_.id}};
+                         {names.request_id, admitted_.id}};
   if (!may_have_run_) {
     headers.emplace_back("Retry-After", kRetryAfter);
     exchange.Reply(503, "", headers,
@@ -133,7 +134,7 @@
 // A started stream waits until its caller disconnects or the time limit passes:
 // the caller decides how long a pause it accepts.
 bool ForwardedRequest::ScheduleRecheck(void (*recheck)(ForwardedRequest*)) {
-  if (!order_.exchange->streaming()) return false;
+  if (!admitted_.exchange->streaming()) return false;
   recheck_timer_ = context_->loop->After(kRecheckInterval,
                                          [recheck, self = weak_from_this()] {
                                            auto r = self.lock();
--- a/pinford/forwarding/retry_share.h
+++ b/pinford/forwarding/retry_share.h
@@ -25,8 +25,8 @@
 //   window of the previous one's use.
 // - A new incarnation does not know what the previous one used and lent. It
 //   lends only after a window and a loan's validity, when no such use can share
-//   a window with its loans. With lending from `settle` on, the total of the
-//   test exceeded the bound by 2.4 in a window in which it stayed 3.2 below
+//   a window with its loans. With lending from `settle_time` on, the total of
+//   the test exceeded the bound by 2.4 in a window in which it stayed 3.2 below
 //   without loans; with the present rule it stays 2.2 below
 //   (RetryLoans.RestartsAddNothingThroughLoans, boxes restarting one by one and
 //   all together).
--- a/pinford/testing/forward_decisions_test.cc
+++ b/pinford/testing/forward_decisions_test.cc
@@ -1,5 +1,5 @@
-// The decisions of the forwarding path that need no clock and no sockets:
-// tables, and random cases against simple oracles.
+// Tests of the forwarding path's decisions without a clock or sockets: tables
+// of cases, and random cases compared with simple oracles.
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 namespace pinford {
 namespace {
 
-// --- what an attempt's end says --------------------------------------------
+// --- results of attempts ---------------------------------------------------
 
 TEST(AttemptResult, NotRunRequiresEndpointReportOrNoSend) {
   const struct {
@@ -33,7 +33,7 @@
        Executed::kNo,
        ResponseUse::kNone,
        EndpointFeedback::kFailed},
-      {"kept back",
+      {"withheld",
        {UpstreamEnd::kWithdrawn},
        Executed::kNo,
        ResponseUse::kNone,
@@ -63,17 +63,17 @@
        Executed::kNo,
        ResponseUse::kNone,
        EndpointFeedback::kRejected},
-      {"another life",
+      {"another incarnation",
        {UpstreamEnd::kComplete, 421, false, false},
        Executed::kNo,
        ResponseUse::kNone,
        EndpointFeedback::kRejected},
-      {"503 without the word",
+      {"503 without a report",
        {UpstreamEnd::kComplete, 503, false, false},
        Executed::kMaybe,
        ResponseUse::kNone,
        EndpointFeedback::kFailed},
-      {"429 without the word",
+      {"429 without a report",
        {UpstreamEnd::kComplete, 429, false, false},
        Executed::kMaybe,
        ResponseUse::kNone,
@@ -112,8 +112,8 @@
   }
 }
 
-// All combinations: "not run" never follows from less than it needs, and
-// nothing but a sealed, whole answer passes.
+// For all combinations: "not run" requires a report or that nothing was sent,
+// and only a complete, sealed response is forwarded.
 TEST(AttemptResult, HoldsForAllCombinations) {
   for (UpstreamEnd end : {UpstreamEnd::kComplete, UpstreamEnd::kRefused,
                           UpstreamEnd::kWithdrawn, UpstreamEnd::kBroken,
@@ -151,8 +151,8 @@
     for (int i = 1; i <= events; i++) all += Event(i);
     EventStream stream;
     std::string out;
-    // Runs break at random places; each next one goes on after the last event
-    // that was passed, or repeats some of those before it.
+    // Attempts break at random places. Each next one resumes after the last
+    // event that was forwarded, or repeats some events before it.
     size_t from = 0;
     for (int run = 0; run < 5; run++) {
       const bool last = run == 4;
@@ -256,8 +256,8 @@
 
 // --- retries ---------------------------------------------------------------
 
-// Boxes with uneven load that all retry as much as they may: in no window do
-// they exceed the bound together, though they hear late how many they are.
+// Boxes with uneven load retry as much as they may. Together they stay within
+// the bound in every window, although they learn late how many boxes there are.
 TEST(RetryShare, BoundHoldsAcrossBoxesInEveryWindow) {
   constexpr int kBoxes = 8;
   for (int seed = 0; seed < 20; seed++) {
@@ -271,7 +271,7 @@
     for (int ms = 0; ms < 40000; ms += 10) {
       const Time now = Time{} + milliseconds(ms);
       for (int b = 0; b < kBoxes; b++) {
-        // All have heard of each other after 3 s; later a cut hides half.
+        // Boxes know of each other after 3 s; later a partition hides half.
         const bool cut = ms > 15000 && ms < 25000;
         boxes[b].OnBoxCount(now, ms < 3000 ? 1 : cut ? kBoxes / 2 : kBoxes);
         if (static_cast<int>(random() % 100) < 2 * b) {
@@ -292,7 +292,7 @@
                                  options.extra)
           << seed << " from " << ms;
     }
-    EXPECT_GT(retries.size(), 300u) << "the bound is also used";
+    EXPECT_GT(retries.size(), 300u) << "the bound is also reached";
   }
 }
 
@@ -307,7 +307,7 @@
   EXPECT_EQ(taken, 16);  // 0.8 x 0.2 x 100
 }
 
-// --- silent endpoints ------------------------------------------------------
+// --- idle endpoints --------------------------------------------------------
 
 TEST(EndpointWatch, ProbesEndpointsIdleBeyondTheirUsualInterval) {
   EndpointWatch watch{EndpointWatch::Options()};
@@ -321,7 +321,7 @@
     watch.OnProgress(now, i % 2 == 0 ? fast : other);
     EXPECT_TRUE(watch.EndpointsToProbe(now).empty());
   }
-  // b and c fall silent; a goes on with what others send.
+  // b and c become idle; a continues with other streams.
   const Chain alone = {{"a", {0, 4}}};
   watch.OnBegin(now, alone);
   std::vector<std::string> asked;
@@ -338,13 +338,13 @@
   EXPECT_EQ(watch.OnProbeResult("c", true, 1), Change::kNone);
   EXPECT_TRUE(watch.IsDown("b"));
   EXPECT_FALSE(watch.IsDown("c"));
-  // Who is down is asked until it answers.
+  // An endpoint that is down is probed until it responds.
   now += milliseconds(500);
   const std::vector<std::string> again = watch.EndpointsToProbe(now);
   EXPECT_NE(std::find(again.begin(), again.end(), "b"), again.end());
   EXPECT_EQ(watch.OnProbeResult("b", true, 1), Change::kBetter);
   EXPECT_FALSE(watch.IsDown("b"));
-  // One that says that it is slow is asked until it is well.
+  // An endpoint that reports a slowdown is probed until it is no longer slow.
   EXPECT_EQ(watch.OnProbeResult("c", true, 5), Change::kWorse);
   EXPECT_TRUE(watch.IsSlow("c"));
   EXPECT_EQ(watch.OnProbeResult("c", true, 6), Change::kNone);
@@ -359,7 +359,7 @@
   const EndpointWatch::Options options;
   EndpointWatch watch{options};
   Time now = Time{} + seconds(1);
-  // Each refusal doubts it; one question is under way, and then a pause.
+  // Each rejection asks for a probe; one is in progress, then there is a pause.
   EXPECT_TRUE(watch.BeginProbe(now, "a"));
   EXPECT_FALSE(watch.BeginProbe(now + milliseconds(1), "a"));
   EXPECT_TRUE(watch.BeginProbe(now + milliseconds(1), "b"));
@@ -367,7 +367,7 @@
   EXPECT_FALSE(watch.BeginProbe(now + milliseconds(2), "a"));
   now += options.healthy_probe_interval;
   EXPECT_TRUE(watch.BeginProbe(now, "a"));
-  // One that is down is asked by EndpointsToProbe, no sooner for a doubt.
+  // An endpoint that is down is probed by EndpointsToProbe and not sooner.
   watch.OnProbeResult("a", false, 1);
   EXPECT_FALSE(watch.BeginProbe(now + options.healthy_probe_interval, "a"));
   EXPECT_TRUE(watch.BeginProbe(now + options.impaired_probe_interval, "a"));
@@ -439,7 +439,7 @@
       total += r.holds.size();
     }
     EXPECT_GE(least(), total / pool.layers - 2) << seed;
-    // Some come back empty; what they held is held again.
+    // Some restart without layers; the layers that they held are held again.
     const int before = least();
     for (PoolRunner& r : runners) {
       if (random() % 4 == 0) r.holds = {};
@@ -449,7 +449,8 @@
   }
 }
 
-// The least room of a layer that any ranges of the runners' sizes leave.
+// Returns the greatest minimum of free memory over all layers that any
+// placement of the runners reaches.
 double BestLeast(const EnginePool& pool, std::vector<PoolRunner>* runners,
                  size_t i, const PoolPlacementOptions& options) {
   if (i == runners->size())
@@ -465,7 +466,7 @@
   return best;
 }
 
-// On small pools of one hall, against all placements there are.
+// Compares small pools of one hall with all possible placements.
 TEST(PoolPlacement, IsNearOptimalOnSmallPools) {
   EnginePool pool;
   pool.layers = 6;
@@ -488,7 +489,7 @@
     const auto placed = PlaceUnderfilledRunners(pool, runners, options);
     for (PoolRunner& r : runners) r.holds = placed.at(r.name);
     const double got = PoolMemory(pool, options, runners).MinFreeMemory();
-    EXPECT_GT(got, 0) << seed << ": a layer is held by nobody";
+    EXPECT_GT(got, 0) << seed << ": a layer has no holder";
     EXPECT_GE(got, best / 2) << seed;
     reached += got;
     possible += best;
@@ -513,7 +514,7 @@
 TEST(PoolPlacement, AMoveCoversUnheldLayers) {
   const EnginePool pool = TestPool();
   const PoolPlacementOptions options;
-  // Ranges of 27 layers; nobody holds those from 54 on.
+  // Ranges of 27 layers; no runner holds layers from 54 on.
   std::vector<PoolRunner> runners = {{"a", "h", "big", {0, 27}},
                                      {"b", "h", "big", {0, 27}},
                                      {"c", "h", "big", {27, 54}}};
--- a/pinford/testing/forwarder_fixture.h
+++ b/pinford/testing/forwarder_fixture.h
@@ -1,5 +1,5 @@
 // A forwarder between a caller's socket and two endpoints' sockets, all on one
-// event loop, and what such endpoints say.
+// event loop, and the responses of such endpoints.
 
 #ifndef PINFORD_TESTING_FORWARDER_FIXTURE_H_
 #define PINFORD_TESTING_FORWARDER_FIXTURE_H_
@@ -45,7 +45,7 @@
   return "id: " + std::to_string(id) + "\ndata: x\n\n";
 }
 
-// A box in miniature with two endpoints of one plain service.
+// The forwarding path of a box, with two endpoints of one plain service.
 class ForwarderFixture {
  public:
   ForwarderFixture()
@@ -135,7 +135,7 @@
     }
   }
 
-  // How long all routes allow.
+  // Sets the timeout of all routes.
   void SetTimeout(Duration timeout) {
     auto c = std::make_shared<ServiceConfiguration>(
         forwarder.routes()->configuration());
@@ -143,8 +143,8 @@
     forwarder.set_routes(std::make_shared<RouteTable>(c));
   }
 
-  // The service is a pool of two layers: a holds the first, and each of
-  // `holders` the other. Those but b cannot be reached.
+  // Makes the service a pool of two layers: a holds the first, and each of
+  // `holders` the other. Of these, only b can be reached.
   void MakePool(const std::vector<std::string>& holders = {"b"}) {
     auto c = std::make_shared<ServiceConfiguration>(
         forwarder.routes()->configuration());
@@ -195,7 +195,7 @@
     return Listed(name, EndpointRole::kRunner, at);
   }
 
-  // Runners that this box has work at, but a.
+  // Runners other than a on which this box has load.
   std::vector<std::string> BusyRunners() const {
     std::vector<std::string> names;
     for (const auto& [name, row] : table.rows()) {
@@ -204,7 +204,7 @@
     return names;
   }
 
-  // Both endpoints go through the same steps, one request after the other.
+  // Sets the steps of both endpoints, one per request.
   void Script(const std::vector<RawEndpoint::Step>& first,
               const std::vector<RawEndpoint::Step>& second) {
     a.steps = first;
@@ -251,12 +251,14 @@
   std::shared_ptr<TcpConnection> caller;
   std::string got;
   bool ended = false;
-  int callers_waiting = 0;             // times that the box was told of one
-  std::vector<std::string> probed;     // runners of the pool, in order
-  std::set<std::string> unresponsive;  // of them, those that do not answer
-  RunnerHealth health{true, true};     // what each of the others says
-  std::vector<LeavingMark> leaving_reports;  // by answers
-  // Chains that a's request was to go on with, and whom to answer.
+  int callers_waiting = 0;  // calls of on_caller_waiting
+  std::vector<std::string>
+      probed;  // runners of the pool, in order of the probes
+  std::set<std::string> unresponsive;  // runners that do not respond to probes
+  RunnerHealth health{true, true};     // reported by all others
+  std::vector<LeavingMark> leaving_reports;  // read from responses
+  // The chains that a was asked to continue with, and the handlers of the
+  // results.
   std::vector<std::pair<std::vector<AddressedStage>, RerouteHandler>> reroutes;
 };
 
--- a/pinford/testing/forwarder_test.cc
+++ b/pinford/testing/forwarder_test.cc
@@ -1,5 +1,5 @@
-// Requests from a caller's socket to an endpoint's and back: what the caller
-// gets for everything an endpoint may do.
+// Requests from a caller's socket to an endpoint's and back: the caller's
+// response for each behavior of an endpoint.
 
 #include "pinford/testing/forwarder_fixture.h"
 
@@ -12,8 +12,8 @@
 TEST(Forwarder, CallerResponseForEachEndpointBehavior) {
   const struct {
     const char* name;
-    RawEndpoint::Step step;  // of every endpoint, each time
-    std::string once, get;   // the status, by kind of request
+    RawEndpoint::Step step;  // of both endpoints, for every request
+    std::string once, get;   // expected status, by kind of request
     size_t once_sends, get_sends;
   } cases[] = {
       {"answers", {Sealed("1", "ab")}, "200", "200", 1, 1},
@@ -34,7 +34,7 @@
        "502",
        1,
        2},
-      {"says 503 without the word",
+      {"sends 503 without X-Not-Run",
        {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"},
        "502",
        "502",
@@ -46,7 +46,7 @@
        "502",
        1,
        2},
-      {"answers another",
+      {"answers another request first",
        {Sealed("0", "no") + Sealed("1", "ab")},
        "200",
        "200",
@@ -73,10 +73,10 @@
       EXPECT_EQ(answer.find("Retry-After") != std::string::npos, refused)
           << c.name;
       EXPECT_EQ(f.forwarder.active(), 0u) << c.name;
-      // What is said of it to operators.
-      const bool told_complete =
+      // The metrics must agree.
+      const bool counted_complete =
           f.metrics.Text().find("outcome=\"complete\"") != std::string::npos;
-      EXPECT_EQ(told_complete, StatusOf(answer) == "200") << c.name;
+      EXPECT_EQ(counted_complete, StatusOf(answer) == "200") << c.name;
     }
   }
 }
@@ -93,8 +93,8 @@
   EXPECT_EQ(g.sends(), 2u);
 }
 
-// A key whose proof lapses while a connection is made: nothing is sent, and
-// the caller is told so once.
+// If the configuration becomes stale while a connection is made, nothing is
+// sent and the caller gets one refusal.
 TEST(Forwarder, WithoutFreshnessNothingIsSentOrRetried) {
   Fixture f;
   f.Script({{Sealed("1", "ab")}}, {{Sealed("1", "ab")}});
@@ -103,7 +103,7 @@
   EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/")), "503");
   EXPECT_EQ(f.sends(), 0u);
   EXPECT_EQ(checks, 2);
-  // Nor is a route or key said to be missing.
+  // A missing route or key is not reported either.
   f.context.config_is_fresh = [] { return false; };
   EXPECT_EQ(StatusOf(f.SendRequest("GET", "/nowhere/")), "503");
   EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/", milliseconds(100), "")),
@@ -114,8 +114,8 @@
             "401");
 }
 
-// A stream that broke was cut at once when the proof of the configuration was
-// too old for its next send, though the store renews it within milliseconds.
+// A stream that broke was cut at once if the configuration was stale at its
+// next send, although the store confirms it within milliseconds.
 TEST(Forwarder, AStartedStreamWaitsForFreshness) {
   Fixture f;
   f.SetEndpoints({"a"});
@@ -128,22 +128,23 @@
       f.SendRequest("GET", "/stream/", milliseconds(700));
   EXPECT_NE(answer.find(Chunk(Event(2)) + "0\r\n\r\n"), std::string::npos)
       << answer;
-  EXPECT_EQ(f.sends(), 2u) << "nothing is sent without a proof";
+  EXPECT_EQ(f.sends(), 2u)
+      << "nothing is sent while the configuration is stale";
 }
 
-// Callers of routes with a generous goal bear pauses of four seconds and more;
-// a box cut their streams after 2.5 s, or after twelve refusals, while they
-// still waited.
+// Callers of routes with a generous latency objective accept pauses of four
+// seconds and more. A box cut their streams after 2.5 s, or after twelve
+// rejections, while they still waited.
 TEST(Forwarder, AStartedStreamWaitsUntilItsCallerLeaves) {
   const RawEndpoint::Step begins = {StreamHead() + Chunk(Event(1)),
                                     Then::kReset};
   const RawEndpoint::Step ends = {StreamHead() + Chunk(Event(2)) + "0\r\n\r\n"};
   const struct {
     const char* name;
-    Duration away;    // nobody serves for so long
-    size_t refusals;  // that come after it
-  } cases[] = {{"nobody is there", milliseconds(2800), 0},
-               {"all refuse", milliseconds(0), 13}};
+    Duration away;    // no endpoint for that long
+    size_t refusals;  // after that
+  } cases[] = {{"no endpoint", milliseconds(2800), 0},
+               {"all reject", milliseconds(0), 13}};
   for (const auto& c : cases) {
     Fixture f;
     f.SetTimeout(seconds(8));
@@ -165,8 +166,8 @@
   }
 }
 
-// A box left a run that stood still before it had looked for another one. None
-// was to be had, and the caller was cut though the runner went on.
+// A box abandoned a stalled attempt before it had picked another target. There
+// was none, so the caller was cut although the runner continued.
 TEST(Forwarder, AStalledAttemptIsAbandonedOnlyForAnother) {
   for (const bool pool : {true, false}) {
     Fixture f;
@@ -177,7 +178,7 @@
     }
     f.Script({{StreamHead() + Chunk(Event(1))}}, {});
     f.SendRequest("POST", "/stream/1", milliseconds(30));
-    // It finishes what it has, and takes nothing new.
+    // It finishes its requests and accepts no new ones.
     f.table.OnLeaving("a");
     f.RunFor(milliseconds(400));
     f.a.WriteMore(Chunk(Event(2)) + "0\r\n\r\n");
@@ -211,7 +212,8 @@
   EXPECT_EQ(heads, 1u);
 }
 
-// The head that the caller has is that of a stream.
+// The caller already has the head of a stream, which no other response can
+// follow.
 TEST(Forwarder, ANonStreamAnswerEndsAStartedStream) {
   Fixture f;
   f.SetEndpoints({"a"});
@@ -239,8 +241,8 @@
   EXPECT_EQ(f.sends(), 2u) << "the route allows two";
 }
 
-// Some endpoints never say that they leave: their entry goes, and they serve
-// on for seconds. What they have is finished there; nothing new goes there.
+// Some endpoints are removed from the list without announcing that they leave,
+// and serve on for seconds. Their requests finish there; no new ones are sent.
 TEST(Forwarder, ADelistedEndpointFinishesItsRequests) {
   Fixture f;
   f.SetEndpoints({"a"});
@@ -258,14 +260,14 @@
   EXPECT_EQ(f.b.requests.size(), 1u);
 }
 
-// A refusal says which stage is at fault, but not how: only that stage's own
-// answer tells a dead one from a full one.
+// A rejection names the stage at fault but not the fault. Only a probe of that
+// stage tells whether it is down or full.
 TEST(Forwarder, AStageNamedInARejectionIsProbedAtOnce) {
   const struct {
     const char* name;
     bool works;
     bool takes_work_later;
-  } cases[] = {{"dead", false, false}, {"full", true, true}};
+  } cases[] = {{"down", false, false}, {"full", true, true}};
   for (const auto& c : cases) {
     Fixture f;
     f.MakePool();
@@ -274,12 +276,12 @@
         "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-At-Fault: " +
         f.b.address().ToString() + "\r\nContent-Length: 0\r\n\r\n";
     f.Script({{refusal, Then::kKeep}}, {});
-    // Before it is asked again as one that is down (impaired_probe_interval,
+    // Before it is probed again as one that is down (impaired_probe_interval,
     // 400 ms).
     const std::string got =
         f.SendRequest("POST", "/stream/1", milliseconds(200));
     EXPECT_EQ(StatusOf(got), "503") << c.name;
-    // Once, however often it is named in so short a time.
+    // Only once, however often it is named within that time.
     EXPECT_EQ(f.probed, std::vector<std::string>{"b"}) << c.name;
     const Time later = f.loop.now() + seconds(1);
     EXPECT_EQ(f.table.TakesNewWork(later, "b"), c.takes_work_later) << c.name;
@@ -287,9 +289,9 @@
   }
 }
 
-// A box that had handed a large configuration to its peers got no answers over
-// its own full link. It took all runners of a chain for down at once, and left
-// streams that went well.
+// A box whose link was saturated by sending a large configuration to its peers
+// got no responses to its probes. It marked all runners of a chain down at once
+// and abandoned streams that were progressing.
 TEST(Forwarder, NoRunnerIsMarkedDownWhenNoneAnswers) {
   Fixture f;
   f.MakePool({"c", "d"});
@@ -308,20 +310,20 @@
   f.loop.Every(milliseconds(20),
                [&] { f.a.WriteMore(Chunk(Event(++events))); });
   const std::vector<std::string> all = {"a", "c", "d"};
-  const auto doubt_all = [&] {
+  const auto probe_all = [&] {
     for (const std::string& name : all) f.forwarder.ProbeIfDue(name);
     f.RunFor(milliseconds(200));
   };
   f.unresponsive = {all.begin(), all.end()};
-  doubt_all();
-  EXPECT_GE(f.probed.size(), 2 * all.size()) << "each is asked again";
+  probe_all();
+  EXPECT_GE(f.probed.size(), 2 * all.size()) << "each is probed again";
   for (const std::string& name : all) {
     EXPECT_FALSE(f.forwarder.watch()->IsDown(name)) << name;
   }
   EXPECT_TRUE(f.reroutes.empty());
-  // The way works again, and one of them does not.
+  // The link works again, and one runner is down.
   f.unresponsive = {stage};
-  doubt_all();
+  probe_all();
   for (const std::string& name : all) {
     EXPECT_EQ(f.forwarder.watch()->IsDown(name), name == stage) << name;
   }
@@ -329,8 +331,8 @@
   EXPECT_EQ(f.sends(), 1);
 }
 
-// Runners that fail together are noticed one after the other: the second while
-// the first one's place is still being filled.
+// Runners that fail together are detected one after the other: the second while
+// the first one is still being replaced.
 TEST(Forwarder, AFailedReplacementIsReplaced) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
@@ -348,7 +350,7 @@
   }
   f.unresponsive.insert(second);
   f.forwarder.ProbeIfDue(second);
-  EXPECT_EQ(f.reroutes.size(), 1);  // a change is under way
+  EXPECT_EQ(f.reroutes.size(), 1);  // a reroute is in progress
   f.reroutes[0].second({RerouteStatus::kDone, ""});
   ASSERT_EQ(f.reroutes.size(), 2);
   EXPECT_NE(f.reroutes[1].first[1].at, second_at);
@@ -359,8 +361,8 @@
   EXPECT_NE(f.BusyRunners()[0], second);
 }
 
-// A stage that started anew has lost what it had read, and holds nothing: the
-// stream goes on elsewhere, at once where that is switched on.
+// A restarted stage has lost its layers and prefilled tokens. The stream moves
+// to other runners, at once if Mechanism::kMoveAtRestart is on.
 TEST(Forwarder, ARestartedStageIsReplaced) {
   for (const bool on : {true, false}) {
     Fixture f;
@@ -383,7 +385,7 @@
   }
 }
 
-// A question of the life before is answered after the next one has begun.
+// The result of a probe of the previous incarnation arrives after a restart.
 TEST(Forwarder, ProbeResultsOfAnEarlierIncarnationAreIgnored) {
   Fixture f;
   f.MakePool({"c", "d"});
@@ -401,8 +403,8 @@
   EXPECT_FALSE(f.table.rows().at("c").down);
 }
 
-// The answer names the stand-in that cannot take the part: it is asked, and
-// left alone for a moment.
+// The result of a reroute names the replacement that cannot take the layers. It
+// is probed and not picked for a short time.
 TEST(Forwarder, AReplacementWithoutTheLayersIsProbed) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
@@ -419,8 +421,8 @@
   EXPECT_FALSE(f.table.TakesNewWork(f.loop.now(), f.probed[0]));
 }
 
-// Retries are used up where a pool loses runners: a begun stream goes on as
-// soon as there is one, and is not cut for want of it.
+// Retries run out when a pool loses runners. A started stream waits for one
+// rather than being cut.
 TEST(Forwarder, AStartedStreamWaitsForARetry) {
   Fixture f;
   f.SetEndpoints({"a"});
@@ -440,8 +442,9 @@
   EXPECT_NE(f.got.find("0\r\n\r\n"), std::string::npos) << f.got;
 }
 
-// Nobody decides for a stream that stands still but its box: where a change was
-// refused and no retry is left, it looks again until somebody takes the part.
+// Only its box can recover a stalled stream. After a failed reroute, and
+// without a retry left, the box tries again until a replacement takes the
+// layers.
 TEST(Forwarder, AStreamWithoutAStageReevaluates) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
@@ -461,11 +464,11 @@
   EXPECT_NE(f.reroutes[1].first[1].at, f.reroutes[0].first[1].at);
   f.reroutes[1].second({RerouteStatus::kDone, ""});
   f.RunFor(milliseconds(100));
-  EXPECT_EQ(f.reroutes.size(), 2) << "it goes on";
+  EXPECT_EQ(f.reroutes.size(), 2) << "it resumes";
 }
 
-// With replacement switched off nobody puts others in a stage's place, however
-// often it is looked at; with it on, as above.
+// Without Mechanism::kStageReplacement no stage is replaced, even though the
+// recovery is decided again and again.
 TEST(Forwarder, StagesAreReplacedOnlyIfEnabled) {
   for (const bool on : {true, false}) {
     Fixture f;
@@ -483,7 +486,7 @@
   }
 }
 
-// Runners of other halls would make all tokens so far cross twice.
+// With runners of other halls, all tokens so far would be transferred twice.
 TEST(Forwarder, ReplacementsComeFromTheStagesHall) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
@@ -500,15 +503,15 @@
     list.push_back(e);
   }
   f.table.OnList(list);
-  f.table.SetSlowdown(near, 3);  // dearer than the others
+  f.table.SetSlowdown(near, 3);  // costs more than the others
   f.unresponsive.insert(lost);
   f.forwarder.ProbeIfDue(lost);
   ASSERT_EQ(f.reroutes.size(), 1);
   EXPECT_EQ(f.reroutes[0].first[1].at, f.table.AddressOf(near));
 }
 
-// Events that come well within the allowed pause are worth more than reading
-// all tokens again elsewhere.
+// While events arrive well within the allowed pause, staying is cheaper than
+// prefilling all tokens again elsewhere.
 TEST(Forwarder, AStreamStaysWithASlowStage) {
   for (const bool timed : {true, false}) {
     Fixture f;
@@ -524,27 +527,25 @@
   }
 }
 
-// Prompts went on to a runner twelve times too slow for 9 s: where no event has
-// passed nobody missed one, and nobody asked.
+// Prompts were sent to a runner twelve times too slow for 9 s: before the first
+// event, missing progress was not noticed and no stage was probed.
 TEST(Forwarder, StagesDelayingAFirstEventAreProbed) {
   Fixture f;
   f.MakePool({"c"});
   f.Script({{"", Then::kKeep}}, {});
   f.health.slowdown = 12;
-  // Beyond 0.45 of the 600 ms that the route aims at.
+  // Longer than 0.45 of the route's latency objective of 600 ms.
   f.SendRequest("POST", "/stream/1", milliseconds(400));
   EXPECT_NE(std::find(f.probed.begin(), f.probed.end(), "c"), f.probed.end());
   EXPECT_EQ(f.table.rows().at("c").slowdown, 12);
 }
 
-// A box has just started: who comes before it knows anything waits for that,
-// but not for long.
-// The last retry is kept for who has most to lose.
+// The last retry is reserved for the callers that would lose most.
 TEST(Forwarder, StartedStreamsAndUrgentRequestsGetTheLastRetry) {
   const struct {
     const char* path;
     Tier tier;
-    std::string first;  // what the first endpoint sends before it breaks off
+    std::string first;  // sent by the first endpoint before it resets
     int sends;
   } cases[] = {
       {"/get/x", Tier::kStandard, "", 1},
@@ -573,6 +574,8 @@
   }
 }
 
+// Requests that arrive before a new box has its first configuration wait for
+// it, for a short time.
 TEST(Forwarder, ACallerWaitsForTheFirstConfiguration) {
   Fixture f;
   f.Script({{Sealed("1", "x")}}, {{Sealed("1", "x")}});
@@ -586,7 +589,7 @@
   });
   EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/1")), "200");
   EXPECT_EQ(f.callers_waiting, 1);
-  // Later changes make nobody wait.
+  // Later configurations make no request wait.
   EXPECT_EQ(f.sends(), 1);
 }
 
@@ -628,8 +631,8 @@
   EXPECT_EQ(f.a.ended + f.b.ended, 1);
 }
 
-// A runner's death may leave no chain for a moment. A stream that has begun
-// waits for one; its caller would give it up only after seconds of silence.
+// Losing a runner may leave no chain for a moment. A started stream waits for
+// one, since its caller disconnects only after a pause of seconds.
 TEST(Forwarder, AStartedStreamWaitsForAnEndpoint) {
   Fixture f;
   f.SetEndpoints({"a"});
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -1,6 +1,6 @@
-// Retries that move between boxes, on a paused clock: what one box may lend and
-// take, and what many boxes do together while datagrams are lost, late or
-// doubled and boxes stand still, are cut off, die and come back.
+// Retry loans between boxes, on a paused clock: what one box may lend and
+// borrow, and the total over many boxes while datagrams are lost, late or
+// duplicated and boxes pause, are partitioned and restart.
 
 #include "pinford/forwarding/retry_loans.h"
 
@@ -25,7 +25,8 @@
 
 // --- one box ---------------------------------------------------------------
 
-// A settled one of `boxes`, that has just had as many requests.
+// Returns the share of one of `boxes` boxes, started long ago, that has just
+// had `requests` requests.
 RetryShare ShareWith(Time now, int requests, int boxes = 64) {
   RetryShare share(now - seconds(20), RetryShare::Options());
   share.OnBoxCount(now, boxes);
@@ -43,22 +44,22 @@
   const struct {
     const char* name;
     int requests;
-    int taken;    // by itself, long ago
-    int lately;   // by itself, a moment ago
+    int used;     // retries of its own, not recent
+    int recent;   // retries of its own, recent
     int lent;     // earlier
-    Duration up;  // since its start
+    Duration up;  // time since its start
     int boxes;
-    int lends;  // of 100 that it is asked for
+    int lends;  // of 100 asked for
   } cases[] = {
-      // 30 requests earn 4.8, the fixed number 2.5 of which none is lent.
+      // 30 requests earn 4.8; none of its 2.5 of the fixed number is lent.
       {"all that its requests earned", 30, 0, 0, 0, seconds(20), 64, 4},
-      {"not what it took", 30, 3, 0, 0, seconds(20), 64, 1},
+      {"not what it used", 30, 3, 0, 0, seconds(20), 64, 1},
       {"not what it may need again", 30, 0, 2, 0, seconds(20), 64, 1},
       {"not what it has lent", 30, 0, 0, 3, seconds(20), 64, 1},
-      {"nothing that may meet the last life's", 30, 0, 0, 0,
-       milliseconds(10999), 64, 0},
+      {"nothing that may share a window with the last incarnation's", 30, 0, 0,
+       0, milliseconds(10999), 64, 0},
       {"nothing of the fixed number", 1, 0, 0, 0, seconds(20), 2, 0},
-      {"not the part kept for itself", 1000, 0, 0, 0, seconds(20), 730, 100},
+      {"not the reserved part", 1000, 0, 0, 0, seconds(20), 730, 100},
       {"a quarter stays", 400, 0, 0, 0, seconds(20), 730, 48},
   };
   for (const auto& c : cases) {
@@ -67,10 +68,10 @@
     share.OnBoxCount(kStart, c.boxes);
     const Time before = kStart - seconds(2);
     for (int i = 0; i < c.requests; i++) share.OnRequest(before, kService);
-    for (int i = 0; i < c.taken; i++) share.Acquire(before, kService);
+    for (int i = 0; i < c.used; i++) share.Acquire(before, kService);
     EXPECT_EQ(share.Lend(kStart, kService, c.lent), c.lent);
-    const Time lately = kStart - milliseconds(500);
-    for (int i = 0; i < c.lately; i++) share.Acquire(lately, kService);
+    const Time recent = kStart - milliseconds(500);
+    for (int i = 0; i < c.recent; i++) share.Acquire(recent, kService);
     EXPECT_EQ(share.Lend(kStart, kService, 100), c.lends);
     EXPECT_EQ(share.Lend(kStart, "unknown", 100), 0);
   }
@@ -80,7 +81,7 @@
   const RetryShare::Options options;
   RetryShare share = ShareWith(kStart, 0);
   const auto at = [](int ms) { return kStart + milliseconds(ms); };
-  // Three requests a second, all the time: 4.8 in each window.
+  // A constant three requests a second earn 4.8 in each window.
   const auto requests = [&](int from_ms, int to_ms) {
     for (int ms = from_ms; ms < to_ms; ms += 333) {
       share.OnRequest(at(ms), kService);
@@ -89,11 +90,11 @@
   requests(0, 10000);
   EXPECT_EQ(share.Lend(at(10000), kService, 100), 4);
   requests(10000, 21000);
-  // The borrower may use them until 11,000 ms: what is lent before 21,000
-  // could be used in one window with them.
+  // The borrower may use them until 11,000 ms, so a loan made before 21,000 ms
+  // could be used within the same window.
   EXPECT_EQ(share.Lend(at(20990), kService, 100), 0);
   EXPECT_EQ(share.Lend(at(21010), kService, 100), 4);
-  // Requests that leave the window before the loan ends earn nothing for it.
+  // Requests that leave the window before the loan expires earn nothing for it.
   RetryShare old = ShareWith(kStart, 30);
   EXPECT_EQ(old.Lend(kStart + seconds(9) + milliseconds(1), kService, 9), 0);
 }
@@ -119,14 +120,14 @@
     EXPECT_EQ(share.refused(RetryClass::kOther), 2);
     EXPECT_EQ(share.refused(retry_class), 2);
     EXPECT_EQ(share.refused(), 4);
-    // What is borrowed ends.
+    // Borrowed retries expire.
     share.Borrow(kService, 2, kStart + seconds(1));
     EXPECT_EQ(AcquireAll(&share, kStart + seconds(1), retry_class), 0);
   }
   EXPECT_EQ(RetryClassName(RetryClass::kUrgent), "urgent");
 }
 
-// A box that has just started and lacks `lacks` retries.
+// A box that has just started and was refused `lacks` retries.
 struct Borrower {
   explicit Borrower(int lacks, uint64_t seed = 1)
       : share(kStart, RetryShare::Options()),
@@ -138,11 +139,11 @@
   RetryLoans loans;
 };
 
-// A box lacked a retry and asked nobody: the refusal came right after one tick,
-// and the next tick, that was to ask, came a little late and found it
-// forgotten. With no other load 7 of 60 runs of two whole boxes borrowed
-// nothing; their logs show no ask. Ticks are late wherever a box is busy, which
-// is when retries lack.
+// A refusal came right after one tick, and the next tick, which should have
+// asked for a loan, was a little late and found the refusal expired. With no
+// other load, 7 of 60 runs of two complete boxes borrowed nothing, without any
+// ask in their logs. Ticks are late on a busy box, which is when retries are
+// short.
 TEST(RetryLoans, ARefusalIsAskedForAfterALateTick) {
   const Duration tick = milliseconds(20);
   for (const Duration late : {milliseconds(0), milliseconds(1),
@@ -156,7 +157,7 @@
     const std::vector<RetryAsk> asks = box.loans.MakeAsks(next);
     ASSERT_EQ(asks.size(), 1u);
     EXPECT_EQ(asks[0].count, 1);
-    // It is asked for once.
+    // Only once.
     EXPECT_TRUE(box.loans.MakeAsks(next + tick + milliseconds(1)).empty());
   }
 }
@@ -176,8 +177,8 @@
     for (const RetryAsk& ask : asks) EXPECT_EQ(ask.count, c.each);
     EXPECT_TRUE(box.loans.MakeAsks(kStart).empty());
   }
-  // Where a burst goes on, it asks before it has to refuse: of the 7 that it
-  // has, 5 go at once, and 5 more would not be left.
+  // During a burst it asks before it has to refuse: of its 7 retries, 5 are
+  // used at once, and 5 more would not be left.
   RetryShare share = ShareWith(kStart, 30);
   RetryLoans loans(&share, RetryLoans::Options(), Random(1));
   for (int i = 0; i < 3; i++) EXPECT_TRUE(share.Acquire(kStart, kService));
@@ -192,13 +193,13 @@
     uint64_t nonce_change;
     int count;
     Duration after;
-    int first, second;  // what is borrowed by it, and by its double
+    int first, second;  // borrowed by it, and by its duplicate
   } cases[] = {
       {"as asked", 0, 3, {}, 3, 0},
       {"less", 0, 1, {}, 1, 0},
-      {"a lie", 0, 255, {}, 4, 0},
+      {"more than asked", 0, 255, {}, 4, 0},
       {"nothing", 0, 0, {}, 0, 0},
-      {"a made up one", 1, 4, {}, 0, 0},
+      {"an unknown nonce", 1, 4, {}, 0, 0},
       {"just in time", 0, 4, milliseconds(999), 4, 0},
       {"late", 0, 4, milliseconds(1000), 0, 0},
   };
@@ -212,14 +213,15 @@
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.first);
     EXPECT_EQ(box.loans.OnLoan(now, loan), c.second);
     EXPECT_EQ(AcquireAll(&box.share, now, RetryClass::kStartedStream), c.first);
-    // A new life knows nothing of the last one's asks.
+    // A new incarnation has no asks of the previous one.
     Borrower next(4, 2);
     EXPECT_FALSE(next.loans.MakeAsks(kStart).empty());
     EXPECT_EQ(next.loans.OnLoan(now, loan), 0);
   }
 }
 
-// Peers that lie in all that they can: what they add in a window is bounded.
+// Peers that grant or ask for as much as they can add a bounded number of
+// retries per window.
 TEST(RetryLoans, ByzantinePeersAddABoundedNumber) {
   Borrower box(0);
   int granted = 0;
@@ -234,7 +236,7 @@
   }
   EXPECT_EQ(granted, RetryLoans::Options().max_borrowed_per_window);
   EXPECT_LE(asks, 10 * RetryLoans::Options().max_asks_per_second);
-  // And one that asks all the time gets no more than was earned.
+  // A peer that asks all the time gets no more than was earned.
   RetryShare share = ShareWith(kStart, 1000);
   RetryLoans lender(&share, RetryLoans::Options(), Random(1));
   int lent = 0;
@@ -250,11 +252,11 @@
 struct Faults {
   int lost_percent = 0;
   int duplicated_percent = 0;
-  int late_percent = 0;  // by up to 3 s
-  bool cuts = false;
+  int late_percent = 0;  // delayed by up to 3 s
+  bool partitions = false;
   bool pauses = false;
-  bool deaths = false;    // one by one
-  int all_die_every = 0;  // seconds, at once
+  bool restarts = false;      // restarts, one by one
+  int restart_all_every = 0;  // seconds; all restart at once
 };
 
 class Fleet {
@@ -285,14 +287,14 @@
     retries_.push_back(now());
     return true;
   }
-  // Runs for `d`; each box has `rate` requests a second, evenly.
+  // Runs for `d`; each box has `rate` evenly spaced requests a second.
   void Run(Duration d, double rate, const std::function<void()>& step) {
     const Time end = now() + d;
-    const int every = static_cast<int>(50 / rate);  // of 20 ms
+    const int every = static_cast<int>(50 / rate);  // in ticks of 20 ms
     for (int tick = 0; now() < end; tick++) {
       for (int b = 0; b < size(); b++) {
         Box& box = boxes_[b];
-        box.share->OnBoxCount(now(), box.cut ? size() / 2 : size());
+        box.share->OnBoxCount(now(), box.partitioned ? size() / 2 : size());
         if (!IsPaused(box) && (tick + b) % every == 0) {
           box.share->OnRequest(now(), kService);
           requests_.push_back(now());
@@ -315,8 +317,8 @@
   size_t bytes_sent(int b) const { return boxes_[b].bytes; }
   size_t retries() const { return retries_.size(); }
 
-  // The most retries over the bound in any window that begins at or after
-  // `from`; below zero if none exceeds it.
+  // Returns the largest excess of retries over the bound in any window that
+  // starts at or after `from`; negative if there is none.
   double MaxExcess(Time from) const {
     double most = -1e9;
     for (Time at = from; at + options_.window <= now();
@@ -333,7 +335,7 @@
     std::optional<RetryShare> share;
     std::optional<RetryLoans> loans;
     int incarnation = 0;
-    bool cut = false;
+    bool partitioned = false;
     Time paused_until{};
     size_t bytes = 0;
   };
@@ -348,10 +350,10 @@
   bool RandomPercent(int percent) {
     return static_cast<int>(network_() % 100) < percent;
   }
-  // Runs `fn` at the box once the datagram is there and the box runs.
+  // Runs `fn` when the datagram has arrived and the box is not paused.
   void Deliver(int from, int to, std::function<void()> fn) {
     boxes_[from].bytes += 100;
-    if (boxes_[from].cut != boxes_[to].cut) return;
+    if (boxes_[from].partitioned != boxes_[to].partitioned) return;
     if (RandomPercent(faults_.lost_percent)) return;
     for (int copies = RandomPercent(faults_.duplicated_percent) ? 2 : 1;
          copies > 0; copies--) {
@@ -378,19 +380,20 @@
       });
     }
   }
-  // The same for a seed, whatever is lent.
+  // Depends only on the seed, not on the loans.
   void InjectFaults() {
     const uint64_t dice = random_() % 1000;
     Box& box = boxes_[random_() % boxes_.size()];
     const int b = static_cast<int>(&box - boxes_.data());
-    if (faults_.cuts && dice < 5) {
-      for (Box& other : boxes_) other.cut = dice == 0 && (&other < &box);
+    if (faults_.partitions && dice < 5) {
+      for (Box& other : boxes_)
+        other.partitioned = dice == 0 && (&other < &box);
     }
     if (faults_.pauses && dice >= 10 && dice < 30) {
       box.paused_until = now() + milliseconds(50 * (1 + random_() % 40));
     }
-    if (faults_.deaths && dice >= 30 && dice < 40) Restart(b);
-    const int every = faults_.all_die_every;
+    if (faults_.restarts && dice >= 30 && dice < 40) Restart(b);
+    const int every = faults_.restart_all_every;
     if (every > 0 && (now() - kStart) % seconds(every) == Duration(0)) {
       for (int i = 0; i < size(); i++) Restart(i);
     }
@@ -399,15 +402,16 @@
   Options options_;
   bool lending_;
   Faults faults_;
-  Random random_;   // of the schedule
-  Random network_;  // of datagrams
+  Random random_;   // for faults
+  Random network_;  // for datagrams
   PausedClock clock_;
   std::vector<Box> boxes_;
   std::vector<Time> requests_;
   std::vector<Time> retries_;
 };
 
-// Some boxes take all that they can get, others nothing, and that changes.
+// Some boxes acquire all retries that they can get and others none; which ones
+// changes over time.
 class Load {
  public:
   Load(Fleet* fleet, int greedy_percent, uint64_t seed)
@@ -457,13 +461,13 @@
   const struct {
     const char* name;
     Faults faults;
-    bool gains;  // where loans mostly arrive
+    bool gains;  // loans mostly arrive
   } cases[] = {
-      {"a sound network", {}, true},
+      {"no faults", {}, true},
       {"lost", {.lost_percent = 40}, false},
-      {"doubled", {.duplicated_percent = 50}, true},
+      {"duplicated", {.duplicated_percent = 50}, true},
       {"late", {.late_percent = 50}, false},
-      {"cuts", {.cuts = true}, true},
+      {"partitions", {.partitions = true}, true},
       {"pauses", {.pauses = true}, true},
       {"all", {20, 20, 30, true, true}, false},
   };
@@ -490,17 +494,18 @@
   }
 }
 
-// A life forgets what the last one took. What is lent does not make that worse
-// than it is where all boxes take what they may and nothing is lent, and where
-// the sum keeps to the bound without loans it does so with them.
+// A new incarnation does not know what the previous one used. Loans do not make
+// the excess larger than that of all boxes using all that they may without
+// loans, and if the total stays within the bound without loans, it does so with
+// them.
 TEST(RetryLoans, RestartsAddNothingThroughLoans) {
   const struct {
     const char* name;
     Faults faults;
   } cases[] = {
-      {"one by one", {.deaths = true}},
-      {"all each 9 s", {.all_die_every = 9}},
-      {"all each 15 s", {.all_die_every = 15}},
+      {"one by one", {.restarts = true}},
+      {"all each 9 s", {.restart_all_every = 9}},
+      {"all each 15 s", {.restart_all_every = 15}},
       {"all of it", {20, 20, 30, true, true, true, 15}},
   };
   for (const auto& c : cases) {
@@ -527,8 +532,8 @@
   }
 }
 
-// One box loses 30 streams at once. Each looks for a retry each 60 ms until its
-// caller has given it up, after 2.5 s.
+// One box loses 30 streams at once. Each tries to acquire a retry every 60 ms
+// until its caller disconnects after 2.5 s.
 struct Served {
   int at_once = 0;
   int within_200_ms = 0;
@@ -571,7 +576,7 @@
       {16, Duration::max(), 15, 30},
       {64, Duration::max(), 7, 30},
       {730, Duration::max(), 5, 30},
-      // Just started, it has what its own requests earn, and may borrow.
+      // A new box has only what its own requests earn, and may borrow.
       {64, milliseconds(500), 1, 30},
   };
   for (const auto& c : cases) {
@@ -588,7 +593,7 @@
   }
 }
 
-// What goes over the network for a box in need, whatever the number of boxes.
+// The traffic of a box short of retries does not depend on the number of boxes.
 TEST(RetryLoans, BytesAreBoundedForAnyNumberOfBoxes) {
   const PeerCodec codec("key");
   RetryAsk ask{1, "[2001:db8::1234:5678]:65535", "a-service-with-a-long-name",
@@ -604,7 +609,7 @@
 
 // --- over the network ------------------------------------------------------
 
-// A box's gossip with nothing but its loans.
+// A box's gossip, with handlers for loans only.
 struct Node {
   Node(EventLoop* loop, const std::string& name, int port, int peer_port)
       : membership(Row(name, port), {}, Membership::Options(), Random(port)),
@@ -640,7 +645,7 @@
   const std::vector<int> ports = FreePorts(2);
   Node a(&loop, "a", ports[0], ports[1]);
   Node b(&loop, "b", ports[1], ports[0]);
-  // One peer is known, so that of two asks one goes.
+  // Only one peer is known, so only one of two asks is sent.
   a.gossip.SendRetryRequests({{8, "", kService, 3}, {9, "", kService, 3}});
   loop.After(milliseconds(100), [&loop] { loop.Stop(); });
   loop.Run();
@@ -653,7 +658,7 @@
   EXPECT_EQ(a.gossip.link()->dropped() + b.gossip.link()->dropped(), 0);
 }
 
-// Two whole boxes; of the second's requests the first may use what they earn.
+// Two complete boxes: the first may use what the second's requests have earned.
 TEST(RetryLoans, ABoxBorrowsUnlessDisabled) {
   for (const bool on : {true, false}) {
     EventLoop loop;
@@ -681,7 +686,7 @@
     RetryShare* borrower = boxes[0]->context()->retries;
     loop.After(milliseconds(2300), [&] {
       for (int n = 0; n < 100; n++) {
-        // Later than now, so that the loan ends before they leave the window.
+        // In the future, so that the loan expires before they leave the window.
         boxes[1]->context()->retries->OnRequest(loop.now() + seconds(1),
                                                 kService);
       }
