--- a/pinford/testing/forwarder_test.cc
+++ b/pinford/testing/forwarder_test.cc
@@ -267,7 +267,7 @@
     const char* name;
     bool works;
     bool takes_work_later;
-  } cases[] = {{"down", false, false}, {"full", true, true}};
+  } cases[] = {{"dead", false, false}, {"full", true, true}};
   for (const auto& c : cases) {
     Fixture f;
     f.MakePool();
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -463,11 +463,11 @@
     Faults faults;
     bool gains;  // loans mostly arrive
   } cases[] = {
-      {"no faults", {}, true},
+      {"a sound network", {}, true},
       {"lost", {.lost_percent = 40}, false},
-      {"duplicated", {.duplicated_percent = 50}, true},
+      {"doubled", {.duplicated_percent = 50}, true},
       {"late", {.late_percent = 50}, false},
-      {"partitions", {.partitions = true}, true},
+      {"cuts", {.partitions = true}, true},
       {"pauses", {.pauses = true}, true},
       {"all", {20, 20, 30, true, true}, false},
   };
