--- a/pinford/forwarding/forward_target.cc
+++ b/pinford/forwarding/forward_target.cc
@@ -76,10 +76,11 @@
 
 void ForwardTarget::ReserveChain(Time now, const Chain& chain) {
   constexpr double kTokens = 1000;  // layer_work is in thousands
-  const double crossing = HallTransfers(chain) * options_.layer_work * kTokens;
-  table_->OnTransferSent(now, crossing);
-  table_->OnTransferQueued(crossing);
-  pending_transfer_ += crossing;
+  const double transfer_tokens =
+      HallTransfers(chain) * options_.layer_work * kTokens;
+  table_->OnTransferSent(now, transfer_tokens);
+  table_->OnTransferQueued(transfer_tokens);
+  pending_transfer_ += transfer_tokens;
   for (const Stage& stage : chain) {
     table_->OnSent(stage.endpoint, WorkOf(stage));
     // Stages that stay keep their prefilled tokens.
--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -56,8 +56,9 @@
 bool ForwardedRequest::AcquireAttempt(Time t, int runs) {
   no_attempt_reason_ = "not run there";
   if (runs >= route_.max_attempts) return false;
-  const bool begun = admitted_.exchange->streaming();
-  if (!begun && picks_ >= route_.max_attempts + kMaxExtraRefusals) return false;
+  const bool started = admitted_.exchange->streaming();
+  if (!started && picks_ >= route_.max_attempts + kMaxExtraRefusals)
+    return false;
   if (admitted_.limit - t < kMinTimeLeft) return false;
   // An attempt that was never sent needs no retry.
   if (!was_sent_ || retry_acquired_) return true;
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -255,7 +255,7 @@
   int late_percent = 0;  // delayed by up to 3 s
   bool partitions = false;
   bool pauses = false;
-  bool restarts = false;      // restarts, one by one
+  bool restarts = false;      // one by one
   int restart_all_every = 0;  // seconds; all restart at once
 };
 
