--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -683,12 +683,12 @@
       std::string error;
       ASSERT_TRUE(boxes[i]->Start(&error)) << error;
     }
-    RetryShare* borrower = boxes[0]->context()->retries;
+    RetryShare* borrower = boxes[0]->parts()->retries;
     loop.After(milliseconds(2300), [&] {
       for (int n = 0; n < 100; n++) {
         // In the future, so that the loan expires before they leave the window.
-        boxes[1]->context()->retries->OnRequest(loop.now() + seconds(1),
-                                                kService);
+        boxes[1]->parts()->retries->OnRequest(loop.now() + seconds(1),
+                                              kService);
       }
       for (int n = 0; n < 3; n++)
         EXPECT_FALSE(borrower->Acquire(loop.now(), kService));
--- a/pinford/testing/stage_recovery_test.cc
+++ b/pinford/testing/stage_recovery_test.cc
@@ -156,9 +156,9 @@
     f.may_restart = either();
     const RecoveryAction action = ChooseRecovery(f).action;
     const bool something = f.replace_all || f.may_restart;
-    EXPECT_TRUE(move != RecoveryAction::kReplace || f.replace_all);
-    EXPECT_TRUE(move != RecoveryAction::kRestart || f.may_restart);
-    EXPECT_TRUE(move != RecoveryAction::kStay || !f.down || !something);
+    EXPECT_TRUE(action != RecoveryAction::kReplace || f.replace_all);
+    EXPECT_TRUE(action != RecoveryAction::kRestart || f.may_restart);
+    EXPECT_TRUE(action != RecoveryAction::kStay || !f.down || !something);
   }
 }
 
