--- a/pinford/forwarding/forwarded_request.cc
+++ b/pinford/forwarding/forwarded_request.cc
@@ -133,7 +133,7 @@
 }
 
 void ForwardedRequest::OnHead(const HttpHead& head) {
-  answer_ = head;
+  response_ = head;
   last_progress_ = now();
   ApplyNotice(ReadNotice(head, context_->protocol.headers));
   const bool success = head.status >= 200 && head.status < 300;
@@ -142,7 +142,7 @@
                       sealed &&
                       head.header("Content-Type").find("event-stream") !=
                           std::string_view::npos;
-  phase_ = events ? Phase::kEvents : Phase::kAnswer;
+  phase_ = events ? Phase::kEvents : Phase::kResponse;
 }
 
 void ForwardedRequest::ApplyNotice(const EndpointNotice& notice) {
@@ -176,8 +176,9 @@
     first_event_ = t;
     first_wait_ = wait_cause_;
     owner_->OnFirstEvent(t - sent_);
-    exchange.StartStream(answer_.status, answer_.reason,
-                         ForwardedResponseHeaders(answer_, context_->protocol));
+    exchange.StartStream(
+        response_.status, response_.reason,
+        ForwardedResponseHeaders(response_, context_->protocol));
   } else {
     RecordGap(t - last_event_);
     owner_->OnGap(t - last_event_, route_.target_gap);
@@ -208,10 +209,10 @@
   // A response that ends within an event is incomplete.
   const bool cut = phase_ == Phase::kEvents && events_.has_partial();
   if (end == UpstreamEnd::kComplete && cut) facts.end = UpstreamEnd::kTruncated;
-  facts.status = answer_.status;
-  facts.reported_not_run = answer_.CountOf(names.not_run) > 0;
-  facts.sealed = !answer_.header(names.seal).empty();
-  facts.encoded = answer_.CountOf("Content-Encoding") > 0;
+  facts.status = response_.status;
+  facts.reported_not_run = response_.CountOf(names.not_run) > 0;
+  facts.sealed = !response_.header(names.seal).empty();
+  facts.encoded = response_.CountOf("Content-Encoding") > 0;
   return facts;
 }
 
@@ -230,10 +231,10 @@
         Fail("an answer that is no stream");
         return;
       }
-      ForwardAnswer();
+      ForwardResponse();
       return;
     case ResponseUse::kForwardError:
-      endpoint_error_ = answer_;
+      endpoint_error_ = response_;
       endpoint_error_body_ = std::move(body_);
       break;
     case ResponseUse::kNone:
@@ -254,8 +255,8 @@
     case EndpointFeedback::kRejected:
       break;
   }
-  OnRejected(
-      target_.EndpointAt(answer_.header(context_->protocol.headers.at_fault)));
+  OnRejected(target_.EndpointAt(
+      response_.header(context_->protocol.headers.at_fault)));
 }
 
 void ForwardedRequest::OnRejected(const std::string& endpoint) {
@@ -275,28 +276,28 @@
 void ForwardedRequest::LogAttempt(UpstreamEnd end,
                                   const AttemptResult& result) {
   if (result.use == ResponseUse::kForward) return;
-  // Without a response, answer_ is still that of an earlier attempt.
-  const bool answered = phase_ != Phase::kWaiting;
+  // Without a response, response_ is still that of an earlier attempt.
+  const bool has_response = phase_ != Phase::kWaiting;
   const ForwardHeaders& names = context_->protocol.headers;
-  const int status = answered ? answer_.status : 0;
+  const int status = has_response ? response_.status : 0;
   log_.AttemptFailed({attempts_, &target_, end, status, result.executed,
-                      answered ? answer_.header(names.at_fault) : "",
-                      answered ? answer_.header(names.retry_after) : "",
+                      has_response ? response_.header(names.at_fault) : "",
+                      has_response ? response_.header(names.retry_after) : "",
                       backoff_left_, sent_ - target_.picked_at(),
                       now() - sent_});
 }
 
-void ForwardedRequest::ForwardAnswer() {
+void ForwardedRequest::ForwardResponse() {
   CallerExchange& exchange = *admitted_.exchange;
   const HttpHeaders headers =
-      ForwardedResponseHeaders(answer_, context_->protocol);
+      ForwardedResponseHeaders(response_, context_->protocol);
   if (phase_ != Phase::kEvents) {
-    exchange.Reply(answer_.status, answer_.reason, headers, body_);
-    Finish(answer_.status < 300 ? kComplete : "failed by endpoint");
+    exchange.Reply(response_.status, response_.reason, headers, body_);
+    Finish(response_.status < 300 ? kComplete : "failed by endpoint");
     return;
   }
   if (!exchange.streaming()) {
-    exchange.StartStream(answer_.status, answer_.reason, headers);
+    exchange.StartStream(response_.status, response_.reason, headers);
   }
   exchange.EndStream();
   Finish(kComplete);
--- a/pinford/forwarding/forwarded_request.h
+++ b/pinford/forwarding/forwarded_request.h
@@ -52,9 +52,9 @@
 
  private:
   enum class Phase {
-    kWaiting,  // no response yet
-    kAnswer,   // a response is being collected as a whole
-    kEvents,   // events are being forwarded
+    kWaiting,   // no response yet
+    kResponse,  // a response is being collected as a whole
+    kEvents,    // events are being forwarded
   };
 
   // How often a started stream checks again for a chain, a retry, or a current
@@ -83,7 +83,7 @@
   }
   // Keeps the longest gap between events and its cause.
   void RecordGap(Duration gap);
-  void ForwardAnswer();
+  void ForwardResponse();
   void OnStalled(Time now);
 
   // --- after an attempt without a usable response: request_retry.cc
@@ -161,7 +161,7 @@
   bool config_fresh_ = true;  // when about to be sent
   bool was_sent_ = false;
   Phase phase_ = Phase::kWaiting;
-  HttpHead answer_;
+  HttpHead response_;
   std::string body_;
   Time last_progress_{};  // of this attempt
   bool paused_ = false;
