--- a/pinford/forwarding/forwarder.h
+++ b/pinford/forwarding/forwarder.h
@@ -99,7 +99,8 @@
   // A configuration or a list of endpoints was received. Handles the requests
   // that waited for the first of each.
   void AdmitWaiting();
-  // Checks for stalled requests, among others. Call it every kTick.
+  // Refuses requests that waited too long, abandons stalled attempts and sends
+  // probes that are due. Call it every kTick.
   void Tick();
 
   EndpointWatch* watch() { return &watch_; }
--- a/pinford/forwarding/retry_loans.h
+++ b/pinford/forwarding/retry_loans.h
@@ -2,7 +2,7 @@
 // at random, and a peer with more than it is likely to need lends some.
 //
 // Losses are uneven. A failing group of runners takes down the streams of the
-// few boxes that had most of them there. The shares of those boxes last for a
+// few boxes that had the most there. The shares of those boxes last for a
 // few retries each while most boxes need none; and a box that has just started
 // has no share but what its own requests earn.
 //
