--- a/pinford/forwarding/endpoint_directory.h
+++ b/pinford/forwarding/endpoint_directory.h
@@ -78,7 +78,7 @@
   std::optional<Duration> lapses_in;
   // In a copy for a peer: it was gone, and is back with the store's copy alone;
   // it is not taken before this.
-  std::optional<Duration> doubted_for;
+  std::optional<Duration> quarantined_for;
 };
 
 // The list as text for a peer, and back. Nothing for text that cannot be read.
@@ -89,9 +89,9 @@
 // What changed of a list: entries as they are now, and ids that went.
 struct DirectoryChanges {
   std::vector<DirectoryEntry> entries;
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
 
-  bool empty() const { return entries.empty() && gone.empty(); }
+  bool empty() const { return entries.empty() && removed.empty(); }
 };
 std::string WriteChanges(const DirectoryChanges& changes);
 std::optional<DirectoryChanges> ParseChanges(std::string_view text);
@@ -108,10 +108,10 @@
     Duration lapse_grace = milliseconds(2200);
     // How long lives are remembered without an entry. Words that were held up
     // come seconds late; a leaving endpoint lives for some tens of seconds.
-    Duration remember_lives = seconds(600);
+    Duration incarnation_retention = seconds(600);
     // How long what was gone is doubted after the store's return from a copy.
     // The store drops who has been silent for three heartbeats of 1.2 s.
-    Duration doubt = seconds(5);
+    Duration quarantine = seconds(5);
   };
   struct Events {
     std::function<void(const DirectoryEntry&)> on_joined;
@@ -134,7 +134,7 @@
   // The store is back after an outage: what is missing may only have lapsed.
   // To a box that has no entries yet, none can have.
   void OnStoreBack(Time now) {
-    if (!entries_.empty()) settled_ = now + options_.lapse_grace;
+    if (!entries_.empty()) lapse_grace_end_ = now + options_.lapse_grace;
   }
   // The store has come back from a copy. Call it before the copy's list.
   void OnStoreRestored(Time now);
@@ -162,7 +162,7 @@
   uint64_t state() const { return state_; }
   // Whether a copy of it changes as time passes: some entry is missing from the
   // store and may come back, or is doubted.
-  bool unsettled() const { return !lapsed_.empty() || !doubted_.empty(); }
+  bool unsettled() const { return !lapsed_.empty() || !quarantined_.empty(); }
   // Entries of services that the configuration does not name, or of runners
   // that say they hold what their pool does not have. They get no work.
   size_t unusable() const { return unusable_.size(); }
@@ -177,36 +177,38 @@
   EndpointRole RoleOf(const DirectoryEntry& entry) const;
   std::optional<Duration> LapsesIn(Time now, const std::string& id) const;
   // What is known of the lives of one id.
-  struct Lives {
+  struct Incarnations {
     uint64_t newest = 0;  // 0: none yet
-    uint64_t left = 0;    // this one and those before it leave, or have left
-    bool gone = false;    // the entry went, as the store had it
-    Time heard{};
+    uint64_t max_leaving =
+        0;                 // this one and those before it leave, or have left
+    bool removed = false;  // the entry went, as the store had it
+    Time updated{};
   };
 
-  Lives& LivesOf(Time now, const std::string& id);
+  Incarnations& IncarnationsOf(Time now, const std::string& id);
   // Settles which life the entry is of; 0 there means that the sender tells no
   // lives, and that it is of the known one. False if the entry counts no more.
-  bool SettleLife(Time now, DirectoryEntry* entry);
+  bool ResolveIncarnation(Time now, DirectoryEntry* entry);
   bool Usable(const DirectoryEntry& entry) const;
-  void ForgetLives(Time now);
+  void EraseOldIncarnations(Time now);
   // One entry as a copy for a peer has it; nothing if there is none.
-  std::optional<DirectoryEntry> CopyOf(Time now, const std::string& id) const;
+  std::optional<DirectoryEntry> SnapshotOf(Time now,
+                                           const std::string& id) const;
   // An entry of a peer's copy. False if it is not there for this box.
-  bool TakeCopied(Time now, const DirectoryEntry& entry);
+  bool ApplyFromPeer(Time now, const DirectoryEntry& entry);
   // Whether the entry says only what the store's copy holds of an endpoint that
   // was gone.
-  bool Doubted(Time now, const DirectoryEntry& entry) const;
-  void Doubt(Time now, const DirectoryEntry& entry);
+  bool MustQuarantine(Time now, const DirectoryEntry& entry) const;
+  void Quarantine(Time now, const DirectoryEntry& entry);
   // False if the entry was not taken.
-  bool Take(Time now, DirectoryEntry entry);
+  bool Apply(Time now, DirectoryEntry entry);
   void Drop(Time now, const std::string& id);
-  void Missing(Time now, const std::string& id);
+  void OnMissing(Time now, const std::string& id);
   void Remove(const std::string& id);
   // Hands all entries to the table, or what is known of one id.
-  void Refresh(Time now);
-  void RefreshOne(Time now, const std::string& id);
-  void Report(Time now, const DirectoryEntry& entry);
+  void UpdateTable(Time now);
+  void UpdateTableEntry(Time now, const std::string& id);
+  void ReportToTable(Time now, const DirectoryEntry& entry);
 
   EndpointTable* table_;
   Options options_;
@@ -214,18 +216,18 @@
   std::shared_ptr<const ServiceConfiguration> config_;
   std::map<std::string, DirectoryEntry> entries_;
   std::map<std::string, Time> lapsed_;  // when each is to be dropped
-  struct DoubtedEntry {
+  struct QuarantinedEntry {
     DirectoryEntry entry;
     Time until{};
   };
-  std::map<std::string, DoubtedEntry> doubted_;
-  Time doubt_until_{};
+  std::map<std::string, QuarantinedEntry> quarantined_;
+  Time quarantine_until_{};
   ListChanges changes_;
-  std::map<std::string, Lives> lives_;
-  Time next_forget_{};
+  std::map<std::string, Incarnations> incarnations_;
+  Time next_erase_{};
   std::set<std::string> unusable_;
   uint64_t state_ = 0;
-  Time settled_{};  // until then, entries may only have lapsed
+  Time lapse_grace_end_{};  // until then, entries may only have lapsed
 };
 
 }  // namespace pinford
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -48,55 +48,57 @@
   EndpointDirectory::Events Events() {
     EndpointDirectory::Events events;
     events.on_joined = [this](const DirectoryEntry& e) {
-      said.push_back("+" + e.listed.name);
+      events_seen.push_back("+" + e.listed.name);
     };
     events.on_leaving = [this](const std::string& id) {
-      said.push_back("~" + id);
+      events_seen.push_back("~" + id);
     };
     events.on_gone = [this](const std::string& id) {
-      said.push_back("-" + id);
+      events_seen.push_back("-" + id);
     };
     return events;
   }
-  std::vector<std::string> Said() { return std::exchange(said, {}); }
+  std::vector<std::string> TakeEvents() {
+    return std::exchange(events_seen, {});
+  }
 
-  std::vector<std::string> said;
+  std::vector<std::string> events_seen;
   EndpointTable table;
   EndpointDirectory directory;
 };
 
 using Strings = std::vector<std::string>;
 
-TEST(EndpointDirectory, WhatIsMissingFromAListIsGoneUnlessItMayHaveLapsed) {
+TEST(EndpointDirectory, RemovesMissingEntriesUnlessTheyMayHaveLapsed) {
   Fixture f;
   Time now = Time{} + seconds(100);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
-  EXPECT_EQ(f.Said(), (Strings{"+a", "+b"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "+b"}));
   f.directory.OnList(now, {Entry("a")});
-  EXPECT_EQ(f.Said(), (Strings{"-b"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"-b"}));
 
   // The store has come back: its entries may have run out meanwhile.
   f.directory.OnStoreBack(now);
   f.directory.OnList(now, {});
   f.directory.Tick(now + seconds(1));
-  EXPECT_EQ(f.Said(), Strings{});
+  EXPECT_EQ(f.TakeEvents(), Strings{});
   EXPECT_TRUE(f.table.TakesNewWork(now, "a") ||
               f.directory.Find("a") != nullptr);
   f.directory.OnEntry(now + seconds(2), Entry("a"));
   f.directory.Tick(now + seconds(4));
-  EXPECT_EQ(f.Said(), Strings{}) << "it came back in time";
+  EXPECT_EQ(f.TakeEvents(), Strings{}) << "it came back in time";
 
   f.directory.OnStoreBack(now + seconds(10));
   f.directory.OnGone(now + seconds(10), "a");
   f.directory.Tick(now + seconds(11));
-  EXPECT_EQ(f.Said(), Strings{});
+  EXPECT_EQ(f.TakeEvents(), Strings{});
   f.directory.Tick(now + seconds(13));
-  EXPECT_EQ(f.Said(), (Strings{"-a"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"-a"}));
 }
 
 // A peer that gets the list of a box which still waits for an entry drops it
 // when that box does: the list's version says nothing of it any more.
-TEST(EndpointDirectory, APeerDropsWhatMayHaveLapsedWhenItsSourceDoes) {
+TEST(EndpointDirectory, PeerRemovesLapsedEntriesWhenItsSourceDoes) {
   Fixture source;
   Fixture peer;
   const Time now = Time{} + seconds(100);
@@ -109,11 +111,11 @@
       ParseDirectory(WriteDirectory(source.directory.Copy(asked)));
   ASSERT_TRUE(copy);
   peer.directory.OnList(asked, *copy);
-  EXPECT_EQ(peer.Said(), (Strings{"+a", "+b"}));
+  EXPECT_EQ(peer.TakeEvents(), (Strings{"+a", "+b"}));
   peer.directory.Tick(now + milliseconds(2100));
-  EXPECT_EQ(peer.Said(), Strings{});
+  EXPECT_EQ(peer.TakeEvents(), Strings{});
   peer.directory.Tick(now + milliseconds(2200));
-  EXPECT_EQ(peer.Said(), (Strings{"-b"}));
+  EXPECT_EQ(peer.TakeEvents(), (Strings{"-b"}));
 
   // An entry that is back is back for the peer, too.
   const Time later = now + seconds(10);
@@ -124,44 +126,44 @@
   source.directory.OnEntry(later, Entry("a"));
   peer.directory.OnList(later, source.directory.Copy(later));
   peer.directory.Tick(later + seconds(5));
-  EXPECT_EQ(peer.Said(), Strings{});
+  EXPECT_EQ(peer.TakeEvents(), Strings{});
 }
 
 // Time left for an entry never grows by going from peer to peer.
-TEST(EndpointDirectory, CopiesOfCopiesDoNotKeepAnEntryForLonger) {
+TEST(EndpointDirectory, ForwardedSnapshotsDoNotExtendALapse) {
   Fixture boxes[2];
   Time now = Time{} + seconds(100);
   for (Fixture& box : boxes) box.directory.OnList(now, {Entry("a")});
   boxes[0].directory.OnStoreBack(now);
   boxes[0].directory.OnGone(now, "a");
-  const Time over = now + milliseconds(2200);
-  for (int i = 0; now < over; i++, now += milliseconds(100)) {
+  const Time deadline = now + milliseconds(2200);
+  for (int i = 0; now < deadline; i++, now += milliseconds(100)) {
     boxes[(i + 1) % 2].directory.OnList(now, boxes[i % 2].directory.Copy(now));
   }
   for (Fixture& box : boxes) {
-    box.directory.Tick(over);
+    box.directory.Tick(deadline);
     EXPECT_TRUE(box.directory.entries().empty());
   }
 }
 
 // A box that the store had refused for a while waits for entries that others
 // saw go, and its list is newer than theirs.
-TEST(EndpointDirectory, ACopyBringsNothingBackThatMayHaveLapsed) {
-  Fixture late;
+TEST(EndpointDirectory, SnapshotDoesNotRestoreLapsedEntries) {
+  Fixture lagging;
   Fixture peer;
   const Time now = Time{} + seconds(100);
-  late.directory.OnList(now, {Entry("a"), Entry("b")});
+  lagging.directory.OnList(now, {Entry("a"), Entry("b")});
   peer.directory.OnList(now, {Entry("a"), Entry("b")});
   peer.directory.OnGone(now, "b");
-  late.directory.OnStoreBack(now);
-  late.directory.OnList(now, {Entry("a")});
-  peer.directory.OnList(now, late.directory.Copy(now));
-  EXPECT_EQ(peer.Said(), (Strings{"+a", "+b", "-b"}));
+  lagging.directory.OnStoreBack(now);
+  lagging.directory.OnList(now, {Entry("a")});
+  peer.directory.OnList(now, lagging.directory.Copy(now));
+  EXPECT_EQ(peer.TakeEvents(), (Strings{"+a", "+b", "-b"}));
   EXPECT_FALSE(peer.table.TakesNewWork(now, "b"));
 }
 
 // What a runner or a peer says of an entry does not put it back into the store.
-TEST(EndpointDirectory, OnlyTheStoreBringsALapsedEntryBack) {
+TEST(EndpointDirectory, OnlyTheStoreRestoresALapsedEntry) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
@@ -174,35 +176,35 @@
 }
 
 // A box that has just started knows of no entry that could have lapsed.
-TEST(EndpointDirectory, ANewBoxTakesTheStoresWordAtOnce) {
+TEST(EndpointDirectory, EmptyDirectoryHasNoLapsedEntries) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   f.directory.OnStoreBack(now);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
   f.directory.OnGone(now + seconds(1), "b");
-  EXPECT_EQ(f.Said(), (Strings{"+a", "+b", "-b"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "+b", "-b"}));
 }
 
-TEST(EndpointDirectory, LeavingIsBelievedFromWhoeverSaysItAndForGood) {
-  for (int way = 0; way < 3; way++) {
+TEST(EndpointDirectory, LeavingIsAcceptedFromAnySourceAndNotRevoked) {
+  for (int source_kind = 0; source_kind < 3; source_kind++) {
     Fixture f;
     const Time now = Time{} + seconds(100);
     f.directory.OnList(now, {Entry("a", false, {0, 8})});
     EXPECT_TRUE(f.table.TakesNewWork(now, "a"));
-    if (way == 0) f.directory.OnLeaving(now, "a", 1);
-    if (way == 1) f.directory.OnEntry(now, Entry("a", true, {0, 8}));
-    if (way == 2) f.directory.OnList(now, {Entry("a", true, {0, 8})});
-    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << way;
-    EXPECT_EQ(f.Said(), (Strings{"+a", "~a"})) << way;
+    if (source_kind == 0) f.directory.OnLeaving(now, "a", 1);
+    if (source_kind == 1) f.directory.OnEntry(now, Entry("a", true, {0, 8}));
+    if (source_kind == 2) f.directory.OnList(now, {Entry("a", true, {0, 8})});
+    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << source_kind;
+    EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "~a"})) << source_kind;
     // An older word that it is there changes nothing.
     f.directory.OnEntry(now, Entry("a", false, {0, 8}));
     f.directory.OnList(now, {Entry("a", false, {0, 8})});
-    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << way;
-    EXPECT_EQ(f.Said(), Strings{}) << way;
+    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << source_kind;
+    EXPECT_EQ(f.TakeEvents(), Strings{}) << source_kind;
   }
 }
 
-TEST(EndpointDirectory, RunnersGetTheirPaceAndRoomFromTheConfiguration) {
+TEST(EndpointDirectory, SpeedAndFreeMemoryComeFromTheConfiguration) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   DirectoryEntry plain = Entry("p");
@@ -222,7 +224,7 @@
   EXPECT_EQ(f.table.rows().at("a").report->holds, (LayerRange{0, 4}));
 }
 
-TEST(EndpointDirectory, TheListForAPeerReadsBackAsItWas) {
+TEST(EndpointDirectory, SerializedListRoundTrips) {
   std::vector<DirectoryEntry> list = {Entry("a", true, {0, 4}), Entry("b")};
   list[1].runner.reset();
   const auto read = ParseDirectory(WriteDirectory(list));
@@ -239,17 +241,17 @@
 
 // --- lives under one id, and entries of another writer ----------------------
 
-DirectoryEntry LifeOf(uint64_t life, bool leaving = false,
-                      LayerRange holds = {0, 8}) {
+DirectoryEntry WithIncarnation(uint64_t incarnation, bool leaving = false,
+                               LayerRange holds = {0, 8}) {
   DirectoryEntry e = Entry("a", leaving, holds);
-  e.listed.incarnation = e.runner->incarnation = life;
+  e.listed.incarnation = e.runner->incarnation = incarnation;
   return e;
 }
 
-TEST(EndpointDirectory, ALaterLifeBeginsWithNothingOfTheOneBefore) {
+TEST(EndpointDirectory, NewIncarnationStartsWithoutEarlierState) {
   Fixture f;
   const Time now = Time{} + seconds(100);
-  f.directory.OnList(now, {LifeOf(1000)});
+  f.directory.OnList(now, {WithIncarnation(1000)});
   f.table.OnSent("a", 3);
   f.table.OnEntry("a");
   f.table.SetDown("a", true);
@@ -258,7 +260,7 @@
   f.table.OnFailure(now, "a", now);
   f.table.OnObserved(now, "a", 50, 4);
   const Time later = now + milliseconds(10);
-  f.directory.OnEntry(later, LifeOf(2000, false, {}));
+  f.directory.OnEntry(later, WithIncarnation(2000, false, {}));
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
   EXPECT_EQ(f.table.LoadOf("a"), 0);
   EXPECT_EQ(f.table.TakenOf(later, "a"), 0);
@@ -277,7 +279,7 @@
 }
 
 // Words of three lives, of all sources, in any order; and of nobody's.
-TEST(EndpointDirectory, LivesAreToldApartInAnyOrder) {
+TEST(EndpointDirectory, SeparatesIncarnationsInAnyOrder) {
   for (int seed = 0; seed < 400; seed++) {
     Random random(seed);
     Fixture f;
@@ -285,48 +287,49 @@
     f.directory.OnList(now, {Entry("b")});
     bool present = false;
     uint64_t newest = 0;
-    uint64_t left = 0;
+    uint64_t max_leaving = 0;
     LayerRange holds;
     for (int step = 0; step < 40; step++) {
       now += milliseconds(100);
-      const uint64_t life = 1000 * (1 + random() % 3);
+      const uint64_t incarnation = 1000 * (1 + random() % 3);
       const bool leaving = random() % 6 == 0;
       const int to = 1 + static_cast<int>(random() % 8);
-      const DirectoryEntry word = LifeOf(life, leaving, {0, to});
+      const DirectoryEntry update =
+          WithIncarnation(incarnation, leaving, {0, to});
       const int source = static_cast<int>(random() % 8);
-      if (source == 0) f.directory.OnList(now, {word, Entry("b")});
-      if (source == 1) f.directory.OnEntry(now, word);
+      if (source == 0) f.directory.OnList(now, {update, Entry("b")});
+      if (source == 1) f.directory.OnEntry(now, update);
       if (source == 2) {
-        const auto copy = ParseDirectory(WriteDirectory({word, Entry("b")}));
+        const auto copy = ParseDirectory(WriteDirectory({update, Entry("b")}));
         f.directory.OnList(now, *copy);
       }
       if (source <= 2) {
-        if (leaving) left = std::max(left, life);
-        if (life >= newest) {
-          newest = life;
+        if (leaving) max_leaving = std::max(max_leaving, incarnation);
+        if (incarnation >= newest) {
+          newest = incarnation;
           present = true;
           holds = {0, to};
         }
       }
       if (source == 3) {
-        RunnerState state = *word.runner;
+        RunnerState state = *update.runner;
         state.leaving = leaving;
         f.directory.OnRunnerState(now, "a", state);
-        if (leaving) left = std::max(left, life);
-        if (present && life >= newest) {
-          newest = life;
+        if (leaving) max_leaving = std::max(max_leaving, incarnation);
+        if (present && incarnation >= newest) {
+          newest = incarnation;
           holds = {0, to};
         }
       }
       if (source == 4 && random() % 3 == 0) {
-        f.directory.OnLeaving(now, "a", life);
-        left = std::max(left, life);
+        f.directory.OnLeaving(now, "a", incarnation);
+        max_leaving = std::max(max_leaving, incarnation);
       }
       if (source == 5) f.directory.OnUnreadable(now, "a");
       if (source == 6) f.directory.OnList(now, {Entry("b")}, {"a"});
       if (source == 7) f.directory.OnGone(now, "a");
       if (source >= 5) present = false;
-      ASSERT_EQ(f.table.TakesNewWork(now, "a"), present && newest > left)
+      ASSERT_EQ(f.table.TakesNewWork(now, "a"), present && newest > max_leaving)
           << seed << " " << step;
       ASSERT_TRUE(f.table.TakesNewWork(now, "b")) << seed;
       ASSERT_EQ(f.directory.Find("a") != nullptr, present) << seed;
@@ -342,24 +345,26 @@
 }
 
 // Where a word tells no life, leaving is believed and a life stays known.
-TEST(EndpointDirectory, WhereLivesCannotBeToldApart) {
-  using Word = std::function<void(Time, EndpointDirectory*)>;
-  const auto entry = [](uint64_t life, bool leaving = false) -> Word {
+TEST(EndpointDirectory, UnknownIncarnations) {
+  using Update = std::function<void(Time, EndpointDirectory*)>;
+  const auto entry = [](uint64_t incarnation, bool leaving = false) -> Update {
     return [=](Time now, EndpointDirectory* d) {
-      d->OnEntry(now, LifeOf(life, leaving));
+      d->OnEntry(now, WithIncarnation(incarnation, leaving));
     };
   };
-  const auto copy = [](uint64_t life) -> Word {
-    return
-        [=](Time now, EndpointDirectory* d) { d->OnList(now, {LifeOf(life)}); };
+  const auto copy = [](uint64_t incarnation) -> Update {
+    return [=](Time now, EndpointDirectory* d) {
+      d->OnList(now, {WithIncarnation(incarnation)});
+    };
   };
-  const auto mark = [](uint64_t life) -> Word {
-    return
-        [=](Time now, EndpointDirectory* d) { d->OnLeaving(now, "a", life); };
+  const auto mark = [](uint64_t incarnation) -> Update {
+    return [=](Time now, EndpointDirectory* d) {
+      d->OnLeaving(now, "a", incarnation);
+    };
   };
   const struct {
     const char* what;
-    std::vector<Word> words;
+    std::vector<Update> updates;
     bool works;
   } cases[] = {
       {"a mark without a life", {entry(1000), mark(1)}, false},
@@ -386,8 +391,8 @@
   for (const auto& c : cases) {
     Fixture f;
     Time now = Time{} + seconds(100);
-    for (const Word& word : c.words) {
-      word(now, &f.directory);
+    for (const Update& update : c.updates) {
+      update(now, &f.directory);
       now += milliseconds(10);
     }
     EXPECT_EQ(f.table.TakesNewWork(now, "a"), c.works) << c.what;
@@ -395,7 +400,7 @@
 }
 
 // Right after the store is back, too, when what is missing may have lapsed.
-TEST(EndpointDirectory, AnUnreadableEntryEndsNewWorkAtOnceAndNothingElse) {
+TEST(EndpointDirectory, UnreadableEntryStopsOnlyNewWorkAtOnce) {
   for (const bool by_list : {false, true}) {
     Fixture f;
     const Time now = Time{} + seconds(100);
@@ -413,7 +418,7 @@
 }
 
 // Ranges that the pool does not have, and services that nobody named.
-TEST(EndpointDirectory, WhatTheConfigurationDoesNotNameGetsNoWork) {
+TEST(EndpointDirectory, UnconfiguredEndpointsGetNoWork) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   DirectoryEntry other = Entry("o");
@@ -436,7 +441,7 @@
 }
 
 // The store is back from a copy in which "a" stands, which had gone before.
-TEST(EndpointDirectory, WhatWasGoneComesBackWithTheCopyOnlyIfItIsThere) {
+TEST(EndpointDirectory, RemovedEntryInABackupIsQuarantined) {
   const Time now = Time{} + seconds(100);
   const Time written = now + seconds(2);
   const struct {
@@ -446,18 +451,20 @@
   } cases[] = {
       {"it stands there", [](EndpointDirectory*) {}, seconds(5)},
       {"it is written again",
-       [&](EndpointDirectory* d) { d->OnEntry(written, LifeOf(1000)); },
+       [&](EndpointDirectory* d) {
+         d->OnEntry(written, WithIncarnation(1000));
+       },
        seconds(2)},
       {"it has started anew",
        [&](EndpointDirectory* d) {
-         d->OnList(written, {LifeOf(2000), Entry("b")});
+         d->OnList(written, {WithIncarnation(2000), Entry("b")});
        },
        seconds(2)},
       {"it lapses", [&](EndpointDirectory* d) { d->OnGone(written, "a"); },
        Duration(0)},
       {"it is in the next list, too",
        [&](EndpointDirectory* d) {
-         d->OnList(written, {LifeOf(1000), Entry("b")});
+         d->OnList(written, {WithIncarnation(1000), Entry("b")});
        },
        seconds(5)},
       {"it is in no later list",
@@ -466,7 +473,7 @@
       {"it was said to leave",
        [&](EndpointDirectory* d) {
          d->OnLeaving(written, "a", 1000);
-         d->OnEntry(written, LifeOf(1000));
+         d->OnEntry(written, WithIncarnation(1000));
        },
        Duration(0)},
   };
@@ -474,25 +481,26 @@
     for (const bool by_peer : {false, true}) {
       Fixture f;
       Fixture source;
-      f.directory.OnList(now - seconds(9), {LifeOf(1000), Entry("b")});
+      f.directory.OnList(now - seconds(9), {WithIncarnation(1000), Entry("b")});
       f.directory.OnGone(now - seconds(8), "a");
       f.directory.OnStoreRestored(now);
       if (by_peer) {
         // A box that has just started hears of it from one that doubts it.
-        source.directory.OnList(now - seconds(9), {LifeOf(1000), Entry("b")});
+        source.directory.OnList(now - seconds(9),
+                                {WithIncarnation(1000), Entry("b")});
         source.directory.OnGone(now - seconds(8), "a");
         source.directory.OnStoreRestored(now);
-        source.directory.OnList(now, {LifeOf(1000), Entry("b")});
+        source.directory.OnList(now, {WithIncarnation(1000), Entry("b")});
         const auto copy =
             ParseDirectory(WriteDirectory(source.directory.Copy(now)));
         ASSERT_TRUE(copy);
         f.directory.OnList(now, *copy);
       } else {
-        f.directory.OnList(now, {LifeOf(1000), Entry("b")});
+        f.directory.OnList(now, {WithIncarnation(1000), Entry("b")});
       }
-      bool told = false;
+      bool done = false;
       for (Duration d{}; d < seconds(7); d += milliseconds(100)) {
-        if (!std::exchange(told, told || d >= seconds(2)) && d >= seconds(2)) {
+        if (!std::exchange(done, done || d >= seconds(2)) && d >= seconds(2)) {
           c.then(&f.directory);
         }
         f.directory.Tick(now + d);
@@ -507,13 +515,14 @@
 
 // What the copy lacks is kept as after an outage, and what leaves, or has begun
 // a later life, does not come back as it was.
-TEST(EndpointDirectory, TheCopyTakesBackNothingThatIsKnown) {
+TEST(EndpointDirectory, BackupDoesNotRevertKnownState) {
   const Time now = Time{} + seconds(100);
   Fixture f;
-  f.directory.OnList(now - seconds(9), {LifeOf(2000), Entry("b"), Entry("c")});
+  f.directory.OnList(now - seconds(9),
+                     {WithIncarnation(2000), Entry("b"), Entry("c")});
   f.directory.OnLeaving(now - seconds(8), "b", 1);
   f.directory.OnStoreRestored(now);
-  f.directory.OnList(now, {LifeOf(1000), Entry("b")});
+  f.directory.OnList(now, {WithIncarnation(1000), Entry("b")});
   EXPECT_EQ(f.directory.Find("a")->listed.incarnation, 2000);
   EXPECT_TRUE(f.table.TakesNewWork(now, "a"));
   EXPECT_FALSE(f.table.TakesNewWork(now, "b"));
@@ -524,7 +533,7 @@
   EXPECT_EQ(f.directory.Find("c"), nullptr);
 }
 
-TEST(ListChanges, AreThoseSinceAMomentThatIsKnown) {
+TEST(ListChanges, ReturnsChangesSinceAKnownSequenceNumber) {
   ListChanges changes;
   EXPECT_EQ(changes.Since(0), Strings{});
   EXPECT_EQ(changes.Since(1), std::nullopt);
@@ -546,23 +555,24 @@
 
 // A peer that is told of changes alone believes what one does that is given the
 // whole list, whatever happens to the list and however seldom they ask.
-TEST(EndpointDirectory, ChangesMakeOfAPeersListWhatTheWholeListDoes) {
-  int partial = 0;
+TEST(EndpointDirectory, ChangesAndFullListGiveTheSameResult) {
+  int incremental_updates = 0;
   for (int seed = 0; seed < 400; seed++) {
     Random random(seed);
     // Entries hold until they change, as on forwarding boxes.
     Fixture source(hours(1));
-    Fixture whole(hours(1));
-    Fixture part(hours(1));
-    std::optional<uint64_t> had;  // of the source's moments
+    Fixture full(hours(1));
+    Fixture incremental(hours(1));
+    std::optional<uint64_t> known_at;  // of the source's moments
     Time now = Time{} + seconds(100);
-    const auto some = [&random] {
+    const auto random_id = [&random] {
       return std::string(1, static_cast<char>('a' + random() % 6));
     };
     const auto entry = [&] {
-      DirectoryEntry e = LifeOf(1000 * (1 + random() % 2), random() % 5 == 0,
-                                {0, 1 + static_cast<int>(random() % 8)});
-      e.listed.name = some();
+      DirectoryEntry e =
+          WithIncarnation(1000 * (1 + random() % 2), random() % 5 == 0,
+                          {0, 1 + static_cast<int>(random() % 8)});
+      e.listed.name = random_id();
       return e;
     };
     for (int step = 0; step < 60; step++) {
@@ -574,57 +584,58 @@
           source.directory.OnEntry(now, entry());
           break;
         case 3:
-          source.directory.OnGone(now, some());
+          source.directory.OnGone(now, random_id());
           break;
         case 4:
           source.directory.OnList(now, {entry(), entry(), entry(), entry()},
-                                  {some()});
+                                  {random_id()});
           break;
         case 5:
           if (random() % 3 == 0) source.directory.OnStoreBack(now);
           break;
         case 6:
           if (random() % 3 > 0) break;
-          for (Fixture* f : {&source, &whole, &part}) {
+          for (Fixture* f : {&source, &full, &incremental}) {
             f->directory.OnStoreRestored(now);
           }
           break;
         case 7:
-          source.directory.OnLeaving(now, some(), 1000);
+          source.directory.OnLeaving(now, random_id(), 1000);
           break;
         default:
           break;
       }
-      for (Fixture* f : {&source, &whole, &part}) f->directory.Tick(now);
+      for (Fixture* f : {&source, &full, &incremental}) f->directory.Tick(now);
       if (random() % 3 > 0) continue;
       const auto copy =
           ParseDirectory(WriteDirectory(source.directory.Copy(now)));
       ASSERT_TRUE(copy);
-      whole.directory.OnList(now, *copy);
-      const auto since =
-          had ? source.directory.ChangesSince(now, *had) : std::nullopt;
+      full.directory.OnList(now, *copy);
+      const auto since = known_at
+                             ? source.directory.ChangesSince(now, *known_at)
+                             : std::nullopt;
       if (since) {
         const auto changes = ParseChanges(WriteChanges(*since));
         ASSERT_TRUE(changes);
-        part.directory.OnChanges(now, *changes);
-        partial++;
+        incremental.directory.OnChanges(now, *changes);
+        incremental_updates++;
       } else {
-        part.directory.OnList(now, *copy);
+        incremental.directory.OnList(now, *copy);
       }
-      had = source.directory.at();
+      known_at = source.directory.at();
       // What is left of a time is told in whole milliseconds.
-      for (Fixture* f : {&whole, &part}) f->directory.Tick(now);
-      ASSERT_EQ(WriteDirectory(part.directory.Copy(now)),
-                WriteDirectory(whole.directory.Copy(now)))
+      for (Fixture* f : {&full, &incremental}) f->directory.Tick(now);
+      ASSERT_EQ(WriteDirectory(incremental.directory.Copy(now)),
+                WriteDirectory(full.directory.Copy(now)))
           << seed << " " << step;
-      for (const auto& [id, kept] : whole.directory.entries()) {
-        ASSERT_EQ(part.table.TakesNewWork(now, id),
-                  whole.table.TakesNewWork(now, id))
+      for (const auto& [id, stored] : full.directory.entries()) {
+        ASSERT_EQ(incremental.table.TakesNewWork(now, id),
+                  full.table.TakesNewWork(now, id))
             << seed << " " << step << " " << id;
       }
     }
   }
-  EXPECT_GT(partial, 5000);
+  EXPECT_GT(incremental_updates, 5000);
 }
 
 }  // namespace
