--- a/pinford/forwarding/endpoint_directory.cc
+++ b/pinford/forwarding/endpoint_directory.cc
@@ -51,7 +51,7 @@
   e.listed.name = JsonField<std::string>(v, "id", "");
   e.listed.service = JsonField<std::string>(v, "service", "");
   e.listed.hall = JsonField<std::string>(v, "hall", "");
-  // 0 from a box whose version tells no lives.
+  // 0: the sender's version does not know incarnations.
   e.listed.incarnation = JsonField<uint64_t>(v, "incarnation", 0);
   e.slots = JsonField(v, "slots", 1);
   const auto address = Address::Parse(JsonField<std::string>(v, "address", ""));
@@ -122,7 +122,7 @@
   UpdateTable(now);
 }
 
-// Whether its service has an engine decides what an entry is.
+// An entry is a runner if its service has an engine.
 EndpointRole EndpointDirectory::RoleOf(const DirectoryEntry& entry) const {
   const ServiceSpec* spec =
       config_ != nullptr ? config_->Service(entry.listed.service) : nullptr;
@@ -152,13 +152,11 @@
 }
 
 std::vector<DirectoryEntry> EndpointDirectory::Copy(Time now) const {
-  std::vector<DirectoryEntry> snapshot;
-  snapshot.reserve(entries_.size() + quarantined_.size());
-  for (const auto& [id, entry] : entries_)
-    snapshot.push_back(*SnapshotOf(now, id));
-  for (const auto& [id, quarantined] : quarantined_)
-    snapshot.push_back(*SnapshotOf(now, id));
-  return snapshot;
+  std::vector<DirectoryEntry> out;
+  out.reserve(entries_.size() + quarantined_.size());
+  for (const auto& [id, entry] : entries_) out.push_back(*SnapshotOf(now, id));
+  for (const auto& [id, q] : quarantined_) out.push_back(*SnapshotOf(now, id));
+  return out;
 }
 
 std::optional<DirectoryChanges> EndpointDirectory::ChangesSince(
@@ -197,13 +195,14 @@
   if (resolved == 0) resolved = std::max(incarnations.newest, kUntoldLife);
   if (TellsLife(incarnations.newest) && !TellsLife(resolved)) {
     if (events_.on_passed_over) {
-      events_.on_passed_over(listed.name, "it tells no life, and did before");
+      events_.on_passed_over(listed.name,
+                             "it has no incarnation, but had one before");
     }
     Remove(listed.name);
     return false;
   }
   if (resolved < incarnations.newest) return false;
-  // A mark that tells no life may be of this one.
+  // A leaving mark without an incarnation may mean this one.
   if (TellsLife(resolved) && incarnations.max_leaving == kUntoldLife)
     incarnations.max_leaving = resolved;
   if (listed.state == ListedState::kLeaving) {
@@ -224,7 +223,7 @@
          FitsPool(*spec->engine, *entry.runner);
 }
 
-// Whether a peer's copies of both would be alike.
+// Whether both entries look the same in a snapshot.
 static bool SameContent(const DirectoryEntry& a, const DirectoryEntry& b) {
   const ListedEndpoint& x = a.listed;
   const ListedEndpoint& y = b.listed;
@@ -257,7 +256,7 @@
   if (changed || fresh || !SameContent(before, stored)) changes_.Note(id);
   const bool restarted = IsNewLife(known, stored.listed.incarnation);
   if (restarted) {
-    // Before anybody places work again that ran there.
+    // Must run before the callbacks place the lost work elsewhere.
     table_->OnNewLife(now, id);
     if (events_.on_new_life) events_.on_new_life(stored, known);
   }
@@ -278,8 +277,7 @@
 void EndpointDirectory::OnStoreRestored(Time now) {
   OnStoreBack(now);
   quarantine_until_ = now + options_.quarantine;
-  for (auto& [id, quarantined] : quarantined_)
-    quarantined.until = quarantine_until_;
+  for (auto& [id, q] : quarantined_) q.until = quarantine_until_;
 }
 
 bool EndpointDirectory::MustQuarantine(Time now,
@@ -294,7 +292,7 @@
 void EndpointDirectory::Quarantine(Time now, const DirectoryEntry& entry) {
   const Time until =
       entry.quarantined_for ? now + *entry.quarantined_for : quarantine_until_;
-  // Who doubts it has seen it go.
+  // A peer that quarantines the entry has seen its removal.
   Drop(now, entry.listed.name);
   quarantined_[entry.listed.name] = {entry, until};
   changes_.Note(entry.listed.name);
@@ -332,8 +330,8 @@
   }
 }
 
-// Of 3,000 entries one changes at a time: to hand over all took 1.5 ms, a
-// hundredth of a small box's second at each of eight changes.
+// With 3,000 entries one changes at a time. Passing all to the table took 1.5
+// ms, at eight changes a second over a hundredth of a small box's core.
 void EndpointDirectory::UpdateTableEntry(Time now, const std::string& id) {
   const auto it = entries_.find(id);
   const bool exists = it != entries_.end();
@@ -351,7 +349,7 @@
   ReportToTable(now, it->second);
 }
 
-// Layers times thousands of tokens that fit beside the weights.
+// Memory left beside the weights, in layers times thousands of tokens.
 static double FreeMemoryOf(const EnginePool& pool, const AcceleratorKind& kind,
                            const LayerRange& holds) {
   if (pool.token_bytes <= 0) return 0;
@@ -361,8 +359,8 @@
   return std::max(0.0, free / (pool.token_bytes / pool.layers) / 1000);
 }
 
-// Seconds that a token of a prompt takes in one layer, its share of the steps
-// that the pass plays for other streams among them.
+// Seconds to prefill one token in one layer, including its share of the decode
+// steps for other streams in the same pass.
 static double PrefillSeconds(const EnginePool& pool,
                              const AcceleratorKind& kind) {
   if (pool.prefill_per_s <= 0 || pool.read_a_pass <= 0) return 0;
@@ -412,7 +410,7 @@
     if (ApplyFromPeer(now, entry) || quarantined_.contains(id))
       present.insert(id);
   }
-  // At once: these are not missing, and have not lapsed.
+  // At once: these are present, so they have not lapsed.
   for (const std::string& id : unreadable) Remove(id);
   std::vector<std::string> missing;
   for (const auto& [id, entry] : entries_) {
@@ -428,7 +426,7 @@
 bool EndpointDirectory::ApplyFromPeer(Time now, const DirectoryEntry& entry) {
   const std::string& id = entry.listed.name;
   if (entry.lapses_in && !entries_.contains(id)) {
-    // It is missing from the store, and was dropped here or doubted before.
+    // It is missing from the store, and was removed or quarantined here before.
     Drop(now, id);
     return false;
   }
@@ -501,7 +499,7 @@
   UpdateTableEntry(now, id);
 }
 
-// Ids that were not heard of for long. Not each time: there are thousands.
+// Erases ids without a recent update. Rate-limited: there are thousands.
 void EndpointDirectory::EraseOldIncarnations(Time now) {
   if (now < next_erase_) return;
   next_erase_ = now + options_.incarnation_retention / 10;
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -1,5 +1,3 @@
-// The list of endpoints as boxes believe it.
-
 #include "pinford/forwarding/endpoint_directory.h"
 
 #include <gtest/gtest.h>
@@ -77,7 +75,7 @@
   f.directory.OnList(now, {Entry("a")});
   EXPECT_EQ(f.TakeEvents(), (Strings{"-b"}));
 
-  // The store has come back: its entries may have run out meanwhile.
+  // The store is back after an outage: its entries may have lapsed meanwhile.
   f.directory.OnStoreBack(now);
   f.directory.OnList(now, {});
   f.directory.Tick(now + seconds(1));
@@ -96,8 +94,8 @@
   EXPECT_EQ(f.TakeEvents(), (Strings{"-a"}));
 }
 
-// A peer that gets the list of a box which still waits for an entry drops it
-// when that box does: the list's version says nothing of it any more.
+// A peer that has the list of a box that still waits for an entry removes the
+// entry when that box does: no new list version announces the removal.
 TEST(EndpointDirectory, PeerRemovesLapsedEntriesWhenItsSourceDoes) {
   Fixture source;
   Fixture peer;
@@ -129,7 +127,7 @@
   EXPECT_EQ(peer.TakeEvents(), Strings{});
 }
 
-// Time left for an entry never grows by going from peer to peer.
+// The time left for an entry does not grow when snapshots are passed on.
 TEST(EndpointDirectory, ForwardedSnapshotsDoNotExtendALapse) {
   Fixture boxes[2];
   Time now = Time{} + seconds(100);
@@ -146,8 +144,8 @@
   }
 }
 
-// A box that the store had refused for a while waits for entries that others
-// saw go, and its list is newer than theirs.
+// A box that the store refused for a while still keeps entries that others saw
+// removed, and its list is newer than theirs.
 TEST(EndpointDirectory, SnapshotDoesNotRestoreLapsedEntries) {
   Fixture lagging;
   Fixture peer;
@@ -162,7 +160,7 @@
   EXPECT_FALSE(peer.table.TakesNewWork(now, "b"));
 }
 
-// What a runner or a peer says of an entry does not put it back into the store.
+// Reports of runners and peers do not put an entry back into the store.
 TEST(EndpointDirectory, OnlyTheStoreRestoresALapsedEntry) {
   Fixture f;
   const Time now = Time{} + seconds(100);
@@ -175,7 +173,7 @@
   EXPECT_TRUE(f.directory.entries().empty());
 }
 
-// A box that has just started knows of no entry that could have lapsed.
+// A box that has just started knows no entry that could have lapsed.
 TEST(EndpointDirectory, EmptyDirectoryHasNoLapsedEntries) {
   Fixture f;
   const Time now = Time{} + seconds(100);
@@ -196,7 +194,7 @@
     if (source_kind == 2) f.directory.OnList(now, {Entry("a", true, {0, 8})});
     EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << source_kind;
     EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "~a"})) << source_kind;
-    // An older word that it is there changes nothing.
+    // An older update does not revoke it.
     f.directory.OnEntry(now, Entry("a", false, {0, 8}));
     f.directory.OnList(now, {Entry("a", false, {0, 8})});
     EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << source_kind;
@@ -219,7 +217,7 @@
   EXPECT_DOUBLE_EQ(report.layer_seconds, 0.002 / 8);
   // 10,000 MB less 6 layers, at 1 MB a token and layer, in thousands.
   EXPECT_DOUBLE_EQ(report.room, 4);
-  // Its own word is ahead of the list.
+  // The runner's own report is ahead of the list.
   f.directory.OnRunnerState(now, "a", {"big", "1", {0, 4}, 3});
   EXPECT_EQ(f.table.rows().at("a").report->holds, (LayerRange{0, 4}));
 }
@@ -239,7 +237,7 @@
   }
 }
 
-// --- lives under one id, and entries of another writer ----------------------
+// --- incarnations under one id, and entries of other writers -----------------
 
 DirectoryEntry WithIncarnation(uint64_t incarnation, bool leaving = false,
                                LayerRange holds = {0, 8}) {
@@ -266,7 +264,7 @@
   EXPECT_EQ(f.table.TakenOf(later, "a"), 0);
   EXPECT_TRUE(f.table.rows().at("a").report->holds.empty());
   EXPECT_EQ(f.table.rows().at("a").pace, 1);
-  // What was sent before fails now, and ends.
+  // Failures and ends of requests to the old incarnation do not count.
   f.table.OnFailure(later, "a", now);
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
   f.table.OnSent("a", 2);
@@ -278,7 +276,7 @@
   EXPECT_EQ(f.table.LoadOf("a"), 0);
 }
 
-// Words of three lives, of all sources, in any order; and of nobody's.
+// Updates of three incarnations from all sources, in random order.
 TEST(EndpointDirectory, SeparatesIncarnationsInAnyOrder) {
   for (int seed = 0; seed < 400; seed++) {
     Random random(seed);
@@ -344,7 +342,8 @@
   }
 }
 
-// Where a word tells no life, leaving is believed and a life stays known.
+// An update without an incarnation may mark an endpoint as leaving; the known
+// incarnation stays known.
 TEST(EndpointDirectory, UnknownIncarnations) {
   using Update = std::function<void(Time, EndpointDirectory*)>;
   const auto entry = [](uint64_t incarnation, bool leaving = false) -> Update {
@@ -367,26 +366,28 @@
     std::vector<Update> updates;
     bool works;
   } cases[] = {
-      {"a mark without a life", {entry(1000), mark(1)}, false},
-      {"a mark of the life before", {entry(2000), mark(1000)}, true},
-      {"a mark of a life to come", {entry(1000), mark(2000)}, false},
-      {"... which comes", {entry(1000), mark(2000), entry(2000)}, false},
-      {"... and the next", {mark(2000), entry(2000), entry(3000)}, true},
+      {"a mark without an incarnation", {entry(1000), mark(1)}, false},
+      {"a mark of an older incarnation", {entry(2000), mark(1000)}, true},
+      {"a mark of a newer incarnation", {entry(1000), mark(2000)}, false},
+      {"... which then starts", {entry(1000), mark(2000), entry(2000)}, false},
+      {"... and one after that", {mark(2000), entry(2000), entry(3000)}, true},
       {"a mark before its entry", {mark(1000), entry(1000)}, false},
-      {"a mark without a life, first", {entry(1), mark(1), entry(1000)}, false},
-      {"... does not hold for the next",
+      {"a mark without an incarnation, first",
+       {entry(1), mark(1), entry(1000)},
+       false},
+      {"... does not hold for the next one",
        {entry(1), mark(1), entry(1000), entry(2000)},
        true},
-      {"an entry without a life where one was told",
+      {"an entry without an incarnation after one with it",
        {entry(1000), entry(1)},
        false},
-      {"... and a good one again", {entry(1000), entry(1), entry(1000)}, true},
-      {"... that said it leaves",
+      {"... and a valid one again", {entry(1000), entry(1), entry(1000)}, true},
+      {"... that was leaving",
        {entry(1000), entry(1, true), entry(1000)},
        true},
-      {"a copy of a box that tells no lives", {entry(1000), copy(0)}, true},
-      {"... of one that leaves", {entry(1000, true), copy(0)}, false},
-      {"no lives at all", {entry(1), entry(1)}, true},
+      {"a snapshot without incarnations", {entry(1000), copy(0)}, true},
+      {"... of a leaving endpoint", {entry(1000, true), copy(0)}, false},
+      {"no incarnations at all", {entry(1), entry(1)}, true},
   };
   for (const auto& c : cases) {
     Fixture f;
@@ -399,7 +400,7 @@
   }
 }
 
-// Right after the store is back, too, when what is missing may have lapsed.
+// Also right after the store is back, when missing entries may have lapsed.
 TEST(EndpointDirectory, UnreadableEntryStopsOnlyNewWorkAtOnce) {
   for (const bool by_list : {false, true}) {
     Fixture f;
@@ -411,13 +412,13 @@
     if (!by_list) f.directory.OnUnreadable(now, "a");
     EXPECT_FALSE(f.table.TakesNewWork(now, "a"));
     EXPECT_TRUE(f.table.TakesNewWork(now, "b"));
-    EXPECT_TRUE(f.table.AddressOf("a")) << "what runs there finishes";
+    EXPECT_TRUE(f.table.AddressOf("a")) << "running requests may finish";
     f.directory.OnEntry(now, Entry("a"));
     EXPECT_TRUE(f.table.TakesNewWork(now, "a"));
   }
 }
 
-// Ranges that the pool does not have, and services that nobody named.
+// Layer ranges outside the pool's model, and services that are not configured.
 TEST(EndpointDirectory, UnconfiguredEndpointsGetNoWork) {
   Fixture f;
   const Time now = Time{} + seconds(100);
@@ -436,33 +437,33 @@
   c->version = 2;
   c->services = {{"unnamed", 0, {}}};
   f.directory.set_configuration(now, c);
-  EXPECT_TRUE(f.table.TakesNewWork(now, "o")) << "named by now";
+  EXPECT_TRUE(f.table.TakesNewWork(now, "o")) << "configured now";
   EXPECT_FALSE(f.table.TakesNewWork(now, "b"));
 }
 
-// The store is back from a copy in which "a" stands, which had gone before.
+// The store was restored from a backup that contains "a", which was removed.
 TEST(EndpointDirectory, RemovedEntryInABackupIsQuarantined) {
   const Time now = Time{} + seconds(100);
   const Time written = now + seconds(2);
   const struct {
     const char* name;
     std::function<void(EndpointDirectory*)> then;
-    Duration works_from;  // after the restore; none if that is 0
+    Duration works_from;  // after the restore; 0: never
   } cases[] = {
-      {"it stands there", [](EndpointDirectory*) {}, seconds(5)},
+      {"it stays in the store", [](EndpointDirectory*) {}, seconds(5)},
       {"it is written again",
        [&](EndpointDirectory* d) {
          d->OnEntry(written, WithIncarnation(1000));
        },
        seconds(2)},
-      {"it has started anew",
+      {"it has restarted",
        [&](EndpointDirectory* d) {
          d->OnList(written, {WithIncarnation(2000), Entry("b")});
        },
        seconds(2)},
       {"it lapses", [&](EndpointDirectory* d) { d->OnGone(written, "a"); },
        Duration(0)},
-      {"it is in the next list, too",
+      {"it is in the next list",
        [&](EndpointDirectory* d) {
          d->OnList(written, {WithIncarnation(1000), Entry("b")});
        },
@@ -470,7 +471,7 @@
       {"it is in no later list",
        [&](EndpointDirectory* d) { d->OnList(written, {Entry("b")}); },
        Duration(0)},
-      {"it was said to leave",
+      {"it was reported as leaving",
        [&](EndpointDirectory* d) {
          d->OnLeaving(written, "a", 1000);
          d->OnEntry(written, WithIncarnation(1000));
@@ -485,7 +486,7 @@
       f.directory.OnGone(now - seconds(8), "a");
       f.directory.OnStoreRestored(now);
       if (by_peer) {
-        // A box that has just started hears of it from one that doubts it.
+        // A box that has just started gets it from one that quarantines it.
         source.directory.OnList(now - seconds(9),
                                 {WithIncarnation(1000), Entry("b")});
         source.directory.OnGone(now - seconds(8), "a");
@@ -513,8 +514,8 @@
   }
 }
 
-// What the copy lacks is kept as after an outage, and what leaves, or has begun
-// a later life, does not come back as it was.
+// Entries missing from the backup are kept as after an outage. Leaving marks
+// and newer incarnations are not reverted.
 TEST(EndpointDirectory, BackupDoesNotRevertKnownState) {
   const Time now = Time{} + seconds(100);
   Fixture f;
@@ -547,23 +548,23 @@
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
   EXPECT_EQ(changes.Since(changes.at()), Strings{});
   changes.Forget("b");
-  EXPECT_EQ(changes.Since(0), std::nullopt) << "it would not hear of b";
+  EXPECT_EQ(changes.Since(0), std::nullopt) << "it would miss the change of b";
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
   changes.Forget("unknown");
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
 }
 
-// A peer that is told of changes alone believes what one does that is given the
-// whole list, whatever happens to the list and however seldom they ask.
+// A peer that gets changes only ends up in the same state as one that gets the
+// full list, for random events and intervals between fetches.
 TEST(EndpointDirectory, ChangesAndFullListGiveTheSameResult) {
   int incremental_updates = 0;
   for (int seed = 0; seed < 400; seed++) {
     Random random(seed);
-    // Entries hold until they change, as on forwarding boxes.
+    // Reports stay valid until they change, as on forwarding boxes.
     Fixture source(hours(1));
     Fixture full(hours(1));
     Fixture incremental(hours(1));
-    std::optional<uint64_t> known_at;  // of the source's moments
+    std::optional<uint64_t> known_at;  // in the source's sequence
     Time now = Time{} + seconds(100);
     const auto random_id = [&random] {
       return std::string(1, static_cast<char>('a' + random() % 6));
@@ -623,7 +624,7 @@
         incremental.directory.OnList(now, *copy);
       }
       known_at = source.directory.at();
-      // What is left of a time is told in whole milliseconds.
+      // Remaining times are sent in whole milliseconds.
       for (Fixture* f : {&full, &incremental}) f->directory.Tick(now);
       ASSERT_EQ(WriteDirectory(incremental.directory.Copy(now)),
                 WriteDirectory(full.directory.Copy(now)))
