--- a/pinford/forwarding/endpoint_watch.h
+++ b/pinford/forwarding/endpoint_watch.h
@@ -26,17 +26,17 @@
  public:
   struct Options {
     // Silence beyond so many usual intervals is suspicious,
-    double usual_times = 4;
+    double silence_factor = 4;
     // ... but no shorter one: passes of a busy runner take up to 15 ms, and a
     // prompt is read between them.
-    Duration least_silence = milliseconds(60);
+    Duration min_silence = milliseconds(60);
     // An endpoint that has answered is not asked again for so long, nor is
     // one that is down or slow.
     Duration ask_again = milliseconds(150);
     Duration ask_impaired = milliseconds(400);
     // A runner that takes so many times as long as it should is slow: its
     // streams' pauses then come near what they may be.
-    double slow_pace = 2;
+    double slow_threshold = 2;
   };
 
   explicit EndpointWatch(const Options& options) : options_(options) {}
@@ -72,18 +72,18 @@
  private:
   struct Row {
     int streams = 0;
-    int lost = 0;  // streams of lives that are over, until they end
+    int stale_streams = 0;  // streams of lives that are over, until they end
     Time progress{};
-    double usual = 0;  // seconds between signs of life
-    Time asked{};
-    bool asking = false;
-    bool undecided = false;  // by the last answer, or none
+    double mean_interval = 0;  // seconds between signs of life
+    Time last_probe{};
+    bool probing = false;
+    bool inconclusive = false;  // by the last answer, or none
     bool down = false;
     bool slow = false;
   };
 
-  bool MayAsk(Time now, const Row& row) const;
-  bool Suspicious(Time now, const Row& row) const;
+  bool MayProbe(Time now, const Row& row) const;
+  bool IsSuspicious(Time now, const Row& row) const;
 
   Options options_;
   std::unordered_map<std::string, Row> rows_;
