--- a/pinford/forwarding/endpoint_notice.cc
+++ b/pinford/forwarding/endpoint_notice.cc
@@ -8,7 +8,7 @@
   constexpr int kMisdirected = 421;
   EndpointNotice notice;
   notice.rest = RestAsked(answer.status, answer.header(names.retry_after));
-  // 421 may come from another endpoint, to which the address went.
+  // 421 may come from another endpoint that the address was reassigned to.
   notice.leaving = answer.status != kMisdirected &&
                    SaysLeaving(answer.header(names.leaving));
   return notice;
--- a/pinford/forwarding/endpoint_watch.cc
+++ b/pinford/forwarding/endpoint_watch.cc
@@ -8,7 +8,7 @@
 void EndpointWatch::OnBegin(Time now, const Chain& chain) {
   for (const Stage& stage : chain) {
     Row& row = rows_[stage.endpoint];
-    // Silence from before it had anything to do says nothing.
+    // Silence while it had no streams does not count.
     if (row.streams++ == 0) row.progress = std::max(row.progress, now);
   }
 }
@@ -24,7 +24,7 @@
 }
 
 void EndpointWatch::OnProgress(Time now, const Chain& chain) {
-  constexpr double kSmoothingFactor = 0.1;  // of the newest interval
+  constexpr double kSmoothingFactor = 0.1;  // weight of the newest interval
   for (const Stage& stage : chain) {
     Row& row = rows_[stage.endpoint];
     const double interval = ToSeconds(now - row.progress);
