--- a/pinford/forwarding/failure_news.h
+++ b/pinford/forwarding/failure_news.h
@@ -39,9 +39,9 @@
     Duration gather = milliseconds(3);
     // A runner is told of, and asked for a peer's word, once in so long. Bounds
     // what a box that is at fault can cause: a question a runner and second.
-    Duration again = seconds(1);
+    Duration repeat_interval = seconds(1);
     // Runners in a message; the rest are found out otherwise.
-    size_t most_told = 64;
+    size_t max_endpoints = 64;
   };
 
   explicit FailureNews(const Options& options) : options_(options) {}
@@ -61,12 +61,12 @@
  private:
   using Times = std::unordered_map<std::string, Time>;
   // Whether it is the first time within `again`; notes it if so.
-  bool IsNews(Time now, const std::string& endpoint, Times* times) const;
+  bool MarkIfNew(Time now, const std::string& endpoint, Times* times) const;
 
   Options options_;
   std::vector<std::string> pending_;
-  Times told_;
-  Times heard_;
+  Times announced_;
+  Times received_;
 };
 
 }  // namespace pinford
