--- a/pinford/forwarding/failure_news.cc
+++ b/pinford/forwarding/failure_news.cc
@@ -4,8 +4,7 @@
 
 namespace pinford {
 
-// Entries that are too old to matter go, so that no more than those of one span
-// are kept.
+// Erases old entries first, so that `times` holds those of one interval only.
 bool FailureNews::MarkIfNew(Time now, const std::string& endpoint,
                             Times* times) const {
   std::erase_if(*times, [this, now](const auto& entry) {
--- a/pinford/testing/failure_news_test.cc
+++ b/pinford/testing/failure_news_test.cc
@@ -1,6 +1,6 @@
-// News of runners that are down among many boxes, on a clock of the test's own:
-// who learns it when, how many questions it costs, and that nobody's word takes
-// a working runner away.
+// Simulates failure gossip among many boxes: how fast all boxes detect a failed
+// runner, how many probes that takes, and that false notices do not take a
+// working runner out of use.
 
 #include "pinford/forwarding/failure_news.h"
 
@@ -23,12 +23,12 @@
 
 enum class Kind {
   kHealthy,
-  kLate,         // answers come after it has stopped waiting for them
-  kPartitioned,  // neither hears nor is heard, and no runner answers it
-  kFaulty        // tells all the time that the runner is down
+  kLate,         // answers arrive after its probes have timed out
+  kPartitioned,  // no messages in or out, and no runner answers it
+  kFaulty        // announces all the time that the runner is down
 };
 
-// Boxes that ask, tell and hear of one runner.
+// Boxes that probe one runner and exchange notices about it.
 class Fleet {
  public:
   Fleet(int boxes, bool runner_works, Duration failure_delay)
@@ -37,7 +37,7 @@
         boxes_(boxes) {}
 
   void set_kind(int box, Kind kind) { boxes_[box].kind = kind; }
-  // A request of this box gives it reason to ask.
+  // A request of this box gives it reason to probe.
   void Probe(int box) {
     Box& b = boxes_[box];
     if (!b.watch.BeginAsk(now_, kRunner)) return;
@@ -83,7 +83,7 @@
     return n;
   }
   int messages() const { return messages_; }
-  // When the n-th box came to believe it.
+  // When the n-th box marked the runner as down.
   Time detected_at(size_t n) const { return detected_at_.at(n - 1); }
 
  private:
@@ -128,7 +128,7 @@
   const struct {
     int boxes;
     Duration failure_delay;
-    Duration within;  // of nine boxes in ten
+    Duration within;  // for nine boxes in ten
   } cases[] = {
       {8, kRefusalDelay, milliseconds(20)},
       {64, kRefusalDelay, milliseconds(25)},
@@ -146,7 +146,7 @@
     fleet.RunFor(milliseconds(350));
     EXPECT_GE(fleet.boxes_marking_down(), c.boxes * 97 / 100) << c.boxes;
     EXPECT_LE(fleet.detected_at(c.boxes * 9 / 10) - start, c.within) << c.boxes;
-    // One question a box, and the same number of messages for each.
+    // One probe per box, and the same number of messages for each.
     EXPECT_LE(fleet.probes(), c.boxes);
     EXPECT_LE(fleet.messages(), 5 * c.boxes);
   }
@@ -165,8 +165,8 @@
       EXPECT_EQ(fleet.boxes_marking_down(Kind::kHealthy), 0);
       EXPECT_EQ(fleet.boxes_marking_down(Kind::kFaulty), 0);
     }
-    // In ten seconds the liar sends 1,000 words. Each box asks once a second
-    // at most, beside those that have reasons of their own.
+    // The faulty box sends 1,000 notices in ten seconds. Each box probes at
+    // most once a second because of them, besides its own reasons.
     EXPECT_LE(fleet.probes(), 10 * boxes + 2 * 200);
   }
 }
@@ -182,14 +182,14 @@
   EXPECT_TRUE(gossip.Take().empty());
   EXPECT_FALSE(gossip.OnDown(now + options.repeat_interval / 2, "a"));
   EXPECT_TRUE(gossip.OnDown(now + options.repeat_interval, "a"));
-  // What was heard of is asked once in that time, too.
+  // Runners of notices are probed at most once in that time, too.
   EXPECT_EQ(gossip.Heard(now, {"x", "y", "x"}),
             (std::vector<std::string>{"x", "y"}));
   EXPECT_TRUE(gossip.Heard(now + options.repeat_interval / 2, {"y"}).empty());
   EXPECT_EQ(gossip.Heard(now + options.repeat_interval, {"y"}).size(), 1);
 }
 
-// A message of a peer at fault may name any number.
+// A message of a faulty peer may name any number of runners.
 TEST(FailureNews, BoundsTheNumberOfProbes) {
   const FailureNews::Options options;
   FailureNews gossip(options);
