--- a/pinford/forwarding/endpoint_directory.cc
+++ b/pinford/forwarding/endpoint_directory.cc
@@ -253,7 +253,7 @@
   stored.lapses_in.reset();
   stored.quarantined_for.reset();
   stored.listed.role = RoleOf(stored);
-  if (changed || fresh || !SameContent(before, stored)) changes_.Note(id);
+  if (changed || fresh || !SameContent(before, stored)) changes_.Record(id);
   const bool restarted = IsNewLife(known, stored.listed.incarnation);
   if (restarted) {
     // Must run before the callbacks place the lost work elsewhere.
@@ -295,7 +295,7 @@
   // A peer that quarantines the entry has seen its removal.
   Drop(now, entry.listed.name);
   quarantined_[entry.listed.name] = {entry, until};
-  changes_.Note(entry.listed.name);
+  changes_.Record(entry.listed.name);
 }
 
 void EndpointDirectory::Drop(Time now, const std::string& id) {
@@ -308,7 +308,7 @@
   lapsed_.erase(id);
   const bool quarantined = quarantined_.erase(id) > 0;
   const bool exists = entries_.erase(id) > 0;
-  if (quarantined || exists) changes_.Note(id);
+  if (quarantined || exists) changes_.Record(id);
   if (!exists) return;
   if (events_.on_gone) events_.on_gone(id);
 }
@@ -395,7 +395,7 @@
 
 void EndpointDirectory::OnMissing(Time now, const std::string& id) {
   if (now < lapse_grace_end_ && entries_.contains(id)) {
-    if (lapsed_.emplace(id, lapse_grace_end_).second) changes_.Note(id);
+    if (lapsed_.emplace(id, lapse_grace_end_).second) changes_.Record(id);
   } else {
     Drop(now, id);
   }
@@ -507,7 +507,7 @@
     const bool old =
         !entries_.contains(entry.first) &&
         now - entry.second.updated >= options_.incarnation_retention;
-    if (old) changes_.Forget(entry.first);
+    if (old) changes_.Erase(entry.first);
     return old;
   });
 }
--- a/pinford/forwarding/list_changes.h
+++ b/pinford/forwarding/list_changes.h
@@ -20,10 +20,10 @@
 class ListChanges {
  public:
   // The entry of that id was taken, changed or dropped.
-  void Note(const std::string& id);
+  void Record(const std::string& id);
   // Nobody needs to be told of it any more who has heard of what came later:
   // who has not is not told changes, but the whole.
-  void Forget(const std::string& id);
+  void Erase(const std::string& id);
 
   // Now.
   uint64_t at() const { return at_; }
@@ -34,9 +34,9 @@
 
  private:
   uint64_t at_ = 0;
-  uint64_t forgotten_ = 0;  // the last change that was
+  uint64_t last_erased_ = 0;  // the last change that was
   std::map<uint64_t, std::string> ids_;
-  std::unordered_map<std::string, uint64_t> last_;  // by id
+  std::unordered_map<std::string, uint64_t> sequence_of_;  // by id
 };
 
 }  // namespace pinford
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -538,19 +538,19 @@
   ListChanges changes;
   EXPECT_EQ(changes.Since(0), Strings{});
   EXPECT_EQ(changes.Since(1), std::nullopt);
-  changes.Note("a");
-  changes.Note("b");
+  changes.Record("a");
+  changes.Record("b");
   const uint64_t then = changes.at();
-  changes.Note("a");
-  changes.Note("c");
-  changes.Note("a");
+  changes.Record("a");
+  changes.Record("c");
+  changes.Record("a");
   EXPECT_EQ(changes.Since(0), (Strings{"b", "c", "a"}));
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
   EXPECT_EQ(changes.Since(changes.at()), Strings{});
-  changes.Forget("b");
+  changes.Erase("b");
   EXPECT_EQ(changes.Since(0), std::nullopt) << "it would miss the change of b";
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
-  changes.Forget("unknown");
+  changes.Erase("unknown");
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
 }
 
