--- a/pinford/forwarding/probe_evidence.h
+++ b/pinford/forwarding/probe_evidence.h
@@ -24,7 +24,7 @@
   // Probes are sent together if one was not yet overdue when the other was
   // sent.
   static constexpr Duration kTogether = milliseconds(30);
-  static constexpr size_t kMostKept = 64;
+  static constexpr size_t kMaxProbes = 64;
 
   // A probe was sent to an endpoint that is not known to be down.
   void OnSent(Time now);
@@ -40,7 +40,7 @@
     bool answered;
   };
   std::deque<Probe> probes_;  // in the order in which they were sent
-  bool in_doubt_ = false;
+  bool local_fault_suspected_ = false;
 };
 
 }  // namespace pinford
--- a/pinford/testing/probe_evidence_test.cc
+++ b/pinford/testing/probe_evidence_test.cc
@@ -9,7 +9,7 @@
 
 Time At(int ms) { return Time{} + milliseconds(ms); }
 
-TEST(ProbeEvidence, WhatAnUnansweredProbeSays) {
+TEST(ProbeEvidence, UnansweredProbes) {
   const struct {
     const char* name;
     std::vector<int> sent;      // ms, the first without an answer
@@ -32,15 +32,15 @@
   }
 }
 
-TEST(ProbeEvidence, KeepsSoManyAtMost) {
+TEST(ProbeEvidence, KeepsABoundedNumberOfProbes) {
   ProbeEvidence evidence;
   evidence.OnSent(At(0));
   evidence.OnAnswered(At(0));
-  for (size_t i = 0; i < ProbeEvidence::kMostKept; i++) evidence.OnSent(At(1));
+  for (size_t i = 0; i < ProbeEvidence::kMaxProbes; i++) evidence.OnSent(At(1));
   EXPECT_FALSE(evidence.Blames(At(1)));
 }
 
-TEST(ProbeEvidence, ADoubtLastsUntilSomethingIsAnswered) {
+TEST(ProbeEvidence, LocalFaultIsSuspectedUntilAnAnswer) {
   ProbeEvidence evidence;
   evidence.OnSent(At(0));
   evidence.OnSent(At(0));
