--- a/pinford/testing/probe_evidence_test.cc
+++ b/pinford/testing/probe_evidence_test.cc
@@ -17,12 +17,12 @@
     bool blames;
   } cases[] = {
       {"alone", {100}, {}, true},
-      {"all of a chain are silent", {100, 100, 100}, {}, false},
+      {"none of a chain answers", {100, 100, 100}, {}, false},
       {"another answers", {100, 100, 100}, {100}, true},
       {"another, sent a little later, answers", {100, 120}, {120}, true},
-      {"another, sent a little earlier, is silent", {100, 80}, {}, false},
+      {"another, sent a little earlier, does not answer", {100, 80}, {}, false},
       {"another answered long before", {100, 60}, {60}, true},
-      {"... and one with it did not", {100, 100, 60}, {60}, false},
+      {"... and a concurrent one did not", {100, 100, 60}, {60}, false},
   };
   for (const auto& c : cases) {
     ProbeEvidence evidence;
