--- a/pinford/forwarding/pool_placement.h
+++ b/pinford/forwarding/pool_placement.h
@@ -70,8 +70,8 @@
   // kind is unknown or too small.
   std::optional<Fit> BestFor(const PoolRunner& runner) const;
   // The same of the ranges that contain `keep`.
-  std::optional<Fit> BestAround(const PoolRunner& runner,
-                                const LayerRange& keep) const;
+  std::optional<Fit> BestContaining(const PoolRunner& runner,
+                                    const LayerRange& keep) const;
   // What `range` of `runner`, which must not be counted in, is worth there.
   double GainOf(const PoolRunner& runner, const LayerRange& range) const;
 
@@ -79,18 +79,18 @@
   double Least() const;
 
  private:
-  using Layers = std::vector<double>;  // room, in weights of a layer
+  using PerLayer = std::vector<double>;  // room, in weights of a layer
 
   void Change(const PoolRunner& runner, const LayerRange& range, int sign);
   // What `room` more is worth at each layer of the hall.
-  Layers GainsOf(const std::string& hall, double room) const;
+  PerLayer GainsOf(const std::string& hall, double memory) const;
   // What a runner of `kind` leaves for each of `n` layers.
-  double RoomFor(const AcceleratorKind& kind, int n) const;
+  double FreeMemoryPerLayer(const AcceleratorKind& kind, int n) const;
 
   const EnginePool& pool_;
   PoolPlacementOptions options_;
-  std::map<std::string, Layers> in_hall_;
-  Layers in_all_;
+  std::map<std::string, PerLayer> hall_memory_;
+  PerLayer total_memory_;
 };
 
 // Ranges for those of `runners` that hold less than they can: around what they
@@ -112,7 +112,7 @@
 std::optional<PoolMove> BestMove(const EnginePool& pool,
                                  const std::vector<PoolRunner>& runners,
                                  const std::vector<size_t>& movable,
-                                 double least_gain,
+                                 double min_gain,
                                  const PoolPlacementOptions& options);
 
 // Up to `most` such moves, the greatest gain first, that touch none of the
@@ -121,8 +121,8 @@
 std::vector<PoolMove> BestMoves(const EnginePool& pool,
                                 std::vector<PoolRunner> runners,
                                 std::vector<size_t> movable,
-                                std::vector<LayerRange> moving, int most,
-                                double least_gain,
+                                std::vector<LayerRange> moving, int max_moves,
+                                double min_gain,
                                 const PoolPlacementOptions& options);
 
 }  // namespace pinford
