--- a/pinford/forwarding/pool_placement.cc
+++ b/pinford/forwarding/pool_placement.cc
@@ -6,7 +6,7 @@
 
 namespace pinford {
 
-// Gains that differ by less are rounding.
+// Smaller differences are rounding errors.
 static constexpr double kEpsilon = 1e-9;
 
 int LayersOfKind(const EnginePool& pool, const AcceleratorKind& kind,
@@ -17,9 +17,9 @@
   return std::clamp(n, 0, pool.layers);
 }
 
-// What a layer's room is worth: the least without any, half of that missing
-// with kHalf of a layer's weights, about what one holder of a share of 0.68
-// leaves.
+// The value of a layer's free memory, at most 0: lowest at none, and half as
+// far below 0 at kHalfValueMemory of a layer's weights, about what one holder
+// leaves at a weight share of 0.68.
 static double ValueOf(double memory) {
   constexpr double kHalfValueMemory = 0.4;
   return -1 / (std::max(0.0, memory) + kHalfValueMemory);
@@ -59,9 +59,10 @@
 
 PoolRoom::PerLayer PoolRoom::GainsOf(const std::string& hall,
                                      double memory) const {
-  // A layer's room in all halls against that in one of them. With 1 and 3 the
-  // shortest of 80 layers over 38 runners had 1.71 and 1.82 of a layer's
-  // weights, at the same room in each hall; more gives way in the halls.
+  // Weight of a layer's total free memory relative to that in one hall. With 1
+  // and 3 the smallest total of 80 layers over 38 runners was 1.71 and 1.82 of
+  // a layer's weights, at the same minimum within each hall; larger weights
+  // reduce the latter.
   constexpr double kTotalWeight = 3;
   const auto it = hall_memory_.find(hall);
   PerLayer gains(pool_.layers);
@@ -119,7 +120,7 @@
   return kind != nullptr ? kind->step_factor : 0;
 }
 
-// Looks for a better range for each of the placed. False if there is none.
+// Looks for a better range for each placed runner. False if there is none.
 static bool Improve(const std::vector<const PoolRunner*>& underfilled,
                     PoolRoom* memory,
                     std::map<std::string, LayerRange>* placed) {
@@ -140,7 +141,7 @@
   return improved;
 }
 
-// Whether a runner holds less than it could.
+// Whether a runner holds fewer layers than it could.
 static bool IsUnderfilled(const EnginePool& pool, const PoolRunner& r,
                           const PoolPlacementOptions& options) {
   const AcceleratorKind* kind = pool.Kind(r.kind);
@@ -157,7 +158,7 @@
   if (underfilled.empty()) return {};
   PoolRoom memory(pool, options, runners);
   for (const PoolRunner* r : underfilled) memory.Remove(*r, r->holds);
-  // Fast runners first: they get the first run of layers of their hall.
+  // Fast runners first: they get the first range of layers in their hall.
   std::stable_sort(underfilled.begin(), underfilled.end(),
                    [&pool](const PoolRunner* a, const PoolRunner* b) {
                      return StepFactorOf(pool, *a) < StepFactorOf(pool, *b);
@@ -173,7 +174,8 @@
     placed[r->name] = fit->range;
     memory.Add(*r, fit->range);
   }
-  // Each round raises the value, so it ends; few are worth their time.
+  // Each round increases the value, so this terminates; more rounds are rarely
+  // worth their time.
   constexpr int kMaxRounds = 8;
   for (int i = 0; i < kMaxRounds; i++) {
     if (!Improve(underfilled, &memory, &placed)) break;
@@ -225,7 +227,8 @@
     const auto it = std::find_if(
         runners.begin(), runners.end(),
         [&](const PoolRunner& r) { return r.name == move->runner; });
-    // What it gives up is bound too: that must not be given up twice.
+    // The layers that it gives up are blocked too, so that they are not given
+    // up twice.
     const bool disjoint = !Overlaps(move->range, moving);
     moving.push_back(it->holds);
     if (!disjoint) continue;
