--- a/pinford/forwarding/pool_planner.h
+++ b/pinford/forwarding/pool_planner.h
@@ -66,36 +66,36 @@
 struct PoolPlannerOptions {
   Duration lease = seconds(3);
   // Of the holder; a renewal is a tenth of a call to the store.
-  Duration round = milliseconds(300);
+  Duration planning_interval = milliseconds(300);
   // Of the others, who look whether the lease is free.
-  Duration look = milliseconds(1500);
+  Duration standby_interval = milliseconds(1500);
   // How often a runner with an order under way is asked for its report.
-  Duration ask = milliseconds(400);
+  Duration report_interval = milliseconds(400);
   // An empty pool is placed once no endpoint has joined for `settled`, or
   // `latest` after the first: fast runners should come first, and the list
   // fills up over some seconds.
-  Duration settled = milliseconds(1500);
-  Duration latest = milliseconds(6500);
+  Duration settle_time = milliseconds(1500);
+  Duration max_settle_time = milliseconds(6500);
   // Beyond the time that a load takes if `loads_at_once` others go on.
   Duration order_slack = seconds(4);
-  Duration report_limit = milliseconds(800);
+  Duration report_timeout = milliseconds(800);
   // Orders and questions under way. An answer takes 3 ms; this many keep a core
   // busy, and one that is eight times slower answers to each within 0.1 s.
-  int most_calls = 64;
+  int max_calls = 64;
   // How long a step of a load takes while the pool serves.
-  Duration step_load = milliseconds(1500);
+  Duration load_step_time = milliseconds(1500);
   PoolPlacementOptions placement;
   // A runner that holds layers is moved to others if that gains so much (as
   // PoolMove; the loss of a runner of a third of the layers leaves moves of 4
   // to 8, a whole pool none above 0.5) and has done so for `move_after` (a
   // runner that crashed is back sooner), so many at a time: one that gives
   // layers up serves nothing there for up to 15 s.
-  double least_gain = 2;
-  Duration move_after = seconds(5);
-  int most_moves = 4;
+  double min_gain = 2;
+  Duration move_delay = seconds(5);
+  int max_moves = 4;
   // How often a move is looked for: at 27 pools of 226 runners a look takes 7
   // ms of processor time (BM_BestMove), 0.7% of a core at this pace.
-  Duration move_look = seconds(1);
+  Duration move_search_interval = seconds(1);
   // Requests that pass the layers given up end within this.
   Duration drain_slack = seconds(15);
   MechanismsOff off;
@@ -128,7 +128,7 @@
                [this](uint64_t token) { OnToken(token); }) {}
 
   void Start(Duration first) {
-    clock_->After(first, [this] { Round(); });
+    clock_->After(first, [this] { RunRound(); });
   }
 
   bool planning() const { return lease_.held(); }
@@ -139,50 +139,50 @@
 
  private:
   // A load of one layer takes no less, in seconds; guards a division.
-  static constexpr double kLeastLayerLoad = 0.001;
+  static constexpr double kMinLayerLoadSeconds = 0.001;
 
   // Whether another planner gave orders before this one held the lease.
   enum class Predecessor { kUnknown, kNone, kSome };
 
   // What is known of a pool as a whole.
   struct PoolState {
-    bool serving = false;            // some runner holds layers
-    Time next_look{};                // when a move is looked for again
-    std::optional<Time> none_worth;  // the last look that found no move
+    bool serving = false;                   // some runner holds layers
+    Time next_move_search{};                // when a move is looked for again
+    std::optional<Time> last_without_move;  // the last look that found no move
   };
 
   // What is known of a runner beyond the list.
-  struct Work {
+  struct RunnerRecord {
     uint64_t incarnation = 0;  // of the life that this is known of
     uint64_t serial = 0;       // of this record: answers to others count not
     LayerRange planned;        // what it is to hold, until it does
     LayerRange ordered;        // empty without an order under way
-    LayerRange from;           // what it held when that was given
-    Time give_up{};            // when an order counts as lost
-    Time next_ask{};
-    bool asking = false;
-    bool by_list = false;       // its order went out on the list's word
-    bool due = false;           // waits for its turn to be ordered
-    bool list_refuted = false;  // it refused an order on the list's word
+    LayerRange previous;       // what it held when that was given
+    Time order_deadline{};     // when an order counts as lost
+    Time next_report{};
+    bool report_pending = false;
+    bool based_on_list = false;  // its order went out on the list's word
+    bool queued = false;         // waits for its turn to be ordered
+    bool list_outdated = false;  // it refused an order on the list's word
     std::optional<RunnerReport> report;
-    LayerRange seen;  // what it was last seen to hold
-    Time seen_since{};
+    LayerRange observed;  // what it was last seen to hold
+    Time observed_since{};
   };
 
-  void Round() {
+  void RunRound() {
     if (!events_.may_plan()) {
-      Start(options_.look);
+      Start(options_.standby_interval);
       return;
     }
     // A third of the lease is left for renewals that get no answer.
     if (lease_.held() && lease_.left() > options_.lease * 2 / 3) {
       Plan();
-      Start(options_.round);
+      Start(options_.planning_interval);
       return;
     }
     lease_.Renew([this](bool held) {
       if (held) Plan();
-      Start(held ? options_.round : options_.look);
+      Start(held ? options_.planning_interval : options_.standby_interval);
     });
   }
 
@@ -190,13 +190,13 @@
   // reports are old.
   void OnToken(uint64_t token) {
     if (token != 0) {
-      const bool asks = options_.off.on(Mechanism::kTakeOverAsk);
-      predecessor_ = asks ? Predecessor::kUnknown : Predecessor::kNone;
-      due_.clear();
-      for (auto& [id, w] : work_) {
-        w.due = false;
-        w.report.reset();
-        if (w.ordered.empty()) w.planned = {};
+      const bool check_first = options_.off.on(Mechanism::kTakeOverAsk);
+      predecessor_ = check_first ? Predecessor::kUnknown : Predecessor::kNone;
+      queue_.clear();
+      for (auto& [id, record] : records_) {
+        record.queued = false;
+        record.report.reset();
+        if (record.ordered.empty()) record.planned = {};
       }
     }
     events_.on_lease(token);
@@ -206,43 +206,43 @@
   // are listed now: each is asked.
   void OnPredecessor() {
     predecessor_ = Predecessor::kSome;
-    due_.clear();
+    queue_.clear();
     for (const auto& [id, entry] : events_.entries()) {
       if (!entry.runner || !entry.runner->holds.empty()) continue;
-      Work& w = WorkOf(id, entry);
-      w.due = false;
-      if (!w.ordered.empty()) continue;
-      w.list_refuted = true;
-      due_.push_back({id, w.serial, entry.listed.service, {}});
+      RunnerRecord& record = RecordOf(id, entry);
+      record.queued = false;
+      if (!record.ordered.empty()) continue;
+      record.list_outdated = true;
+      queue_.push_back({id, record.serial, entry.listed.service, {}});
     }
-    GiveDue();
+    SendQueued();
   }
 
   // Orders that may be under way.
-  int MostOrders() const {
-    return predecessor_ == Predecessor::kUnknown ? 1 : options_.most_calls;
+  int MaxOrders() const {
+    return predecessor_ == Predecessor::kUnknown ? 1 : options_.max_calls;
   }
 
   // Whether the list has filled up, or can be waited for no longer.
-  bool Settled(const std::map<std::string, DirectoryEntry>& entries) {
+  bool IsListSettled(const std::map<std::string, DirectoryEntry>& entries) {
     const Time now = clock_->now();
-    if (first_seen_ == Time{}) first_seen_ = now;
-    if (entries.size() > seen_) {
-      seen_ = entries.size();
-      grew_ = now;
+    if (first_join_ == Time{}) first_join_ = now;
+    if (entries.size() > listed_count_) {
+      listed_count_ = entries.size();
+      last_join_ = now;
     }
-    return SomeHold(entries) || now - grew_ >= options_.settled ||
-           now - first_seen_ >= options_.latest;
+    return AnyLayersHeld(entries) || now - last_join_ >= options_.settle_time ||
+           now - first_join_ >= options_.max_settle_time;
   }
 
   void Plan() {
     const auto config = events_.configuration();
-    if (config == nullptr || !Settled(events_.entries())) return;
+    if (config == nullptr || !IsListSettled(events_.entries())) return;
     const std::map<std::string, DirectoryEntry>& entries = events_.entries();
-    std::erase_if(work_, [&entries](const auto& w) {
-      return !entries.contains(w.first);
+    std::erase_if(records_, [&entries](const auto& record) {
+      return !entries.contains(record.first);
     });
-    if (predecessor_ == Predecessor::kUnknown && SomeHold(entries)) {
+    if (predecessor_ == Predecessor::kUnknown && AnyLayersHeld(entries)) {
       OnPredecessor();
     }
     for (const ServiceSpec& spec : config->services) {
@@ -250,7 +250,8 @@
     }
   }
 
-  static bool SomeHold(const std::map<std::string, DirectoryEntry>& entries) {
+  static bool AnyLayersHeld(
+      const std::map<std::string, DirectoryEntry>& entries) {
     return std::any_of(entries.begin(), entries.end(), [](const auto& e) {
       return e.second.runner && !e.second.runner->holds.empty();
     });
@@ -266,10 +267,10 @@
       // What is lost is covered before the list says so: a runner that crashed
       // is listed for seconds, longer if the store is away, and often comes
       // back under another id before it goes.
-      const bool answers =
+      const bool responds =
           !options_.off.on(Mechanism::kLostAtOnce) || events_.works(id);
-      if (!answers) continue;
-      runners.push_back(View(id, entry));
+      if (!responds) continue;
+      runners.push_back(PlannedState(id, entry));
     }
     PoolState& pool = pools_[spec.name];
     pool.serving =
@@ -278,98 +279,102 @@
         });
     const std::map<std::string, LayerRange> placed =
         PlaceRest(*spec.engine, runners, options_.placement);
-    for (const auto& [id, range] : placed) work_[id].planned = range;
+    for (const auto& [id, range] : placed) records_[id].planned = range;
     for (const PoolRunner& r : runners) {
-      const Work& w = work_[r.name];
-      if (w.ordered.empty() && !w.planned.empty()) {
-        Fill(spec, pool.serving, r.name);
+      const RunnerRecord& record = records_[r.name];
+      if (record.ordered.empty() && !record.planned.empty()) {
+        OrderPlanned(spec, pool.serving, r.name);
       }
-      Follow(entries.at(r.name), r);
+      TrackLoad(entries.at(r.name), r);
     }
-    Rearrange(spec, runners, &pool);
+    MoveRunners(spec, runners, &pool);
   }
 
   // Moves runners to layers that are short after others were lost.
-  void Rearrange(const ServiceSpec& spec,
-                 const std::vector<PoolRunner>& runners, PoolState* pool) {
+  void MoveRunners(const ServiceSpec& spec,
+                   const std::vector<PoolRunner>& runners, PoolState* pool) {
     if (!options_.off.on(Mechanism::kMoves)) return;
     const Time now = clock_->now();
-    if (now < pool->next_look) return;
-    pool->next_look = now + options_.move_look;
+    if (now < pool->next_move_search) return;
+    pool->next_move_search = now + options_.move_search_interval;
     std::vector<size_t> movable;
     std::vector<LayerRange> moving;
     for (size_t i = 0; i < runners.size(); i++) {
-      const Work& w = work_[runners[i].name];
-      const bool takes_up = w.from.empty() || w.ordered.Contains(w.from);
-      if (!w.ordered.empty() && !takes_up) {
-        moving.push_back(w.from);
-        moving.push_back(w.ordered);
+      const RunnerRecord& record = records_[runners[i].name];
+      const bool extends =
+          record.previous.empty() || record.ordered.Contains(record.previous);
+      if (!record.ordered.empty() && !extends) {
+        moving.push_back(record.previous);
+        moving.push_back(record.ordered);
       }
-      const bool rests = w.planned.empty() && w.ordered.empty() &&
-                         now - w.seen_since >= options_.move_after;
-      if (rests) movable.push_back(i);
+      const bool stable = record.planned.empty() && record.ordered.empty() &&
+                          now - record.observed_since >= options_.move_delay;
+      if (stable) movable.push_back(i);
     }
-    const int most = options_.most_moves - static_cast<int>(moving.size() / 2);
-    if (most <= 0) return;
+    const int available_moves =
+        options_.max_moves - static_cast<int>(moving.size() / 2);
+    if (available_moves <= 0) return;
     const std::vector<PoolMove> moves =
-        BestMoves(*spec.engine, runners, movable, std::move(moving), most,
-                  options_.least_gain, options_.placement);
-    if (moves.empty() || !pool->none_worth) pool->none_worth = now;
-    if (now - *pool->none_worth < options_.move_after) return;
+        BestMoves(*spec.engine, runners, movable, std::move(moving),
+                  available_moves, options_.min_gain, options_.placement);
+    if (moves.empty() || !pool->last_without_move)
+      pool->last_without_move = now;
+    if (now - *pool->last_without_move < options_.move_delay) return;
     for (const PoolMove& move : moves) {
       if (!IsIdle(move.runner)) {
         // Its report is there by then.
-        pool->next_look = now + options_.round;
+        pool->next_move_search = now + options_.planning_interval;
         continue;
       }
-      Give(spec, move.runner, move.range);
-      work_[move.runner].give_up += options_.drain_slack;
+      SendOrder(spec, move.runner, move.range);
+      records_[move.runner].order_deadline += options_.drain_slack;
     }
   }
 
   // What is known of the life that the entry tells of.
-  Work& WorkOf(const std::string& id, const DirectoryEntry& entry) {
-    Work& w = work_[id];
-    const uint64_t life = entry.listed.incarnation;
-    if (w.serial == 0 || IsNewLife(w.incarnation, life)) {
-      w = Work();
-      w.serial = ++last_serial_;
+  RunnerRecord& RecordOf(const std::string& id, const DirectoryEntry& entry) {
+    RunnerRecord& record = records_[id];
+    const uint64_t incarnation = entry.listed.incarnation;
+    if (record.serial == 0 || IsNewLife(record.incarnation, incarnation)) {
+      record = RunnerRecord();
+      record.serial = ++last_serial_;
     }
-    w.incarnation = life;
-    return w;
+    record.incarnation = incarnation;
+    return record;
   }
 
   // The record that a call was made for; none if it is of another life by now.
-  Work* StillOf(const std::string& id, uint64_t serial) {
-    const auto it = work_.find(id);
-    const bool same = it != work_.end() && it->second.serial == serial;
+  RunnerRecord* FindRecord(const std::string& id, uint64_t serial) {
+    const auto it = records_.find(id);
+    const bool same = it != records_.end() && it->second.serial == serial;
     return same ? &it->second : nullptr;
   }
 
-  PoolRunner View(const std::string& id, const DirectoryEntry& entry) {
+  PoolRunner PlannedState(const std::string& id, const DirectoryEntry& entry) {
     PoolRunner r{id, entry.listed.hall, entry.runner->kind,
                  entry.runner->holds};
-    Work& w = WorkOf(id, entry);
-    if (w.seen_since == Time{} || w.seen != r.holds) {
-      w.seen = r.holds;
-      w.seen_since = clock_->now();
+    RunnerRecord& record = RecordOf(id, entry);
+    if (record.observed_since == Time{} || record.observed != r.holds) {
+      record.observed = r.holds;
+      record.observed_since = clock_->now();
     }
-    const bool late = clock_->now() >= w.give_up;
+    const bool overdue = clock_->now() >= record.order_deadline;
     // Done, or it holds something else by now.
-    const bool ended = r.holds == w.ordered || r.holds != w.from;
-    if (!w.ordered.empty() && (late || ended)) {
-      w.ordered = {};
-      w.report.reset();
+    const bool ended = r.holds == record.ordered || r.holds != record.previous;
+    if (!record.ordered.empty() && (overdue || ended)) {
+      record.ordered = {};
+      record.report.reset();
       // The list does not show it, yet it may have been taken.
-      if (late) w.planned = {};
-      if (late) w.list_refuted = true;
+      if (overdue) record.planned = {};
+      if (overdue) record.list_outdated = true;
     }
-    const bool beside = !r.holds.empty() && !w.planned.Contains(r.holds);
-    if (r.holds == w.planned || beside) w.planned = {};
-    if (!w.planned.empty()) {
-      r.holds = w.planned;
-    } else if (!w.ordered.empty()) {
-      r.holds = w.ordered;
+    const bool outside_plan =
+        !r.holds.empty() && !record.planned.Contains(r.holds);
+    if (r.holds == record.planned || outside_plan) record.planned = {};
+    if (!record.planned.empty()) {
+      r.holds = record.planned;
+    } else if (!record.ordered.empty()) {
+      r.holds = record.ordered;
     }
     return r;
   }
@@ -377,54 +382,56 @@
   // Whether a runner is known to have no order under way, of this planner or
   // another. Asks it if that is not known.
   bool IsIdle(const std::string& id) {
-    Work& w = work_[id];
-    if (w.report && !w.report->busy) return true;
-    if (!w.report || clock_->now() >= w.next_ask) Ask(id);
+    RunnerRecord& record = records_[id];
+    if (record.report && !record.report->busy) return true;
+    if (!record.report || clock_->now() >= record.next_report) QueryReport(id);
     return false;
   }
 
   // Orders a runner to hold what is planned for it, once its report has been
   // seen.
-  void Fill(const ServiceSpec& spec, bool serving, const std::string& id) {
-    Work& w = work_[id];
+  void OrderPlanned(const ServiceSpec& spec, bool serving,
+                    const std::string& id) {
+    RunnerRecord& record = records_[id];
     const LayerRange& holds = events_.entries().at(id).runner->holds;
-    const bool by_list = holds.empty() && !w.list_refuted;
-    if (w.due || (!by_list && !IsIdle(id))) return;
-    const bool steps = serving && options_.off.on(Mechanism::kLoadSteps);
+    const bool based_on_list = holds.empty() && !record.list_outdated;
+    if (record.queued || (!based_on_list && !IsIdle(id))) return;
+    const bool in_steps = serving && options_.off.on(Mechanism::kLoadSteps);
     const LayerRange range =
-        steps ? NextStep(spec, holds, w.planned) : w.planned;
-    if (calls_ < MostOrders()) {
-      Give(spec, id, range);
+        in_steps ? NextStep(spec, holds, record.planned) : record.planned;
+    if (calls_ < MaxOrders()) {
+      SendOrder(spec, id, range);
       return;
     }
-    w.due = true;
-    due_.push_back({id, w.serial, spec.name, range});
+    record.queued = true;
+    queue_.push_back({id, record.serial, spec.name, range});
   }
 
   // Goes on with orders that wait until other calls have ended.
-  void GiveDue() {
-    while (!due_.empty() && calls_ < MostOrders()) {
-      const Due next = std::move(due_.front());
-      due_.pop_front();
-      Work* w = StillOf(next.id, next.serial);
-      if (w == nullptr) continue;
+  void SendQueued() {
+    while (!queue_.empty() && calls_ < MaxOrders()) {
+      const QueuedCall next = std::move(queue_.front());
+      queue_.pop_front();
+      RunnerRecord* record = FindRecord(next.id, next.serial);
+      if (record == nullptr) continue;
       if (next.range.empty()) {
-        if (events_.entries().contains(next.id)) Ask(next.id);
+        if (events_.entries().contains(next.id)) QueryReport(next.id);
         continue;
       }
-      w->due = false;
+      record->queued = false;
       const auto config = events_.configuration();
       const ServiceSpec* spec = config ? config->Service(next.pool) : nullptr;
-      const bool wanted = w->ordered.empty() && !w->planned.empty();
+      const bool wanted = record->ordered.empty() && !record->planned.empty();
       const auto entry = events_.entries().find(next.id);
       if (spec == nullptr || !wanted || entry == events_.entries().end()) {
         continue;
       }
       if (!entry->second.runner) continue;
       // The list has had it start anew; the next round sees to it.
-      if (IsNewLife(w->incarnation, entry->second.listed.incarnation)) continue;
-      if (!entry->second.runner->holds.empty() && !w->report) continue;
-      Give(*spec, next.id, next.range);
+      if (IsNewLife(record->incarnation, entry->second.listed.incarnation))
+        continue;
+      if (!entry->second.runner->holds.empty() && !record->report) continue;
+      SendOrder(*spec, next.id, next.range);
     }
   }
 
@@ -432,10 +439,11 @@
   // the rest loads.
   LayerRange NextStep(const ServiceSpec& spec, const LayerRange& holds,
                       const LayerRange& planned) const {
-    const double a_layer = spec.engine->load_seconds / spec.engine->layers;
-    const int step =
-        std::max(1, static_cast<int>(ToSeconds(options_.step_load) /
-                                     std::max(a_layer, kLeastLayerLoad)));
+    const double layer_seconds =
+        spec.engine->load_seconds / spec.engine->layers;
+    const int step = std::max(
+        1, static_cast<int>(ToSeconds(options_.load_step_time) /
+                            std::max(layer_seconds, kMinLayerLoadSeconds)));
     if (holds.empty()) {
       return {planned.begin, std::min(planned.begin + step, planned.end)};
     }
@@ -445,30 +453,32 @@
     return {std::max(holds.begin - step, planned.begin), end};
   }
 
-  void Give(const ServiceSpec& spec, const std::string& id,
-            const LayerRange& range) {
+  void SendOrder(const ServiceSpec& spec, const std::string& id,
+                 const LayerRange& range) {
     const DirectoryEntry& entry = events_.entries().at(id);
-    Work& w = work_[id];
+    RunnerRecord& record = records_[id];
     LayerOrder order;
     order.range = range;
     order.fence = lease_.token();
     // One that the list shows empty has usually taken none in this life.
-    order.expected_orders = w.report ? w.report->state.orders : 0;
+    order.expected_orders = record.report ? record.report->state.orders : 0;
     if (order.fence == 0) return;
     const EnginePool& pool = *spec.engine;
     // Loads beyond those at once slow each other; twice is room for that.
     const double load =
         pool.load_seconds * range.size() / std::max(1, pool.layers);
-    w.ordered = range;
-    w.from = entry.runner->holds;
-    w.give_up = clock_->now() + FromSeconds(2 * load) + options_.order_slack;
-    w.next_ask = clock_->now() + std::max(options_.ask, FromSeconds(load));
-    w.by_list = !w.report;
-    w.report.reset();
+    record.ordered = range;
+    record.previous = entry.runner->holds;
+    record.order_deadline =
+        clock_->now() + FromSeconds(2 * load) + options_.order_slack;
+    record.next_report =
+        clock_->now() + std::max(options_.report_interval, FromSeconds(load));
+    record.based_on_list = !record.report;
+    record.report.reset();
     calls_++;
     client_->Order(
         entry.listed.address, order,
-        [this, id, serial = w.serial, order](LayerOrderStatus status) {
+        [this, id, serial = record.serial, order](LayerOrderStatus status) {
           OnOrder(id, serial, order, status);
         });
   }
@@ -479,39 +489,39 @@
     events_.on_order(id, order, status);
     if (predecessor_ == Predecessor::kUnknown) OnFirstOrder(order, status);
     if (status == LayerOrderStatus::kFenced) lease_.Forget();
-    Work* w = StillOf(id, serial);
-    if (w == nullptr) {
-      GiveDue();
+    RunnerRecord* record = FindRecord(id, serial);
+    if (record == nullptr) {
+      SendQueued();
       return;
     }
     const bool refused = status == LayerOrderStatus::kConflict ||
                          status == LayerOrderStatus::kFenced ||
                          status == LayerOrderStatus::kNotSent;
     // What was not taken is planned anew, on a new report.
-    if (refused) w->ordered = w->planned = {};
-    const bool refuted = status == LayerOrderStatus::kConflict;
-    if (refuted && w->by_list) w->list_refuted = true;
-    GiveDue();
+    if (refused) record->ordered = record->planned = {};
+    const bool conflict = status == LayerOrderStatus::kConflict;
+    if (conflict && record->based_on_list) record->list_outdated = true;
+    SendQueued();
   }
 
   // Asks a runner that should be loading how far it is, until the list or its
   // report shows that it is done.
-  void Follow(const DirectoryEntry& entry, const PoolRunner& r) {
-    auto it = work_.find(r.name);
-    if (it == work_.end() || it->second.ordered.empty()) return;
+  void TrackLoad(const DirectoryEntry& entry, const PoolRunner& r) {
+    auto it = records_.find(r.name);
+    if (it == records_.end() || it->second.ordered.empty()) return;
     if (entry.runner->holds == it->second.ordered) return;
-    if (clock_->now() >= it->second.next_ask) Ask(r.name);
+    if (clock_->now() >= it->second.next_report) QueryReport(r.name);
   }
 
-  void Ask(const std::string& id) {
-    Work& w = work_[id];
-    if (w.asking || calls_ >= options_.most_calls) return;
-    w.asking = true;
+  void QueryReport(const std::string& id) {
+    RunnerRecord& record = records_[id];
+    if (record.report_pending || calls_ >= options_.max_calls) return;
+    record.report_pending = true;
     calls_++;
-    w.next_ask = clock_->now() + options_.ask;
+    record.next_report = clock_->now() + options_.report_interval;
     client_->Report(events_.entries().at(id).listed.address,
-                    options_.report_limit,
-                    [this, id, serial = w.serial](RunnerAnswer answer) {
+                    options_.report_timeout,
+                    [this, id, serial = record.serial](RunnerAnswer answer) {
                       OnReport(id, serial, std::move(answer.report));
                     });
   }
@@ -519,36 +529,37 @@
   void OnReport(const std::string& id, uint64_t serial,
                 std::optional<RunnerReport> report) {
     calls_--;
-    if (Work* w = StillOf(id, serial)) {
-      w->asking = false;
-      if (report) TakeReport(id, std::move(*report), w);
+    if (RunnerRecord* record = FindRecord(id, serial)) {
+      record->report_pending = false;
+      if (report) ApplyReport(id, std::move(*report), record);
     }
-    GiveDue();
+    SendQueued();
   }
 
   // The order that went ahead of the others has been answered.
   void OnFirstOrder(const LayerOrder& order, LayerOrderStatus status) {
     if (order.fence != lease_.token()) return;
     if (status == LayerOrderStatus::kBegun) predecessor_ = Predecessor::kNone;
-    const bool before = status == LayerOrderStatus::kConflict ||
-                        status == LayerOrderStatus::kDone;
-    if (before) OnPredecessor();
+    const bool has_predecessor = status == LayerOrderStatus::kConflict ||
+                                 status == LayerOrderStatus::kDone;
+    if (has_predecessor) OnPredecessor();
   }
 
-  void TakeReport(const std::string& id, RunnerReport report, Work* w) {
-    const uint64_t life = report.state.incarnation;
-    if (IsNewLife(life, w->incarnation)) return;
-    const bool anew = IsNewLife(w->incarnation, life);
-    if (anew || report.state.leaving || !report.state.holds.empty()) {
+  void ApplyReport(const std::string& id, RunnerReport report,
+                   RunnerRecord* record) {
+    const uint64_t incarnation = report.state.incarnation;
+    if (IsNewLife(incarnation, record->incarnation)) return;
+    const bool restarted = IsNewLife(record->incarnation, incarnation);
+    if (restarted || report.state.leaving || !report.state.holds.empty()) {
       events_.on_state(id, report.state);
     }
     // The list has it then, and the next round begins with an empty record.
-    if (anew) return;
+    if (restarted) return;
     // It loads what another planner ordered, and shows in the list when it is
     // done.
-    const bool others = report.busy && w->ordered.empty();
-    if (others) w->next_ask = clock_->now() + options_.step_load;
-    w->report = std::move(report);
+    const bool foreign = report.busy && record->ordered.empty();
+    if (foreign) record->next_report = clock_->now() + options_.load_step_time;
+    record->report = std::move(report);
   }
 
   C* client_;
@@ -556,22 +567,22 @@
   PoolPlannerOptions options_;
   PoolPlannerEvents events_;
   LeaseHolder<S, Clk> lease_;
-  std::map<std::string, Work> work_;
+  std::map<std::string, RunnerRecord> records_;
   uint64_t last_serial_ = 0;
-  struct Due {
+  struct QueuedCall {
     std::string id;
     uint64_t serial;
     std::string pool;
     LayerRange range;
   };
   // Orders, and with an empty range questions, that wait for other calls.
-  std::deque<Due> due_;
+  std::deque<QueuedCall> queue_;
   Predecessor predecessor_ = Predecessor::kUnknown;
   int calls_ = 0;                           // orders and questions under way
-  size_t seen_ = 0;                         // endpoints in the list
+  size_t listed_count_ = 0;                 // endpoints in the list
   std::map<std::string, PoolState> pools_;  // by service
-  Time grew_{};
-  Time first_seen_{};
+  Time last_join_{};
+  Time first_join_{};
 };
 
 }  // namespace pinford
