--- a/pinford/forwarding/pool_client.h
+++ b/pinford/forwarding/pool_client.h
@@ -29,7 +29,7 @@
   int running = 0;    // requests whose first stage it is
   int waiting = 0;    // ... that have not started
   double used = 0;    // memory used by requests, thousands of tokens x layers
-  double pace = 1;    // times slower than nominal
+  double pace = 1;    // times slower than nominal; 1: nominal
 };
 
 // The result of requesting a runner's report.
--- a/pinford/forwarding/pool_planner.h
+++ b/pinford/forwarding/pool_planner.h
@@ -1,45 +1,45 @@
-// Places the layers of all pools: one box plans, and gives the orders.
+// Places the layers of all pools. One box plans and sends the orders.
 //
-// The planner is the holder of a lease; the lease's token is the fence of its
-// orders. It keeps no plan that would have to be stored: what runners hold is
-// in the platform's list and in their own reports, and an order names how many
-// orders the runner is expected to have taken. So a planner that takes over,
-// however suddenly, sees the same state, and whatever its predecessor still
-// has on the way either fits that state or is refused.
+// The planner is the holder of a lease, whose token is the fence of its orders.
+// It stores no plan: the platform's list and the runners' reports show what
+// runners hold, and an order names the number of orders that the runner is
+// expected to have accepted. A planner that takes over at any moment therefore
+// sees the same state, and orders of its predecessor that are still on the way
+// either match that state or are refused.
 //
-// Each round, what is missing is planned: ranges for runners that hold nothing,
-// or less than they can (PlaceRest). Such a runner is ordered to hold its
-// range; while the pool serves, a large range in steps, so that what has been
-// loaded serves while the rest loads: 27 layers of 1,750 MB take 4.7 s, their
-// first part 1.5 s. An order counts as under way until the runner is seen to
-// hold it, or its time is over.
+// Each round plans ranges for runners that hold nothing, or fewer layers than
+// they can (PlaceRest), and orders these runners to hold them. While the pool
+// serves requests, a large range is loaded in steps, so that the loaded part
+// serves while the rest loads: 27 layers of 1,750 MB take 4.7 s, their first
+// part 1.5 s. An order is in progress until the runner is seen to hold the
+// range, or the order's deadline passes.
 //
-// A runner that the list shows to hold nothing is ordered on the list's word,
-// as one that has taken no order yet: if it has, the count in the order does
-// not fit and it refuses. Any other, and one that refused, is asked for its
-// report first (has it no order under way, how many did it take). Calls under
-// way are bounded, so that a box with an eighth of a core that fills 3,000
-// runners goes from one to the next as they answer, and none of its calls runs
-// out of time.
+// A runner that is listed as empty is ordered without a query, as one that has
+// accepted no order. If it has accepted one, the expected count does not match
+// and it refuses. Any other runner, and one that refused, is queried first for
+// its report: is an order in progress, and how many has it accepted. Calls in
+// flight are bounded, so that a box with an eighth of a core that fills 3,000
+// runners proceeds as they answer, and none of its calls times out.
 //
-// A planner that takes over does not know what its predecessor gave: the list
-// shows a runner empty until its load is done. Where some runner holds layers
-// somebody planned before, and each that the list shows empty is asked first,
-// once. Where none does, a single order goes ahead of the others: if it is
-// taken nobody planned before, if not all are asked. So a fresh fleet fills its
-// pools without a question, and of 99 runners of which 65 load one is given an
-// order that it refuses, where 64 were (AHandOverGivesNoOrderTwice).
+// A planner that takes over does not know its predecessor's orders: runners are
+// listed as empty until their load is done. If some runner holds layers,
+// somebody planned before, and each runner that is listed as empty is queried
+// once first. If none does, a single order is sent ahead of the others. If it
+// is accepted, nobody planned before; otherwise all are queried. A new fleet
+// thus fills its pools without queries, and of 99 runners of which 65 are
+// loading one gets an order that it refuses, where 64 did without the check
+// (TakeoverRepeatsNoOrder).
 //
-// A runner that starts anew under its id holds nothing and has taken no order:
-// what was known of its life before is forgotten.
+// A runner that restarts under its id holds nothing and has accepted no order:
+// the record of its old incarnation is dropped.
 //
-// What was lost for good is covered by moving runners that others can spare.
-// Layers that are given up wait for the requests that pass them, 15 s at worst,
-// so that a move pays for lasting losses only: it comes for a great gain that
-// has lasted some seconds, and takes runners that have held what they hold for
-// as long. Runners that join and leave elsewhere in the pool, as in a large one
-// some always do, do not put it off. Several move at once where they touch
-// other layers.
+// Permanent losses are covered by moving runners that other layers can spare.
+// Layers that a runner gives up wait for the requests that pass them, 15 s at
+// worst, so a move pays off for lasting losses only: it needs a large gain that
+// has lasted some seconds, and uses runners whose layers have not changed for
+// as long. Runners that join and leave elsewhere in the pool, as some always do
+// in a large one, do not delay it. Several runners move at once if their layers
+// do not overlap.
 
 #ifndef PINFORD_FORWARDING_POOL_PLANNER_H_
 #define PINFORD_FORWARDING_POOL_PLANNER_H_
@@ -65,44 +65,45 @@
 
 struct PoolPlannerOptions {
   Duration lease = seconds(3);
-  // Of the holder; a renewal is a tenth of a call to the store.
+  // Of the lease holder. A renewal costs a tenth of a call to the store.
   Duration planning_interval = milliseconds(300);
-  // Of the others, who look whether the lease is free.
+  // Of the other boxes, which check whether the lease is free.
   Duration standby_interval = milliseconds(1500);
-  // How often a runner with an order under way is asked for its report.
+  // How often a runner with an order in progress is queried for its report.
   Duration report_interval = milliseconds(400);
-  // An empty pool is placed once no endpoint has joined for `settled`, or
-  // `latest` after the first: fast runners should come first, and the list
-  // fills up over some seconds.
+  // An empty pool is placed once no endpoint has joined for `settle_time`, or
+  // `max_settle_time` after the first one: fast runners should be placed first,
+  // and the list fills up over some seconds.
   Duration settle_time = milliseconds(1500);
   Duration max_settle_time = milliseconds(6500);
-  // Beyond the time that a load takes if `loads_at_once` others go on.
+  // Added to the time of a load while `loads_at_once` others are in progress.
   Duration order_slack = seconds(4);
   Duration report_timeout = milliseconds(800);
-  // Orders and questions under way. An answer takes 3 ms; this many keep a core
-  // busy, and one that is eight times slower answers to each within 0.1 s.
+  // Orders and queries in flight. An answer takes 3 ms: this many keep a core
+  // busy, and a core that is eight times slower handles each within 0.1 s.
   int max_calls = 64;
-  // How long a step of a load takes while the pool serves.
+  // Duration of one step of a load while the pool serves requests.
   Duration load_step_time = milliseconds(1500);
   PoolPlacementOptions placement;
-  // A runner that holds layers is moved to others if that gains so much (as
-  // PoolMove; the loss of a runner of a third of the layers leaves moves of 4
-  // to 8, a whole pool none above 0.5) and has done so for `move_after` (a
-  // runner that crashed is back sooner), so many at a time: one that gives
-  // layers up serves nothing there for up to 15 s.
+  // A runner that holds layers is moved if the gain is at least `min_gain` (as
+  // PoolMove; the loss of a runner with a third of the layers leaves moves of 4
+  // to 8, an intact pool none above 0.5) and has been for `move_delay` (a
+  // runner that crashed is back sooner). At most `max_moves` at a time: a
+  // runner serves no requests on the layers that it gives up for up to 15 s.
   double min_gain = 2;
   Duration move_delay = seconds(5);
   int max_moves = 4;
-  // How often a move is looked for: at 27 pools of 226 runners a look takes 7
-  // ms of processor time (BM_BestMove), 0.7% of a core at this pace.
+  // How often moves are searched for: with 27 pools of 226 runners a search
+  // takes 7 ms of processor time (BM_BestMove), 0.7% of a core at this
+  // interval.
   Duration move_search_interval = seconds(1);
-  // Requests that pass the layers given up end within this.
+  // Requests on layers that are given up end within this.
   Duration drain_slack = seconds(15);
   MechanismsOff off;
 };
 
 struct PoolPlannerEvents {
-  // Whether this box may plan now: it knows the list and does not stop.
+  // Whether this box may plan now: it has the list and is not stopping.
   std::function<bool()> may_plan;
   std::function<std::shared_ptr<const ServiceConfiguration>()> configuration;
   std::function<const std::map<std::string, DirectoryEntry>&()> entries;
@@ -133,39 +134,39 @@
 
   bool planning() const { return lease_.held(); }
 
-  // The store has come back from a copy, which may lack this box's lease and
-  // hold another's: nobody's counts any more.
+  // The store was restored from a backup, which may lack this box's lease and
+  // contain another's: no lease is valid any more.
   void OnStoreRestored() { lease_.Forget(); }
 
  private:
-  // A load of one layer takes no less, in seconds; guards a division.
+  // Lower bound for the load time of a layer; guards a division.
   static constexpr double kMinLayerLoadSeconds = 0.001;
 
-  // Whether another planner gave orders before this one held the lease.
+  // Whether another planner sent orders before this one got the lease.
   enum class Predecessor { kUnknown, kNone, kSome };
 
-  // What is known of a pool as a whole.
+  // State of a pool as a whole.
   struct PoolState {
     bool serving = false;                   // some runner holds layers
-    Time next_move_search{};                // when a move is looked for again
-    std::optional<Time> last_without_move;  // the last look that found no move
+    Time next_move_search{};                // when moves are searched for again
+    std::optional<Time> last_without_move;  // last search that found no move
   };
 
   // What is known of a runner beyond the list.
   struct RunnerRecord {
-    uint64_t incarnation = 0;  // of the life that this is known of
-    uint64_t serial = 0;       // of this record: answers to others count not
-    LayerRange planned;        // what it is to hold, until it does
-    LayerRange ordered;        // empty without an order under way
-    LayerRange previous;       // what it held when that was given
+    uint64_t incarnation = 0;  // of the runner described here
+    uint64_t serial = 0;       // answers for other serials are ignored
+    LayerRange planned;        // range to hold, until it does
+    LayerRange ordered;        // empty if no order is in progress
+    LayerRange previous;       // what it held when it was ordered
     Time order_deadline{};     // when an order counts as lost
     Time next_report{};
     bool report_pending = false;
-    bool based_on_list = false;  // its order went out on the list's word
-    bool queued = false;         // waits for its turn to be ordered
-    bool list_outdated = false;  // it refused an order on the list's word
+    bool based_on_list = false;  // the order was sent without a query
+    bool queued = false;         // an order waits to be sent
+    bool list_outdated = false;  // it refused an order sent without a query
     std::optional<RunnerReport> report;
-    LayerRange observed;  // what it was last seen to hold
+    LayerRange observed;  // layers it was last seen to hold
     Time observed_since{};
   };
 
@@ -174,7 +175,7 @@
       Start(options_.standby_interval);
       return;
     }
-    // A third of the lease is left for renewals that get no answer.
+    // Leaves a third of the lease for renewals that get no answer.
     if (lease_.held() && lease_.left() > options_.lease * 2 / 3) {
       Plan();
       Start(options_.planning_interval);
@@ -186,8 +187,8 @@
     });
   }
 
-  // Others may have planned since: what was to be ordered is planned anew, and
-  // reports are old.
+  // Others may have planned in between: drops reports, and plans anew what was
+  // not ordered yet.
   void OnToken(uint64_t token) {
     if (token != 0) {
       const bool check_first = options_.off.on(Mechanism::kTakeOverAsk);
@@ -202,8 +203,8 @@
     events_.on_lease(token);
   }
 
-  // The list's word that a runner is empty counts no more for any of those that
-  // are listed now: each is asked.
+  // The list may be out of date for runners that are listed as empty: queries
+  // each of them.
   void OnPredecessor() {
     predecessor_ = Predecessor::kSome;
     queue_.clear();
@@ -218,12 +219,12 @@
     SendQueued();
   }
 
-  // Orders that may be under way.
+  // Orders that may be in flight.
   int MaxOrders() const {
     return predecessor_ == Predecessor::kUnknown ? 1 : options_.max_calls;
   }
 
-  // Whether the list has filled up, or can be waited for no longer.
+  // Whether the list has filled up, or the wait for it is over.
   bool IsListSettled(const std::map<std::string, DirectoryEntry>& entries) {
     const Time now = clock_->now();
     if (first_join_ == Time{}) first_join_ = now;
@@ -264,9 +265,9 @@
       if (entry.listed.service != spec.name || !entry.runner) continue;
       if (entry.listed.state == ListedState::kLeaving) continue;
       if (!FitsPool(*spec.engine, *entry.runner)) continue;
-      // What is lost is covered before the list says so: a runner that crashed
-      // is listed for seconds, longer if the store is away, and often comes
-      // back under another id before it goes.
+      // Losses are covered before the list shows them: a crashed runner stays
+      // listed for seconds, longer if the store is unavailable, and often comes
+      // back under another id before its entry is removed.
       const bool responds =
           !options_.off.on(Mechanism::kLostAtOnce) || events_.works(id);
       if (!responds) continue;
@@ -290,7 +291,7 @@
     MoveRunners(spec, runners, &pool);
   }
 
-  // Moves runners to layers that are short after others were lost.
+  // Moves runners to layers that lack memory after others were lost.
   void MoveRunners(const ServiceSpec& spec,
                    const std::vector<PoolRunner>& runners, PoolState* pool) {
     if (!options_.off.on(Mechanism::kMoves)) return;
@@ -322,7 +323,7 @@
     if (now - *pool->last_without_move < options_.move_delay) return;
     for (const PoolMove& move : moves) {
       if (!IsIdle(move.runner)) {
-        // Its report is there by then.
+        // The runner's report has arrived by then.
         pool->next_move_search = now + options_.planning_interval;
         continue;
       }
@@ -331,7 +332,7 @@
     }
   }
 
-  // What is known of the life that the entry tells of.
+  // The record of the entry's incarnation. Replaces that of an older one.
   RunnerRecord& RecordOf(const std::string& id, const DirectoryEntry& entry) {
     RunnerRecord& record = records_[id];
     const uint64_t incarnation = entry.listed.incarnation;
@@ -343,7 +344,7 @@
     return record;
   }
 
-  // The record that a call was made for; none if it is of another life by now.
+  // The record that a call was made for; nullptr if it has been replaced.
   RunnerRecord* FindRecord(const std::string& id, uint64_t serial) {
     const auto it = records_.find(id);
     const bool same = it != records_.end() && it->second.serial == serial;
@@ -364,7 +365,7 @@
     if (!record.ordered.empty() && (overdue || ended)) {
       record.ordered = {};
       record.report.reset();
-      // The list does not show it, yet it may have been taken.
+      // The list does not show it, but the order may have been accepted.
       if (overdue) record.planned = {};
       if (overdue) record.list_outdated = true;
     }
@@ -379,8 +380,8 @@
     return r;
   }
 
-  // Whether a runner is known to have no order under way, of this planner or
-  // another. Asks it if that is not known.
+  // Whether a runner is known to have no order in progress, of this planner or
+  // another. Queries it if that is unknown.
   bool IsIdle(const std::string& id) {
     RunnerRecord& record = records_[id];
     if (record.report && !record.report->busy) return true;
@@ -388,8 +389,7 @@
     return false;
   }
 
-  // Orders a runner to hold what is planned for it, once its report has been
-  // seen.
+  // Orders a runner to hold its planned range, once its report has arrived.
   void OrderPlanned(const ServiceSpec& spec, bool serving,
                     const std::string& id) {
     RunnerRecord& record = records_[id];
@@ -407,7 +407,7 @@
     queue_.push_back({id, record.serial, spec.name, range});
   }
 
-  // Goes on with orders that wait until other calls have ended.
+  // Sends queued orders and queries as calls in flight end.
   void SendQueued() {
     while (!queue_.empty() && calls_ < MaxOrders()) {
       const QueuedCall next = std::move(queue_.front());
@@ -427,7 +427,7 @@
         continue;
       }
       if (!entry->second.runner) continue;
-      // The list has had it start anew; the next round sees to it.
+      // It has restarted, according to the list; the next round handles it.
       if (IsNewLife(record->incarnation, entry->second.listed.incarnation))
         continue;
       if (!entry->second.runner->holds.empty() && !record->report) continue;
@@ -435,8 +435,8 @@
     }
   }
 
-  // A large range is loaded in steps, so that what has been loaded serves while
-  // the rest loads.
+  // The next step of a large range, so that the loaded part serves requests
+  // while the rest loads.
   LayerRange NextStep(const ServiceSpec& spec, const LayerRange& holds,
                       const LayerRange& planned) const {
     const double layer_seconds =
@@ -460,11 +460,12 @@
     LayerOrder order;
     order.range = range;
     order.fence = lease_.token();
-    // One that the list shows empty has usually taken none in this life.
+    // A runner that is listed as empty has usually accepted no order.
     order.expected_orders = record.report ? record.report->state.orders : 0;
     if (order.fence == 0) return;
     const EnginePool& pool = *spec.engine;
-    // Loads beyond those at once slow each other; twice is room for that.
+    // Loads beyond `loads_at_once` slow each other down; twice the time covers
+    // it.
     const double load =
         pool.load_seconds * range.size() / std::max(1, pool.layers);
     record.ordered = range;
@@ -497,15 +498,15 @@
     const bool refused = status == LayerOrderStatus::kConflict ||
                          status == LayerOrderStatus::kFenced ||
                          status == LayerOrderStatus::kNotSent;
-    // What was not taken is planned anew, on a new report.
+    // Refused orders are planned anew, based on a new report.
     if (refused) record->ordered = record->planned = {};
     const bool conflict = status == LayerOrderStatus::kConflict;
     if (conflict && record->based_on_list) record->list_outdated = true;
     SendQueued();
   }
 
-  // Asks a runner that should be loading how far it is, until the list or its
-  // report shows that it is done.
+  // Queries a runner that should be loading, until the list or its report shows
+  // that it is done.
   void TrackLoad(const DirectoryEntry& entry, const PoolRunner& r) {
     auto it = records_.find(r.name);
     if (it == records_.end() || it->second.ordered.empty()) return;
@@ -536,7 +537,7 @@
     SendQueued();
   }
 
-  // The order that went ahead of the others has been answered.
+  // The order that was sent ahead of the others was answered.
   void OnFirstOrder(const LayerOrder& order, LayerOrderStatus status) {
     if (order.fence != lease_.token()) return;
     if (status == LayerOrderStatus::kBegun) predecessor_ = Predecessor::kNone;
@@ -553,10 +554,9 @@
     if (restarted || report.state.leaving || !report.state.holds.empty()) {
       events_.on_state(id, report.state);
     }
-    // The list has it then, and the next round begins with an empty record.
+    // on_state has updated the list; the next round starts with a new record.
     if (restarted) return;
-    // It loads what another planner ordered, and shows in the list when it is
-    // done.
+    // It loads what another planner ordered; the list will show the result.
     const bool foreign = report.busy && record->ordered.empty();
     if (foreign) record->next_report = clock_->now() + options_.load_step_time;
     record->report = std::move(report);
@@ -575,10 +575,11 @@
     std::string pool;
     LayerRange range;
   };
-  // Orders, and with an empty range questions, that wait for other calls.
+  // Orders, and queries (with an empty range), that wait for other calls to
+  // end.
   std::deque<QueuedCall> queue_;
   Predecessor predecessor_ = Predecessor::kUnknown;
-  int calls_ = 0;                           // orders and questions under way
+  int calls_ = 0;                           // orders and queries in flight
   size_t listed_count_ = 0;                 // endpoints in the list
   std::map<std::string, PoolState> pools_;  // by service
   Time last_join_{};
--- a/pinford/testing/pool_planner_test.cc
+++ b/pinford/testing/pool_planner_test.cc
@@ -1,5 +1,5 @@
-// Orders to the runners of a pool: planners that are paused or killed, orders
-// that are lost or carried out seconds later, runners that come back empty.
+// Planners that are paused or killed, orders that are lost or carried out
+// seconds later, and runners that come back empty.
 
 #include "pinford/forwarding/pool_planner.h"
 
@@ -15,9 +15,9 @@
 
 constexpr char kService[] = "pool";
 
-// The runners, as they are. An order raises the count of orders, takes its
-// time to load, and is refused if its fence is lower than one seen or if it
-// expects another count.
+// The state of the runners. An order increments the order count, takes time to
+// load, and is refused if its fence is lower than one seen or if it expects
+// another count.
 class FakePool {
  public:
   struct Row {
@@ -44,8 +44,7 @@
     rows[port] = row;
   }
 
-  // The list, which shows what a runner holds, and some number that is not its
-  // count of orders.
+  // The list. It shows the layers of each runner, but not its real order count.
   std::map<std::string, DirectoryEntry> List() {
     std::map<std::string, DirectoryEntry> out;
     for (auto& [port, row] : rows) {
@@ -96,7 +95,7 @@
     return LayerOrderStatus::kBegun;
   }
 
-  // Crashes and comes back empty, under another id.
+  // The runner crashes and comes back empty, under another id.
   void RestartWithNewId(uint16_t port) {
     Row& row = rows.at(port);
     const std::string id = row.entry.listed.name + "'";
@@ -105,7 +104,7 @@
     Add(id, hall, kind, port);
   }
 
-  // Crashes and comes back empty, under its id.
+  // The runner crashes and comes back empty, under its id.
   void RestartWithSameId(uint16_t port) {
     Row fresh;
     fresh.entry = rows.at(port).entry;
@@ -120,7 +119,7 @@
   int loads = 0;
   int refused = 0;
   int fenced = 0;
-  int overwritten = 0;  // orders that took away what a runner held
+  int overwritten = 0;  // orders that removed layers from a runner
 
  private:
   void Settle(Row* row) {
@@ -145,7 +144,7 @@
       Reply(limit, [fn] { fn({}); });
       return;
     }
-    // As it was some time ago.
+    // The state when the query was sent.
     const auto report = pool_->Report(at.port);
     Reply(milliseconds(5), [fn, report] { fn({!report, report}); });
   }
@@ -200,7 +199,7 @@
 using TestPlanner = PoolPlanner<FakeStoreClient, FakePoolClient, FakeBox>;
 
 struct World {
-  // By default nothing is moved, so that whatever takes layers away is wrong.
+  // By default no moves are made, so any order that removes layers is wrong.
   explicit World(uint64_t seed, int max_moves = 0,
                  bool check_after_takeover = true)
       : random(seed), store(&clock, seed), pool(&clock) {
@@ -235,7 +234,7 @@
     auto* list = lists.back().get();
     events.entries = [this, list, updated = Time{}]() mutable
         -> const std::map<std::string, DirectoryEntry>& {
-      // What runners hold changes with the time alone.
+      // Layers change only as time passes.
       if (updated != clock.now() || list->size() != pool.rows.size()) {
         *list = pool.List();
         updated = clock.now();
@@ -246,7 +245,7 @@
     events.on_state = [](const std::string&, const RunnerState&) {};
     events.on_lease = [this, i](uint64_t token) {
       if (token == 0) return;
-      // Its own again, or above each one before.
+      // The same lease again; otherwise tokens must increase.
       if (token == highest_token && i == highest_box) return;
       EXPECT_GT(token, highest_token);
       highest_token = token;
@@ -277,7 +276,7 @@
     return *std::min_element(holders.begin(), holders.end()) >= 2;
   }
 
-  // Advances until all runners hold something, or gives up.
+  // Advances until all runners hold something, or `limit` has passed.
   Duration TimeToPlace(Duration limit) {
     const Time start = clock.now();
     while (!AllPlaced() && clock.now() - start < limit) {
@@ -299,7 +298,7 @@
   std::vector<std::unique_ptr<std::map<std::string, DirectoryEntry>>> lists;
   std::vector<std::unique_ptr<TestPlanner>> planners;
   std::vector<uint64_t> fences;
-  uint64_t highest_token = 0;  // that some planner has held
+  uint64_t highest_token = 0;  // held by any planner
   int highest_box = -1;
 };
 
@@ -314,7 +313,7 @@
       {{10, 20}, LayerRange{10, 20}, true},
       {{10, 20}, LayerRange{10, 28}, true},  // it has loaded more since
       {{10, 20}, LayerRange{5, 20}, true},
-      {{10, 20}, LayerRange{0, 0}, false},  // another life
+      {{10, 20}, LayerRange{0, 0}, false},  // it has restarted
       {{10, 20}, LayerRange{10, 20}, false, 1001},
       {{10, 20}, LayerRange{12, 22}, false},
       {{0, 0}, LayerRange{0, 0}, true},
@@ -347,8 +346,8 @@
   EXPECT_EQ(planning, 1);
 }
 
-// What the list tells of an empty runner is enough to order it; many are
-// ordered one after the other, a bounded number at a time.
+// The list suffices to order an empty runner. Many runners are ordered with a
+// bounded number of calls at a time.
 TEST(PoolPlanner, OrdersAnEmptyRunnerWithOneCall) {
   for (const int runners : {300, 3000}) {
     World w(3);
@@ -361,7 +360,7 @@
       w.clock.Advance(milliseconds(20));
     }
     EXPECT_EQ(w.pool.loads, runners);
-    // 1.5 s of them for the list to fill up; 64 calls of 3 ms at a time.
+    // 1.5 s of this is for the list to fill up; 64 calls of 3 ms at a time.
     EXPECT_LE(w.clock.now() - start, milliseconds(2000 + runners / 10));
     int queries = 0;
     for (const auto& client : w.orders) {
@@ -373,10 +372,10 @@
   }
 }
 
-// It has taken an order, which the list does not show: it refuses, is asked,
-// and gets no second order for what it loads.
-// The first that refuses shows that somebody planned before: where that counts
-// the other is asked at once.
+// Two runners have accepted an order that the list does not show: they refuse,
+// are queried, and get no second order for what they load. With the check after
+// a takeover, the first refusal shows that somebody planned before, and the
+// second runner is queried at once.
 TEST(PoolPlanner, RunnerRefusesAnOrderBasedOnAStaleList) {
   for (const bool check_first : {false, true}) {
     World w(4, 0, check_first);
@@ -405,8 +404,8 @@
   }
 }
 
-// It restarts under its id, in the middle of a load or after it: it is ordered
-// anew, as one that has taken no order, once.
+// A runner that restarts under its id, during a load or after it, is ordered
+// once more, as one that has accepted no order.
 TEST(PoolPlanner, RefillsARunnerThatRestartsUnderItsIdOnce) {
   for (const uint16_t port : {1, 7}) {
     for (int ms = 0; ms < 4000; ms += 100) {
@@ -416,7 +415,7 @@
       w.pool.RestartWithSameId(port);
       EXPECT_LE(w.TimeToPlace(seconds(20)), seconds(4)) << ms;
       w.clock.Advance(seconds(20));
-      // The large one is filled in two steps where the pool serves.
+      // The large one is filled in two steps if the pool is serving.
       EXPECT_LE(w.pool.loads, port == 1 ? 14 : 13) << ms;
       EXPECT_EQ(w.pool.refused, 0) << ms;
       EXPECT_EQ(w.pool.overwritten, 0) << ms;
@@ -424,7 +423,7 @@
   }
 }
 
-// A part of a large range serves before all of it is there.
+// A part of a large range serves requests before all of it is loaded.
 TEST(PoolPlanner, ALargeRangeIsLoadedInSteps) {
   World w(4);
   w.TimeToPlace(seconds(20));
@@ -442,7 +441,8 @@
   EXPECT_EQ(sizes, (std::vector<int>{0, 3, 5}));
 }
 
-// A step is all that a planner left behind: the next one goes on from there.
+// A planner that is killed has left one step of a load; the next planner
+// continues from there.
 TEST(PoolPlanner, SuccessorContinuesAPartialLoad) {
   World w(5);
   w.TimeToPlace(seconds(20));
@@ -457,7 +457,7 @@
   EXPECT_EQ(w.pool.overwritten, 0);
 }
 
-// Pools of different sizes, each of which lost layers for good.
+// Pools of different sizes, each of which lost layers permanently.
 TEST(PoolPlanner, PlansPoolsIndependently) {
   World w(8, 1);
   auto c = std::make_shared<ServiceConfiguration>(*w.config);
@@ -480,13 +480,13 @@
   EXPECT_GE(holders["other"], 1);
 }
 
-// A runner that crashed is listed for seconds; one that comes back meanwhile
-// covers what was lost with it.
+// A crashed runner stays listed for seconds; one that comes back in the
+// meantime covers its layers.
 TEST(PoolPlanner, LayersOfAnUnresponsiveRunnerCountAsLost) {
   World w(6);
   w.TimeToPlace(seconds(20));
   const LayerRange lost = w.pool.rows.at(1).holds;
-  // All that hold the same layers in its hall, so that the place is clear.
+  // The only holder of these layers in its hall, so the result is unique.
   w.down = {"r0"};
   FakePool::Row back = w.pool.rows.at(1);
   w.pool.Add("r0'", "h0", "big", 50);
@@ -496,12 +496,12 @@
   EXPECT_EQ(w.pool.rows.at(1).holds, back.holds) << "it gets no order";
 }
 
-// Layers that lost their holders for good are covered by runners that others
-// can spare, once, and then nothing moves any more.
+// Layers without holders are covered by runners that other layers can spare,
+// once; after that nothing moves.
 TEST(PoolPlanner, MovesCoverPermanentlyLostLayers) {
   World w(7, 1);
   w.TimeToPlace(seconds(20));
-  // Whoever holds the last layers is gone.
+  // Removes all holders of the last layers.
   std::erase_if(w.pool.rows,
                 [](const auto& entry) { return entry.second.holds.end == 8; });
   const auto holders = [&w] {
@@ -524,8 +524,8 @@
   EXPECT_EQ(w.pool.loads, after) << "nothing moves to and fro";
 }
 
-// In a large pool something always joins or leaves, and several layers may be
-// short at once.
+// In a large pool runners join and leave all the time, and several layers may
+// lack memory at once.
 TEST(PoolPlanner, MovesCoverLossesDuringChurn) {
   World w(9, 4);
   for (uint16_t i = 0; i < 40; i++) {
@@ -546,8 +546,8 @@
     return entry.second.holds.end == 8 || entry.second.holds.begin == 0;
   });
   ASSERT_EQ(holders().front() + holders().back(), 0);
-  // One that can hold nothing joins and leaves every two seconds: the pool
-  // never rests.
+  // A runner that can hold nothing joins and leaves every two seconds, so the
+  // pool never settles.
   for (uint16_t i = 0; i < 16; i++) {
     w.pool.Add("t" + std::to_string(i), "h0", "tiny", 300 + i);
     w.clock.Advance(seconds(1));
@@ -571,8 +571,8 @@
   }
 }
 
-// A planner sleeps past its lease with orders in mind; another plans
-// meanwhile. What it does when it wakes is fenced off or fits.
+// A planner is paused past its lease with orders pending while another plans.
+// After it resumes, its orders are fenced off or match the runners' state.
 TEST(PoolPlanner, ResumedPlannerDoesNoHarm) {
   for (int ms = 1500; ms < 3500; ms += 20) {
     World w(ms);
@@ -592,10 +592,10 @@
   }
 }
 
-// 99 empty runners; the planner is lost once it has given some two thirds of
-// its orders. The next one, and the first where it wakes up, give none again
-// that is under way. With loads that outlast the hand-over nothing in the list
-// shows that anybody planned before.
+// 99 empty runners; the planner fails after sending about two thirds of its
+// orders. Neither its successor nor the planner itself, if it resumes, repeats
+// an order that is in progress. If loads outlast the takeover, the list does
+// not show that anybody planned before.
 TEST(PoolPlanner, TakeoverRepeatsNoOrder) {
   const struct {
     bool resumes;
@@ -634,14 +634,14 @@
     EXPECT_EQ(w.pool.loads, 99);
     EXPECT_LE(w.pool.refused + w.pool.fenced, c.max_refused);
     EXPECT_EQ(w.pool.overwritten, 0);
-    // One of each at first, and while they load one in 1.5 s.
+    // One each at first, and one per 1.5 s while they load.
     EXPECT_LE(queries, 99 * (2 + ToSeconds(c.load) / 1.5));
   }
 }
 
-// Random schedules of everything: lost and late orders, lost and late writes,
-// outages, pauses, kills, restarts. Nothing that a runner holds is ever
-// replaced, and the pool is whole again soon after the trouble ends.
+// Random schedules of lost and late orders, lost and late writes, outages,
+// pauses, kills and restarts. No layers that a runner holds are ever replaced,
+// and the pool is complete again soon after the faults end.
 TEST(PoolPlanner, SurvivesAnySchedule) {
   for (int run = 0; run < 300; run++) {
     const bool same_id = run >= 150;  // runners restart under their id
@@ -692,15 +692,15 @@
   }
 }
 
-// The store comes back from a copy that lacks the present holder's lease, or
-// holds another's: who planned stops at the first answer, somebody plans again
-// soon, and runners take those orders, however high the fences before were.
+// The store is restored from a backup that lacks the current holder's lease, or
+// contains another's. The planner stops at the first answer, some box plans
+// again soon, and runners accept its orders whatever fences they saw before.
 TEST(PoolPlanner, OrdersAreAcceptedRightAfterARestore) {
   for (const Duration age : {milliseconds(200), milliseconds(2000),
                              milliseconds(6000), milliseconds(60'000)}) {
     World w(7);
     w.TimeToPlace(seconds(20));
-    // Another box takes over, under a higher token that the copy may lack.
+    // Another box takes over, with a higher token that the backup may lack.
     for (size_t i = 0; i < w.planners.size(); i++) {
       if (w.planners[i]->planning()) w.boxes[i]->Kill();
     }
@@ -722,7 +722,7 @@
   }
 }
 
-// All that may go wrong, and restores beside it, two in a row among them.
+// All of these faults and restores, sometimes two in a row.
 TEST(PoolPlanner, SurvivesAnyScheduleOfRestores) {
   int restores = 0;
   for (int run = 0; run < 300; run++) {
