--- a/pinford/forwarding/endpoint_directory.cc
+++ b/pinford/forwarding/endpoint_directory.cc
@@ -407,7 +407,7 @@
   std::set<std::string> present;
   for (const DirectoryEntry& entry : entries) {
     const std::string& id = entry.listed.name;
-    if (ApplyFromPeer(now, entry) || quarantined_.contains(id))
+    if (ApplyListed(now, entry) || quarantined_.contains(id))
       present.insert(id);
   }
   // At once: these are present, so they have not lapsed.
@@ -423,7 +423,7 @@
   UpdateTable(now);
 }
 
-bool EndpointDirectory::ApplyFromPeer(Time now, const DirectoryEntry& entry) {
+bool EndpointDirectory::ApplyListed(Time now, const DirectoryEntry& entry) {
   const std::string& id = entry.listed.name;
   if (entry.lapses_in && !entries_.contains(id)) {
     // It is missing from the store, and was removed or quarantined here before.
@@ -440,7 +440,7 @@
 
 void EndpointDirectory::OnChanges(Time now, const DirectoryChanges& changes) {
   for (const DirectoryEntry& entry : changes.entries) {
-    ApplyFromPeer(now, entry);
+    ApplyListed(now, entry);
     UpdateTableEntry(now, entry.listed.name);
   }
   for (const std::string& id : changes.removed) {
--- a/pinford/forwarding/endpoint_directory.h
+++ b/pinford/forwarding/endpoint_directory.h
@@ -189,23 +189,28 @@
   };
 
   Incarnations& IncarnationsOf(Time now, const std::string& id);
-  // Sets the entry's incarnation if the sender does not know incarnations (0):
-  // it is then the known one. Returns false if the entry is out of date.
+  // Compares the entry's incarnation with the known ones and updates both. 0,
+  // of a sender that does not know incarnations, stands for the known one.
+  // Returns false if the entry is out of date or lacks a known incarnation.
   bool ResolveIncarnation(Time now, DirectoryEntry* entry);
   bool Usable(const DirectoryEntry& entry) const;
   void EraseOldIncarnations(Time now);
   // One entry for a snapshot; nullopt if there is none.
   std::optional<DirectoryEntry> SnapshotOf(Time now,
                                            const std::string& id) const;
-  // Applies an entry of a peer's snapshot. False if it counts as missing here.
-  bool ApplyFromPeer(Time now, const DirectoryEntry& entry);
+  // Applies an entry of a full list or of a peer's changes. False if it counts
+  // as missing here.
+  bool ApplyListed(Time now, const DirectoryEntry& entry);
   // Whether the entry is known from a restored backup only, and its endpoint
   // was removed before.
   bool MustQuarantine(Time now, const DirectoryEntry& entry) const;
   void Quarantine(Time now, const DirectoryEntry& entry);
   // Returns false if the entry was rejected.
   bool Apply(Time now, DirectoryEntry entry);
+  // Removes the entry and records that the store removed it.
   void Drop(Time now, const std::string& id);
+  // The entry is missing from the store: keeps it for a while if it may only
+  // have lapsed.
   void OnMissing(Time now, const std::string& id);
   void Remove(const std::string& id);
   // Passes all entries to the table, or the state of one id.
--- a/pinford/forwarding/pool_client.h
+++ b/pinford/forwarding/pool_client.h
@@ -100,7 +100,7 @@
                               RerouteHandler on_reroute) {
   {c.Report(runner, limit, on_report)};
   {c.Order(runner, order, on_order)};
-  // Tells the first stage of a running request to continue with another chain
+  // Asks the first stage of a running request to continue with another chain
   // that has the same first stage.
   {c.Reroute(runner, request, chain, limit, on_reroute)};
 };
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -104,11 +104,11 @@
   peer.directory.OnList(now, source.directory.Copy(now));
   source.directory.OnStoreBack(now);
   source.directory.OnGone(now, "b");
-  const Time asked = now + milliseconds(500);
+  const Time fetched = now + milliseconds(500);
   const auto copy =
-      ParseDirectory(WriteDirectory(source.directory.Copy(asked)));
+      ParseDirectory(WriteDirectory(source.directory.Copy(fetched)));
   ASSERT_TRUE(copy);
-  peer.directory.OnList(asked, *copy);
+  peer.directory.OnList(fetched, *copy);
   EXPECT_EQ(peer.TakeEvents(), (Strings{"+a", "+b"}));
   peer.directory.Tick(now + milliseconds(2100));
   EXPECT_EQ(peer.TakeEvents(), Strings{});
