--- a/pinford/forwarding/endpoint_directory.cc
+++ b/pinford/forwarding/endpoint_directory.cc
@@ -68,7 +68,7 @@
       JsonField<std::string>(*runner, "version", ""),
       {JsonField(*runner, "begin", 0), JsonField(*runner, "end", 0)},
       JsonField<uint64_t>(*runner, "orders", 0),
-      JsonField<uint64_t>(*runner, "incarnation", kUntoldLife)};
+      JsonField<uint64_t>(*runner, "incarnation", kUnknownIncarnation)};
   return e;
 }
 
@@ -116,9 +116,9 @@
   double transfer = 0;
   for (const ServiceSpec& spec : config_->services) {
     if (spec.engine)
-      transfer = std::max(transfer, spec.engine->crossing_seconds);
+      transfer = std::max(transfer, spec.engine->transfer_seconds_per_token);
   }
-  table_->set_crossing_seconds(transfer);
+  table_->set_transfer_seconds_per_token(transfer);
   UpdateTable(now);
 }
 
@@ -151,7 +151,7 @@
   return snapshot;
 }
 
-std::vector<DirectoryEntry> EndpointDirectory::Copy(Time now) const {
+std::vector<DirectoryEntry> EndpointDirectory::Snapshot(Time now) const {
   std::vector<DirectoryEntry> out;
   out.reserve(entries_.size() + quarantined_.size());
   for (const auto& [id, entry] : entries_) out.push_back(*SnapshotOf(now, id));
@@ -192,18 +192,21 @@
   ListedEndpoint& listed = entry->listed;
   Incarnations& incarnations = IncarnationsOf(now, listed.name);
   uint64_t& resolved = listed.incarnation;
-  if (resolved == 0) resolved = std::max(incarnations.newest, kUntoldLife);
-  if (TellsLife(incarnations.newest) && !TellsLife(resolved)) {
-    if (events_.on_passed_over) {
-      events_.on_passed_over(listed.name,
-                             "it has no incarnation, but had one before");
+  if (resolved == 0)
+    resolved = std::max(incarnations.newest, kUnknownIncarnation);
+  if (IsKnownIncarnation(incarnations.newest) &&
+      !IsKnownIncarnation(resolved)) {
+    if (events_.on_rejected) {
+      events_.on_rejected(listed.name,
+                          "it has no incarnation, but had one before");
     }
     Remove(listed.name);
     return false;
   }
   if (resolved < incarnations.newest) return false;
   // A leaving mark without an incarnation may mean this one.
-  if (TellsLife(resolved) && incarnations.max_leaving == kUntoldLife)
+  if (IsKnownIncarnation(resolved) &&
+      incarnations.max_leaving == kUnknownIncarnation)
     incarnations.max_leaving = resolved;
   if (listed.state == ListedState::kLeaving) {
     incarnations.max_leaving = std::max(incarnations.max_leaving, resolved);
@@ -254,11 +257,11 @@
   stored.quarantined_for.reset();
   stored.listed.role = RoleOf(stored);
   if (changed || fresh || !SameContent(before, stored)) changes_.Record(id);
-  const bool restarted = IsNewLife(known, stored.listed.incarnation);
+  const bool restarted = IsNewerIncarnation(known, stored.listed.incarnation);
   if (restarted) {
     // Must run before the callbacks place the lost work elsewhere.
-    table_->OnNewLife(now, id);
-    if (events_.on_new_life) events_.on_new_life(stored, known);
+    table_->OnRestart(now, id);
+    if (events_.on_restarted) events_.on_restarted(stored, known);
   }
   if (fresh && events_.on_joined) events_.on_joined(stored);
   const bool first = fresh || restarted;
@@ -268,14 +271,14 @@
   const LayerRange held = before.runner ? before.runner->holds : LayerRange();
   const bool layers_changed =
       stored.runner && (fresh || !(stored.runner->holds == held));
-  if (layers_changed && events_.on_holds) {
-    events_.on_holds(stored, fresh ? LayerRange() : held);
+  if (layers_changed && events_.on_layers_changed) {
+    events_.on_layers_changed(stored, fresh ? LayerRange() : held);
   }
   return true;
 }
 
 void EndpointDirectory::OnStoreRestored(Time now) {
-  OnStoreBack(now);
+  OnStoreReachable(now);
   quarantine_until_ = now + options_.quarantine;
   for (auto& [id, q] : quarantined_) q.until = quarantine_until_;
 }
@@ -310,7 +313,7 @@
   const bool exists = entries_.erase(id) > 0;
   if (quarantined || exists) changes_.Record(id);
   if (!exists) return;
-  if (events_.on_gone) events_.on_gone(id);
+  if (events_.on_removed) events_.on_removed(id);
 }
 
 void EndpointDirectory::UpdateTable(Time now) {
@@ -363,10 +366,10 @@
 // steps for other streams in the same pass.
 static double PrefillSeconds(const EnginePool& pool,
                              const AcceleratorKind& kind) {
-  if (pool.prefill_per_s <= 0 || pool.read_a_pass <= 0) return 0;
+  if (pool.prefill_per_s <= 0 || pool.prefill_tokens_per_pass <= 0) return 0;
   const double prefill = kind.prefill_factor / pool.prefill_per_s;
   const double steps = kind.step_factor * pool.step_seconds *
-                       pool.steps_a_pass / pool.read_a_pass;
+                       pool.steps_per_pass / pool.prefill_tokens_per_pass;
   return (prefill + steps) / pool.layers;
 }
 
@@ -386,8 +389,8 @@
     report.layer_seconds = pool.step_seconds / pool.layers *
                            (kind != nullptr ? kind->step_factor : 1);
     if (kind != nullptr) {
-      report.room = FreeMemoryOf(pool, *kind, report.holds);
-      report.read_seconds = PrefillSeconds(pool, *kind);
+      report.memory_capacity = FreeMemoryOf(pool, *kind, report.holds);
+      report.prefill_seconds = PrefillSeconds(pool, *kind);
     }
   }
   table_->OnReport(now, entry.listed.name, report);
@@ -445,7 +448,7 @@
   }
   for (const std::string& id : changes.removed) {
     const bool known = entries_.contains(id) || quarantined_.contains(id);
-    if (known) OnGone(now, id);
+    if (known) OnRemoved(now, id);
   }
 }
 
@@ -459,7 +462,7 @@
   UpdateTableEntry(now, id);
 }
 
-void EndpointDirectory::OnGone(Time now, const std::string& id) {
+void EndpointDirectory::OnRemoved(Time now, const std::string& id) {
   OnMissing(now, id);
   UpdateTableEntry(now, id);
 }
@@ -467,9 +470,10 @@
 void EndpointDirectory::OnLeaving(Time now, const std::string& id,
                                   uint64_t incarnation) {
   Incarnations& incarnations = IncarnationsOf(now, id);
-  const uint64_t resolved = TellsLife(incarnation)
-                                ? incarnation
-                                : std::max(incarnations.newest, kUntoldLife);
+  const uint64_t resolved =
+      IsKnownIncarnation(incarnation)
+          ? incarnation
+          : std::max(incarnations.newest, kUnknownIncarnation);
   incarnations.max_leaving = std::max(incarnations.max_leaving, resolved);
   auto it = entries_.find(id);
   if (it == entries_.end()) return;
@@ -487,7 +491,8 @@
   if (it == entries_.end()) return;
   DirectoryEntry entry = it->second;
   const uint64_t listed = entry.listed.incarnation;
-  const bool comparable = TellsLife(state.incarnation) && TellsLife(listed);
+  const bool comparable =
+      IsKnownIncarnation(state.incarnation) && IsKnownIncarnation(listed);
   if (comparable && state.incarnation < listed) return;
   if (comparable && state.incarnation > listed) {
     entry.listed.incarnation = state.incarnation;
--- a/pinford/forwarding/endpoint_directory.h
+++ b/pinford/forwarding/endpoint_directory.h
@@ -47,14 +47,14 @@
 namespace pinford {
 
 // For endpoints that report no incarnation. Ids are then never reused.
-inline constexpr uint64_t kUntoldLife = 1;
-inline bool TellsLife(uint64_t incarnation) {
-  return incarnation > kUntoldLife;
+inline constexpr uint64_t kUnknownIncarnation = 1;
+inline bool IsKnownIncarnation(uint64_t incarnation) {
+  return incarnation > kUnknownIncarnation;
 }
 // Whether `now` is a newer incarnation than `before`. False if either is
 // unknown.
-inline bool IsNewLife(uint64_t before, uint64_t now) {
-  return TellsLife(before) && now > before;
+inline bool IsNewerIncarnation(uint64_t before, uint64_t now) {
+  return IsKnownIncarnation(before) && now > before;
 }
 
 // A runner's own state.
@@ -63,7 +63,7 @@
   std::string version;  // version of its weights
   LayerRange holds;
   uint64_t orders = 0;  // orders accepted by this incarnation
-  uint64_t incarnation = kUntoldLife;
+  uint64_t incarnation = kUnknownIncarnation;
   bool leaving = false;  // set by reports only; list entries have `state`
 
   bool operator==(const RunnerState&) const = default;
@@ -119,13 +119,13 @@
   struct Events {
     std::function<void(const DirectoryEntry&)> on_joined;
     std::function<void(const std::string& id)> on_leaving;
-    std::function<void(const std::string& id)> on_gone;
+    std::function<void(const std::string& id)> on_removed;
     // The endpoint has restarted; state of the incarnation `before` is invalid.
-    std::function<void(const DirectoryEntry&, uint64_t before)> on_new_life;
+    std::function<void(const DirectoryEntry&, uint64_t before)> on_restarted;
     std::function<void(const std::string& id, std::string_view why)>
-        on_passed_over;
+        on_rejected;
     std::function<void(const DirectoryEntry&, const LayerRange& before)>
-        on_holds;
+        on_layers_changed;
   };
 
   EndpointDirectory(EndpointTable* table, const Options& options, Events events)
@@ -136,7 +136,7 @@
 
   // The store is back after an outage: missing entries may only have lapsed. A
   // directory without entries has none that could have.
-  void OnStoreBack(Time now) {
+  void OnStoreReachable(Time now) {
     if (!entries_.empty()) lapse_grace_end_ = now + options_.lapse_grace;
   }
   // The store was restored from a backup. Call this before OnList with its
@@ -150,7 +150,7 @@
   void OnChanges(Time now, const DirectoryChanges& changes);
   void OnEntry(Time now, const DirectoryEntry& entry);
   void OnUnreadable(Time now, const std::string& id);
-  void OnGone(Time now, const std::string& id);
+  void OnRemoved(Time now, const std::string& id);
   // Some source reported that this incarnation is leaving.
   void OnLeaving(Time now, const std::string& id, uint64_t incarnation);
   // A runner reported its layers. The report may be ahead of the list.
@@ -166,12 +166,14 @@
   uint64_t state() const { return state_; }
   // Whether a snapshot depends on the time: some entries are missing from the
   // store and may come back, or are quarantined.
-  bool unsettled() const { return !lapsed_.empty() || !quarantined_.empty(); }
+  bool has_timed_entries() const {
+    return !lapsed_.empty() || !quarantined_.empty();
+  }
   // Entries of services that the configuration does not name, or of runners
   // that report layers outside their pool's model. They get no work.
   size_t unusable() const { return unusable_.size(); }
   // All entries, for a peer.
-  std::vector<DirectoryEntry> Copy(Time now) const;
+  std::vector<DirectoryEntry> Snapshot(Time now) const;
   // Changes after sequence number `at` of this list, for a peer that has the
   // list as of then. nullopt if they are no longer known.
   uint64_t at() const { return changes_.at(); }
--- a/pinford/forwarding/endpoint_notice.h
+++ b/pinford/forwarding/endpoint_notice.h
@@ -18,14 +18,14 @@
 
 struct EndpointNotice {
   // It rejected the request and requests no more from this box for this long.
-  std::optional<Duration> rest;
+  std::optional<Duration> backoff;
   bool leaving = false;
 };
 
 EndpointNotice ReadNotice(const HttpHead& answer, const ForwardHeaders& names);
 
 // Parses the header by which endpoints announce that they are leaving.
-inline bool SaysLeaving(std::string_view text) { return text == "1"; }
+inline bool ParseLeaving(std::string_view text) { return text == "1"; }
 
 }  // namespace pinford
 
--- a/pinford/forwarding/endpoint_watch.h
+++ b/pinford/forwarding/endpoint_watch.h
@@ -7,8 +7,8 @@
 // probe, or its absence, marks an endpoint as down, slow or working. One that
 // is down or slow is probed until it recovers or leaves the list.
 //
-// No I/O: the owner probes the endpoints that ToAsk returns and passes in the
-// results.
+// No I/O: the owner probes the endpoints that EndpointsToProbe returns and
+// passes in the results.
 
 #ifndef PINFORD_FORWARDING_ENDPOINT_WATCH_H_
 #define PINFORD_FORWARDING_ENDPOINT_WATCH_H_
@@ -32,8 +32,8 @@
     Duration min_silence = milliseconds(60);
     // Minimum time between two probes of an endpoint that works, and of one
     // that is down or slow.
-    Duration ask_again = milliseconds(150);
-    Duration ask_impaired = milliseconds(400);
+    Duration healthy_probe_interval = milliseconds(150);
+    Duration impaired_probe_interval = milliseconds(400);
     // A runner whose slowdown reaches this is slow: pauses in its streams are
     // then close to their limit.
     double slow_threshold = 2;
@@ -47,27 +47,28 @@
   void OnProgress(Time now, const Chain& chain);
 
   // Endpoints to probe now. Marks each as being probed.
-  std::vector<std::string> ToAsk(Time now);
+  std::vector<std::string> EndpointsToProbe(Time now);
   // Whether an endpoint that is suspected for another reason than silence is to
   // be probed now; marks it as being probed. False while a probe is outstanding
   // and for a while after one: each refusal of a full runner makes it suspect.
-  bool BeginAsk(Time now, const std::string& endpoint);
+  bool BeginProbe(Time now, const std::string& endpoint);
   enum class Change { kNone, kWorse, kBetter };
   // The result of a probe: whether the endpoint works, and its slowdown.
-  Change OnAnswer(const std::string& endpoint, bool works, double pace);
+  Change OnProbeResult(const std::string& endpoint, bool works,
+                       double slowdown);
   // A probe got no answer, possibly by this box's own fault. Returns true if it
   // may be repeated at once; otherwise it is repeated in turn.
-  bool OnUndecided(const std::string& endpoint);
+  bool OnProbeInconclusive(const std::string& endpoint);
   void Forget(const std::string& endpoint) { rows_.erase(endpoint); }
   // The endpoint has restarted: drops what was observed of its old incarnation.
-  void OnNewLife(const std::string& endpoint);
+  void OnRestart(const std::string& endpoint);
 
   bool IsDown(const std::string& endpoint) const;
   // It is down, is being probed, or did not answer its last probe.
   bool IsSuspected(const std::string& endpoint) const;
   bool IsSlow(const std::string& endpoint) const;
   // When it last showed that it works; Time{} if never.
-  Time ProgressOf(const std::string& endpoint) const;
+  Time LastProgressOf(const std::string& endpoint) const;
 
  private:
   struct Row {
--- a/pinford/forwarding/failure_news.h
+++ b/pinford/forwarding/failure_gossip.h
@@ -19,8 +19,8 @@
 // No I/O: the owner probes the runners that Heard returns, and sends what Take
 // returns.
 
-#ifndef PINFORD_FORWARDING_FAILURE_NEWS_H_
-#define PINFORD_FORWARDING_FAILURE_NEWS_H_
+#ifndef PINFORD_FORWARDING_FAILURE_GOSSIP_H_
+#define PINFORD_FORWARDING_FAILURE_GOSSIP_H_
 
 #include <string>
 #include <unordered_map>
@@ -30,14 +30,14 @@
 
 namespace pinford {
 
-class FailureNews {
+class FailureGossip {
  public:
   struct Options {
     // Peers notified. Of n boxes about n * exp(-peers) receive nothing.
-    size_t peers = 5;
+    size_t fanout = 5;
     // Notices within this time go out in one message: runners that fail
     // together are detected milliseconds apart.
-    Duration gather = milliseconds(3);
+    Duration batch_window = milliseconds(3);
     // A runner is announced, and probed because of a notice, at most once in
     // this time. Bounds the load that a faulty box can cause to one probe per
     // runner and second.
@@ -46,7 +46,7 @@
     size_t max_endpoints = 64;
   };
 
-  explicit FailureNews(const Options& options) : options_(options) {}
+  explicit FailureGossip(const Options& options) : options_(options) {}
 
   // This box's own probe of the runner failed, or showed that it is slow, for
   // the first time. Returns true if a message is to be sent after `gather`.
@@ -55,8 +55,8 @@
   std::vector<std::string> Take();
   // A peer announced these runners as down. Returns those that this box is to
   // probe.
-  std::vector<std::string> Heard(Time now,
-                                 const std::vector<std::string>& endpoints);
+  std::vector<std::string> OnNotice(Time now,
+                                    const std::vector<std::string>& endpoints);
 
   const Options& options() const { return options_; }
 
@@ -73,4 +73,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_FAILURE_NEWS_H_
+#endif  // PINFORD_FORWARDING_FAILURE_GOSSIP_H_
--- a/pinford/forwarding/pool_client.h
+++ b/pinford/forwarding/pool_client.h
@@ -25,18 +25,18 @@
 // A runner's report, some hundred milliseconds old when it is read.
 struct RunnerReport {
   RunnerState state;
-  bool busy = false;  // an order is in progress
-  int running = 0;    // requests whose first stage it is
-  int waiting = 0;    // ... that have not started
-  double used = 0;    // memory used by requests, thousands of tokens x layers
-  double pace = 1;    // times slower than nominal; 1: nominal
+  bool busy = false;    // an order is in progress
+  int running = 0;      // requests whose first stage it is
+  int waiting = 0;      // ... that have not started
+  double used = 0;      // memory used by requests, thousands of tokens x layers
+  double slowdown = 1;  // times slower than nominal; 1: nominal
 };
 
 // The result of requesting a runner's report.
 struct RunnerAnswer {
   // Nothing came back in time. A refused connection is an answer: it comes from
   // the runner's host and shows that the path works.
-  bool silent = true;
+  bool timed_out = true;
   std::optional<RunnerReport> report;  // if the answer contained one
 };
 
@@ -44,7 +44,7 @@
 struct RunnerHealth {
   bool answered = false;  // something came back in time
   bool works = false;     // ... and it holds the listed layers
-  double pace = 1;        // as RunnerReport::pace
+  double slowdown = 1;    // as RunnerReport::pace
   double used = 0;        // as RunnerReport::used
   int entries = 0;        // its requests, running or waiting
 };
@@ -63,7 +63,7 @@
 };
 
 enum class LayerOrderStatus {
-  kBegun,
+  kStarted,
   kDone,      // it holds the range already
   kConflict,  // it has accepted other orders, or is in another state
   kFenced,    // it has seen a higher fence
@@ -75,16 +75,16 @@
 
 enum class RerouteStatus {
   kDone,
-  kNoRequest,  // the first stage does not know the request
-  kNoPart,     // a stage does not hold its layers or lacks memory
-  kUnknown,    // no answer
+  kNoRequest,       // the first stage does not know the request
+  kRefusedByStage,  // a stage does not hold its layers or lacks memory
+  kUnknown,         // no answer
 };
 
 std::string_view RerouteStatusName(RerouteStatus s);
 
 struct RerouteResult {
   RerouteStatus status = RerouteStatus::kUnknown;
-  // For kNoPart: the address of the refusing stage, "" if unknown.
+  // For kRefusedByStage: the address of the refusing stage, "" if unknown.
   std::string at_fault;
 };
 
--- a/pinford/forwarding/pool_placement.cc
+++ b/pinford/forwarding/pool_placement.cc
@@ -25,18 +25,20 @@
   return -1 / (std::max(0.0, memory) + kHalfValueMemory);
 }
 
-PoolRoom::PoolRoom(const EnginePool& pool, const PoolPlacementOptions& options,
-                   const std::vector<PoolRunner>& runners)
+PoolMemory::PoolMemory(const EnginePool& pool,
+                       const PoolPlacementOptions& options,
+                       const std::vector<PoolRunner>& runners)
     : pool_(pool), options_(options), total_memory_(pool.layers, 0) {
   for (const PoolRunner& r : runners) Add(r, r.holds);
 }
 
-double PoolRoom::FreeMemoryPerLayer(const AcceleratorKind& kind, int n) const {
+double PoolMemory::FreeMemoryPerLayer(const AcceleratorKind& kind,
+                                      int n) const {
   return std::max(0.0, kind.memory_mb / n / pool_.layer_mb - 1);
 }
 
-void PoolRoom::Change(const PoolRunner& runner, const LayerRange& range,
-                      int sign) {
+void PoolMemory::Change(const PoolRunner& runner, const LayerRange& range,
+                        int sign) {
   const AcceleratorKind* kind = pool_.Kind(runner.kind);
   const int end = std::min(range.end, pool_.layers);
   if (kind == nullptr || range.begin >= end || pool_.layer_mb <= 0) return;
@@ -49,16 +51,16 @@
   }
 }
 
-void PoolRoom::Add(const PoolRunner& runner, const LayerRange& range) {
+void PoolMemory::Add(const PoolRunner& runner, const LayerRange& range) {
   Change(runner, range, 1);
 }
 
-void PoolRoom::Remove(const PoolRunner& runner, const LayerRange& range) {
+void PoolMemory::Remove(const PoolRunner& runner, const LayerRange& range) {
   Change(runner, range, -1);
 }
 
-PoolRoom::PerLayer PoolRoom::GainsOf(const std::string& hall,
-                                     double memory) const {
+PoolMemory::PerLayer PoolMemory::GainsOf(const std::string& hall,
+                                         double memory) const {
   // Weight of a layer's total free memory relative to that in one hall. With 1
   // and 3 the smallest total of 80 layers over 38 runners was 1.71 and 1.82 of
   // a layer's weights, at the same minimum within each hall; larger weights
@@ -75,8 +77,8 @@
   return gains;
 }
 
-double PoolRoom::GainOf(const PoolRunner& runner,
-                        const LayerRange& range) const {
+double PoolMemory::GainOf(const PoolRunner& runner,
+                          const LayerRange& range) const {
   const AcceleratorKind* kind = pool_.Kind(runner.kind);
   const int end = std::min(range.end, pool_.layers);
   if (kind == nullptr || range.begin >= end) return 0;
@@ -85,11 +87,12 @@
   return std::accumulate(gains.begin() + range.begin, gains.begin() + end, 0.0);
 }
 
-std::optional<PoolRoom::Fit> PoolRoom::BestFor(const PoolRunner& runner) const {
+std::optional<PoolMemory::Fit> PoolMemory::BestFor(
+    const PoolRunner& runner) const {
   return BestContaining(runner, {});
 }
 
-std::optional<PoolRoom::Fit> PoolRoom::BestContaining(
+std::optional<PoolMemory::Fit> PoolMemory::BestContaining(
     const PoolRunner& runner, const LayerRange& keep) const {
   const AcceleratorKind* kind = pool_.Kind(runner.kind);
   const int n = kind != nullptr ? LayersOfKind(pool_, *kind, options_) : 0;
@@ -110,7 +113,7 @@
   return best;
 }
 
-double PoolRoom::Least() const {
+double PoolMemory::MinFreeMemory() const {
   if (total_memory_.empty()) return 0;
   return *std::min_element(total_memory_.begin(), total_memory_.end());
 }
@@ -122,7 +125,7 @@
 
 // Looks for a better range for each placed runner. False if there is none.
 static bool Improve(const std::vector<const PoolRunner*>& underfilled,
-                    PoolRoom* memory,
+                    PoolMemory* memory,
                     std::map<std::string, LayerRange>* placed) {
   bool improved = false;
   for (const PoolRunner* r : underfilled) {
@@ -130,7 +133,7 @@
     if (it == placed->end()) continue;
     memory->Remove(*r, it->second);
     const double gain = memory->GainOf(*r, it->second);
-    const std::optional<PoolRoom::Fit> fit =
+    const std::optional<PoolMemory::Fit> fit =
         memory->BestContaining(*r, r->holds);
     if (fit && fit->gain > gain + kEpsilon) {
       it->second = fit->range;
@@ -148,7 +151,7 @@
   return kind != nullptr && r.holds.size() < LayersOfKind(pool, *kind, options);
 }
 
-std::map<std::string, LayerRange> PlaceRest(
+std::map<std::string, LayerRange> PlaceUnderfilledRunners(
     const EnginePool& pool, const std::vector<PoolRunner>& runners,
     const PoolPlacementOptions& options) {
   std::vector<const PoolRunner*> underfilled;
@@ -156,7 +159,7 @@
     if (IsUnderfilled(pool, r, options)) underfilled.push_back(&r);
   }
   if (underfilled.empty()) return {};
-  PoolRoom memory(pool, options, runners);
+  PoolMemory memory(pool, options, runners);
   for (const PoolRunner* r : underfilled) memory.Remove(*r, r->holds);
   // Fast runners first: they get the first range of layers in their hall.
   std::stable_sort(underfilled.begin(), underfilled.end(),
@@ -165,7 +168,7 @@
                    });
   std::map<std::string, LayerRange> placed;
   for (const PoolRunner* r : underfilled) {
-    const std::optional<PoolRoom::Fit> fit =
+    const std::optional<PoolMemory::Fit> fit =
         memory.BestContaining(*r, r->holds);
     if (!fit) {
       memory.Add(*r, r->holds);
@@ -188,13 +191,13 @@
                                  const std::vector<size_t>& movable,
                                  double min_gain,
                                  const PoolPlacementOptions& options) {
-  PoolRoom memory(pool, options, runners);
+  PoolMemory memory(pool, options, runners);
   std::optional<PoolMove> best;
   for (const size_t i : movable) {
     const PoolRunner& r = runners[i];
     memory.Remove(r, r.holds);
     const double held = memory.GainOf(r, r.holds);
-    const std::optional<PoolRoom::Fit> fit = memory.BestFor(r);
+    const std::optional<PoolMemory::Fit> fit = memory.BestFor(r);
     memory.Add(r, r.holds);
     if (!fit) continue;
     const double gain = fit->gain - held;
--- a/pinford/forwarding/pool_placement.h
+++ b/pinford/forwarding/pool_placement.h
@@ -6,7 +6,7 @@
 // spread over the layers that they hold. Chains are picked freely over the
 // ranges that runners hold, so ranges need not line up.
 //
-// PoolRoom sums up each layer's free memory, per hall and in total, and finds
+// PoolMemory sums up each layer's free memory, per hall and in total, and finds
 // the range for one runner that increases the sum of a concave function of it
 // most: the last free memory of a layer is worth more than all the rest. Free
 // memory within a hall counts beside the total, because a chain that stays in a
@@ -53,11 +53,11 @@
 
 // Free memory of a pool's layers, in units of one layer's weights. A runner of
 // unknown kind contributes none.
-class PoolRoom {
+class PoolMemory {
  public:
   // `pool` must outlive it.
-  PoolRoom(const EnginePool& pool, const PoolPlacementOptions& options,
-           const std::vector<PoolRunner>& runners);
+  PoolMemory(const EnginePool& pool, const PoolPlacementOptions& options,
+             const std::vector<PoolRunner>& runners);
 
   // Adds, or removes, the contribution of `runner` holding `range`.
   void Add(const PoolRunner& runner, const LayerRange& range);
@@ -77,7 +77,7 @@
   double GainOf(const PoolRunner& runner, const LayerRange& range) const;
 
   // The smallest total free memory of a layer.
-  double Least() const;
+  double MinFreeMemory() const;
 
  private:
   using PerLayer = std::vector<double>;
@@ -98,7 +98,7 @@
 // contains the layers that the runner holds. Fast runners are placed first;
 // then each range is improved given the others, until nothing is gained.
 // Runners that cannot hold a layer are left out.
-std::map<std::string, LayerRange> PlaceRest(
+std::map<std::string, LayerRange> PlaceUnderfilledRunners(
     const EnginePool& pool, const std::vector<PoolRunner>& runners,
     const PoolPlacementOptions& options);
 
--- a/pinford/forwarding/pool_planner.h
+++ b/pinford/forwarding/pool_planner.h
@@ -8,11 +8,11 @@
 // either match that state or are refused.
 //
 // Each round plans ranges for runners that hold nothing, or fewer layers than
-// they can (PlaceRest), and orders these runners to hold them. While the pool
-// serves requests, a large range is loaded in steps, so that the loaded part
-// serves while the rest loads: 27 layers of 1,750 MB take 4.7 s, their first
-// part 1.5 s. An order is in progress until the runner is seen to hold the
-// range, or the order's deadline passes.
+// they can (PlaceUnderfilledRunners), and orders these runners to hold them.
+// While the pool serves requests, a large range is loaded in steps, so that the
+// loaded part serves while the rest loads: 27 layers of 1,750 MB take 4.7 s,
+// their first part 1.5 s. An order is in progress until the runner is seen to
+// hold the range, or the order's deadline passes.
 //
 // A runner that is listed as empty is ordered without a query, as one that has
 // accepted no order. If it has accepted one, the expected count does not match
@@ -76,7 +76,8 @@
   // and the list fills up over some seconds.
   Duration settle_time = milliseconds(1500);
   Duration max_settle_time = milliseconds(6500);
-  // Added to the time of a load while `loads_at_once` others are in progress.
+  // Added to the time of a load while `concurrent_loads` others are in
+  // progress.
   Duration order_slack = seconds(4);
   Duration report_timeout = milliseconds(800);
   // Orders and queries in flight. An answer takes 3 ms: this many keep a core
@@ -99,7 +100,7 @@
   Duration move_search_interval = seconds(1);
   // Requests on layers that are given up end within this.
   Duration drain_slack = seconds(15);
-  MechanismsOff off;
+  MechanismSwitches mechanisms;
 };
 
 struct PoolPlannerEvents {
@@ -136,7 +137,7 @@
 
   // The store was restored from a backup, which may lack this box's lease and
   // contain another's: no lease is valid any more.
-  void OnStoreRestored() { lease_.Forget(); }
+  void OnStoreRestored() { lease_.Abandon(); }
 
  private:
   // Lower bound for the load time of a layer; guards a division.
@@ -191,7 +192,8 @@
   // not ordered yet.
   void OnToken(uint64_t token) {
     if (token != 0) {
-      const bool check_first = options_.off.on(Mechanism::kTakeOverAsk);
+      const bool check_first =
+          options_.mechanisms.enabled(Mechanism::kTakeoverProbe);
       predecessor_ = check_first ? Predecessor::kUnknown : Predecessor::kNone;
       queue_.clear();
       for (auto& [id, record] : records_) {
@@ -269,7 +271,8 @@
       // listed for seconds, longer if the store is unavailable, and often comes
       // back under another id before its entry is removed.
       const bool responds =
-          !options_.off.on(Mechanism::kLostAtOnce) || events_.works(id);
+          !options_.mechanisms.enabled(Mechanism::kSkipUnresponsive) ||
+          events_.works(id);
       if (!responds) continue;
       runners.push_back(PlannedState(id, entry));
     }
@@ -279,7 +282,7 @@
           return !entries.at(r.name).runner->holds.empty();
         });
     const std::map<std::string, LayerRange> placed =
-        PlaceRest(*spec.engine, runners, options_.placement);
+        PlaceUnderfilledRunners(*spec.engine, runners, options_.placement);
     for (const auto& [id, range] : placed) records_[id].planned = range;
     for (const PoolRunner& r : runners) {
       const RunnerRecord& record = records_[r.name];
@@ -294,7 +297,7 @@
   // Moves runners to layers that lack memory after others were lost.
   void MoveRunners(const ServiceSpec& spec,
                    const std::vector<PoolRunner>& runners, PoolState* pool) {
-    if (!options_.off.on(Mechanism::kMoves)) return;
+    if (!options_.mechanisms.enabled(Mechanism::kRunnerMoves)) return;
     const Time now = clock_->now();
     if (now < pool->next_move_search) return;
     pool->next_move_search = now + options_.move_search_interval;
@@ -336,7 +339,8 @@
   RunnerRecord& RecordOf(const std::string& id, const DirectoryEntry& entry) {
     RunnerRecord& record = records_[id];
     const uint64_t incarnation = entry.listed.incarnation;
-    if (record.serial == 0 || IsNewLife(record.incarnation, incarnation)) {
+    if (record.serial == 0 ||
+        IsNewerIncarnation(record.incarnation, incarnation)) {
       record = RunnerRecord();
       record.serial = ++last_serial_;
     }
@@ -396,7 +400,8 @@
     const LayerRange& holds = events_.entries().at(id).runner->holds;
     const bool based_on_list = holds.empty() && !record.list_outdated;
     if (record.queued || (!based_on_list && !IsIdle(id))) return;
-    const bool in_steps = serving && options_.off.on(Mechanism::kLoadSteps);
+    const bool in_steps =
+        serving && options_.mechanisms.enabled(Mechanism::kIncrementalLoad);
     const LayerRange range =
         in_steps ? NextStep(spec, holds, record.planned) : record.planned;
     if (calls_ < MaxOrders()) {
@@ -428,7 +433,8 @@
       }
       if (!entry->second.runner) continue;
       // It has restarted, according to the list; the next round handles it.
-      if (IsNewLife(record->incarnation, entry->second.listed.incarnation))
+      if (IsNewerIncarnation(record->incarnation,
+                             entry->second.listed.incarnation))
         continue;
       if (!entry->second.runner->holds.empty() && !record->report) continue;
       SendOrder(*spec, next.id, next.range);
@@ -464,8 +470,8 @@
     order.expected_orders = record.report ? record.report->state.orders : 0;
     if (order.fence == 0) return;
     const EnginePool& pool = *spec.engine;
-    // Loads beyond `loads_at_once` slow each other down; twice the time covers
-    // it.
+    // Loads beyond `concurrent_loads` slow each other down; twice the time
+    // covers it.
     const double load =
         pool.load_seconds * range.size() / std::max(1, pool.layers);
     record.ordered = range;
@@ -489,7 +495,7 @@
     calls_--;
     events_.on_order(id, order, status);
     if (predecessor_ == Predecessor::kUnknown) OnFirstOrder(order, status);
-    if (status == LayerOrderStatus::kFenced) lease_.Forget();
+    if (status == LayerOrderStatus::kFenced) lease_.Abandon();
     RunnerRecord* record = FindRecord(id, serial);
     if (record == nullptr) {
       SendQueued();
@@ -540,7 +546,7 @@
   // The order that was sent ahead of the others was answered.
   void OnFirstOrder(const LayerOrder& order, LayerOrderStatus status) {
     if (order.fence != lease_.token()) return;
-    if (status == LayerOrderStatus::kBegun) predecessor_ = Predecessor::kNone;
+    if (status == LayerOrderStatus::kStarted) predecessor_ = Predecessor::kNone;
     const bool has_predecessor = status == LayerOrderStatus::kConflict ||
                                  status == LayerOrderStatus::kDone;
     if (has_predecessor) OnPredecessor();
@@ -549,8 +555,8 @@
   void ApplyReport(const std::string& id, RunnerReport report,
                    RunnerRecord* record) {
     const uint64_t incarnation = report.state.incarnation;
-    if (IsNewLife(incarnation, record->incarnation)) return;
-    const bool restarted = IsNewLife(record->incarnation, incarnation);
+    if (IsNewerIncarnation(incarnation, record->incarnation)) return;
+    const bool restarted = IsNewerIncarnation(record->incarnation, incarnation);
     if (restarted || report.state.leaving || !report.state.holds.empty()) {
       events_.on_state(id, report.state);
     }
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -51,7 +51,7 @@
     events.on_leaving = [this](const std::string& id) {
       events_seen.push_back("~" + id);
     };
-    events.on_gone = [this](const std::string& id) {
+    events.on_removed = [this](const std::string& id) {
       events_seen.push_back("-" + id);
     };
     return events;
@@ -76,7 +76,7 @@
   EXPECT_EQ(f.TakeEvents(), (Strings{"-b"}));
 
   // The store is back after an outage: its entries may have lapsed meanwhile.
-  f.directory.OnStoreBack(now);
+  f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {});
   f.directory.Tick(now + seconds(1));
   EXPECT_EQ(f.TakeEvents(), Strings{});
@@ -86,8 +86,8 @@
   f.directory.Tick(now + seconds(4));
   EXPECT_EQ(f.TakeEvents(), Strings{}) << "it came back in time";
 
-  f.directory.OnStoreBack(now + seconds(10));
-  f.directory.OnGone(now + seconds(10), "a");
+  f.directory.OnStoreReachable(now + seconds(10));
+  f.directory.OnRemoved(now + seconds(10), "a");
   f.directory.Tick(now + seconds(11));
   EXPECT_EQ(f.TakeEvents(), Strings{});
   f.directory.Tick(now + seconds(13));
@@ -101,12 +101,12 @@
   Fixture peer;
   const Time now = Time{} + seconds(100);
   source.directory.OnList(now, {Entry("a"), Entry("b")});
-  peer.directory.OnList(now, source.directory.Copy(now));
-  source.directory.OnStoreBack(now);
-  source.directory.OnGone(now, "b");
+  peer.directory.OnList(now, source.directory.Snapshot(now));
+  source.directory.OnStoreReachable(now);
+  source.directory.OnRemoved(now, "b");
   const Time fetched = now + milliseconds(500);
   const auto copy =
-      ParseDirectory(WriteDirectory(source.directory.Copy(fetched)));
+      ParseDirectory(WriteDirectory(source.directory.Snapshot(fetched)));
   ASSERT_TRUE(copy);
   peer.directory.OnList(fetched, *copy);
   EXPECT_EQ(peer.TakeEvents(), (Strings{"+a", "+b"}));
@@ -118,11 +118,11 @@
   // An entry that is back is back for the peer, too.
   const Time later = now + seconds(10);
   source.directory.Tick(later);
-  source.directory.OnStoreBack(later);
-  source.directory.OnGone(later, "a");
-  peer.directory.OnList(later, source.directory.Copy(later));
+  source.directory.OnStoreReachable(later);
+  source.directory.OnRemoved(later, "a");
+  peer.directory.OnList(later, source.directory.Snapshot(later));
   source.directory.OnEntry(later, Entry("a"));
-  peer.directory.OnList(later, source.directory.Copy(later));
+  peer.directory.OnList(later, source.directory.Snapshot(later));
   peer.directory.Tick(later + seconds(5));
   EXPECT_EQ(peer.TakeEvents(), Strings{});
 }
@@ -132,11 +132,12 @@
   Fixture boxes[2];
   Time now = Time{} + seconds(100);
   for (Fixture& box : boxes) box.directory.OnList(now, {Entry("a")});
-  boxes[0].directory.OnStoreBack(now);
-  boxes[0].directory.OnGone(now, "a");
+  boxes[0].directory.OnStoreReachable(now);
+  boxes[0].directory.OnRemoved(now, "a");
   const Time deadline = now + milliseconds(2200);
   for (int i = 0; now < deadline; i++, now += milliseconds(100)) {
-    boxes[(i + 1) % 2].directory.OnList(now, boxes[i % 2].directory.Copy(now));
+    boxes[(i + 1) % 2].directory.OnList(now,
+                                        boxes[i % 2].directory.Snapshot(now));
   }
   for (Fixture& box : boxes) {
     box.directory.Tick(deadline);
@@ -152,10 +153,10 @@
   const Time now = Time{} + seconds(100);
   lagging.directory.OnList(now, {Entry("a"), Entry("b")});
   peer.directory.OnList(now, {Entry("a"), Entry("b")});
-  peer.directory.OnGone(now, "b");
-  lagging.directory.OnStoreBack(now);
+  peer.directory.OnRemoved(now, "b");
+  lagging.directory.OnStoreReachable(now);
   lagging.directory.OnList(now, {Entry("a")});
-  peer.directory.OnList(now, lagging.directory.Copy(now));
+  peer.directory.OnList(now, lagging.directory.Snapshot(now));
   EXPECT_EQ(peer.TakeEvents(), (Strings{"+a", "+b", "-b"}));
   EXPECT_FALSE(peer.table.TakesNewWork(now, "b"));
 }
@@ -165,7 +166,7 @@
   Fixture f;
   const Time now = Time{} + seconds(100);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
-  f.directory.OnStoreBack(now);
+  f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {});
   f.directory.OnRunnerState(now + seconds(1), "a", {"big", "1", {0, 4}, 3});
   f.directory.OnLeaving(now + seconds(1), "b", 1);
@@ -177,9 +178,9 @@
 TEST(EndpointDirectory, EmptyDirectoryHasNoLapsedEntries) {
   Fixture f;
   const Time now = Time{} + seconds(100);
-  f.directory.OnStoreBack(now);
+  f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
-  f.directory.OnGone(now + seconds(1), "b");
+  f.directory.OnRemoved(now + seconds(1), "b");
   EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "+b", "-b"}));
 }
 
@@ -216,7 +217,7 @@
   EXPECT_EQ(report.holds, (LayerRange{2, 8}));
   EXPECT_DOUBLE_EQ(report.layer_seconds, 0.002 / 8);
   // 10,000 MB less 6 layers, at 1 MB a token and layer, in thousands.
-  EXPECT_DOUBLE_EQ(report.room, 4);
+  EXPECT_DOUBLE_EQ(report.memory_capacity, 4);
   // The runner's own report is ahead of the list.
   f.directory.OnRunnerState(now, "a", {"big", "1", {0, 4}, 3});
   EXPECT_EQ(f.table.rows().at("a").report->holds, (LayerRange{0, 4}));
@@ -253,7 +254,7 @@
   f.table.OnSent("a", 3);
   f.table.OnEntry("a");
   f.table.SetDown("a", true);
-  f.table.SetPace("a", 5);
+  f.table.SetSlowdown("a", 5);
   f.table.OnFull(now, "a");
   f.table.OnFailure(now, "a", now);
   f.table.OnObserved(now, "a", 50, 4);
@@ -261,9 +262,9 @@
   f.directory.OnEntry(later, WithIncarnation(2000, false, {}));
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
   EXPECT_EQ(f.table.LoadOf("a"), 0);
-  EXPECT_EQ(f.table.TakenOf(later, "a"), 0);
+  EXPECT_EQ(f.table.MemoryUtilizationOf(later, "a"), 0);
   EXPECT_TRUE(f.table.rows().at("a").report->holds.empty());
-  EXPECT_EQ(f.table.rows().at("a").pace, 1);
+  EXPECT_EQ(f.table.rows().at("a").slowdown, 1);
   // Failures and ends of requests to the old incarnation do not count.
   f.table.OnFailure(later, "a", now);
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
@@ -325,7 +326,7 @@
       }
       if (source == 5) f.directory.OnUnreadable(now, "a");
       if (source == 6) f.directory.OnList(now, {Entry("b")}, {"a"});
-      if (source == 7) f.directory.OnGone(now, "a");
+      if (source == 7) f.directory.OnRemoved(now, "a");
       if (source >= 5) present = false;
       ASSERT_EQ(f.table.TakesNewWork(now, "a"), present && newest > max_leaving)
           << seed << " " << step;
@@ -407,7 +408,7 @@
     const Time now = Time{} + seconds(100);
     f.directory.OnList(now, {Entry("a"), Entry("b")});
     f.table.OnSent("a");
-    f.directory.OnStoreBack(now);
+    f.directory.OnStoreReachable(now);
     if (by_list) f.directory.OnList(now, {Entry("b")}, {"a"});
     if (!by_list) f.directory.OnUnreadable(now, "a");
     EXPECT_FALSE(f.table.TakesNewWork(now, "a"));
@@ -461,7 +462,7 @@
          d->OnList(written, {WithIncarnation(2000), Entry("b")});
        },
        seconds(2)},
-      {"it lapses", [&](EndpointDirectory* d) { d->OnGone(written, "a"); },
+      {"it lapses", [&](EndpointDirectory* d) { d->OnRemoved(written, "a"); },
        Duration(0)},
       {"it is in the next list",
        [&](EndpointDirectory* d) {
@@ -483,17 +484,17 @@
       Fixture f;
       Fixture source;
       f.directory.OnList(now - seconds(9), {WithIncarnation(1000), Entry("b")});
-      f.directory.OnGone(now - seconds(8), "a");
+      f.directory.OnRemoved(now - seconds(8), "a");
       f.directory.OnStoreRestored(now);
       if (by_peer) {
         // A box that has just started gets it from one that quarantines it.
         source.directory.OnList(now - seconds(9),
                                 {WithIncarnation(1000), Entry("b")});
-        source.directory.OnGone(now - seconds(8), "a");
+        source.directory.OnRemoved(now - seconds(8), "a");
         source.directory.OnStoreRestored(now);
         source.directory.OnList(now, {WithIncarnation(1000), Entry("b")});
         const auto copy =
-            ParseDirectory(WriteDirectory(source.directory.Copy(now)));
+            ParseDirectory(WriteDirectory(source.directory.Snapshot(now)));
         ASSERT_TRUE(copy);
         f.directory.OnList(now, *copy);
       } else {
@@ -585,14 +586,14 @@
           source.directory.OnEntry(now, entry());
           break;
         case 3:
-          source.directory.OnGone(now, random_id());
+          source.directory.OnRemoved(now, random_id());
           break;
         case 4:
           source.directory.OnList(now, {entry(), entry(), entry(), entry()},
                                   {random_id()});
           break;
         case 5:
-          if (random() % 3 == 0) source.directory.OnStoreBack(now);
+          if (random() % 3 == 0) source.directory.OnStoreReachable(now);
           break;
         case 6:
           if (random() % 3 > 0) break;
@@ -609,7 +610,7 @@
       for (Fixture* f : {&source, &full, &incremental}) f->directory.Tick(now);
       if (random() % 3 > 0) continue;
       const auto copy =
-          ParseDirectory(WriteDirectory(source.directory.Copy(now)));
+          ParseDirectory(WriteDirectory(source.directory.Snapshot(now)));
       ASSERT_TRUE(copy);
       full.directory.OnList(now, *copy);
       const auto since = known_at
@@ -626,8 +627,8 @@
       known_at = source.directory.at();
       // Remaining times are sent in whole milliseconds.
       for (Fixture* f : {&full, &incremental}) f->directory.Tick(now);
-      ASSERT_EQ(WriteDirectory(incremental.directory.Copy(now)),
-                WriteDirectory(full.directory.Copy(now)))
+      ASSERT_EQ(WriteDirectory(incremental.directory.Snapshot(now)),
+                WriteDirectory(full.directory.Snapshot(now)))
           << seed << " " << step;
       for (const auto& [id, stored] : full.directory.entries()) {
         ASSERT_EQ(incremental.table.TakesNewWork(now, id),
--- a/pinford/testing/failure_news_test.cc
+++ b/pinford/testing/failure_gossip_test.cc
@@ -2,7 +2,7 @@
 // runner, how many probes that takes, and that false notices do not take a
 // working runner out of use.
 
-#include "pinford/forwarding/failure_news.h"
+#include "pinford/forwarding/failure_gossip.h"
 
 #include <gtest/gtest.h>
 
@@ -40,15 +40,15 @@
   // A request of this box gives it reason to probe.
   void Probe(int box) {
     Box& b = boxes_[box];
-    if (!b.watch.BeginAsk(now_, kRunner)) return;
+    if (!b.watch.BeginProbe(now_, kRunner)) return;
     b.probes++;
     const bool answers =
         runner_works_ && b.kind != Kind::kLate && b.kind != Kind::kPartitioned;
     After(answers ? 2 * kLinkDelay : failure_delay_,
-          [this, box, answers] { OnAnswer(box, answers); });
+          [this, box, answers] { OnProbeResult(box, answers); });
   }
   void SendNotices(int box) {
-    for (size_t i = 0; i < FailureNews::Options().peers; i++) {
+    for (size_t i = 0; i < FailureGossip::Options().fanout; i++) {
       const int to = static_cast<int>(random_() % boxes_.size());
       if (to == box || boxes_[box].kind == Kind::kPartitioned) continue;
       messages_++;
@@ -90,20 +90,20 @@
   struct Box {
     Kind kind = Kind::kHealthy;
     EndpointWatch watch{EndpointWatch::Options()};
-    FailureNews gossip{FailureNews::Options()};
+    FailureGossip gossip{FailureGossip::Options()};
     int probes = 0;
   };
 
   void After(Duration d, std::function<void()> fn) {
     events_.emplace(now_ + d, std::move(fn));
   }
-  void OnAnswer(int box, bool works) {
+  void OnProbeResult(int box, bool works) {
     Box& b = boxes_[box];
-    const auto change = b.watch.OnAnswer(kRunner, works, 1);
+    const auto change = b.watch.OnProbeResult(kRunner, works, 1);
     if (change != EndpointWatch::Change::kWorse) return;
     detected_at_.push_back(now_);
     if (!b.gossip.OnDown(now_, kRunner)) return;
-    After(b.gossip.options().gather, [this, box] {
+    After(b.gossip.options().batch_window, [this, box] {
       EXPECT_EQ(boxes_[box].gossip.Take().size(), 1);
       SendNotices(box);
     });
@@ -111,7 +111,7 @@
   void ReceiveNotice(int box) {
     Box& b = boxes_[box];
     if (b.kind == Kind::kPartitioned) return;
-    if (!b.gossip.Heard(now_, {kRunner}).empty()) Probe(box);
+    if (!b.gossip.OnNotice(now_, {kRunner}).empty()) Probe(box);
   }
 
   bool runner_works_;
@@ -124,7 +124,7 @@
   int messages_ = 0;
 };
 
-TEST(FailureNews, ReachesNearlyAllBoxesInAFewProbes) {
+TEST(FailureGossip, ReachesNearlyAllBoxesInAFewProbes) {
   const struct {
     int boxes;
     Duration failure_delay;
@@ -152,7 +152,7 @@
   }
 }
 
-TEST(FailureNews, FalseNoticesDoNotMarkAWorkingRunnerDown) {
+TEST(FailureGossip, FalseNoticesDoNotMarkAWorkingRunnerDown) {
   for (int boxes : {8, 64, 300}) {
     Fleet fleet(boxes, true, kProbeTimeout);
     fleet.set_kind(0, Kind::kFaulty);
@@ -171,9 +171,9 @@
   }
 }
 
-TEST(FailureNews, BatchesAndDeduplicatesNotices) {
-  const FailureNews::Options options;
-  FailureNews gossip(options);
+TEST(FailureGossip, BatchesAndDeduplicatesNotices) {
+  const FailureGossip::Options options;
+  FailureGossip gossip(options);
   Time now = Time{} + seconds(5);
   EXPECT_TRUE(gossip.OnDown(now, "a"));
   EXPECT_FALSE(gossip.OnDown(now, "b"));  // goes with the same message
@@ -183,20 +183,21 @@
   EXPECT_FALSE(gossip.OnDown(now + options.repeat_interval / 2, "a"));
   EXPECT_TRUE(gossip.OnDown(now + options.repeat_interval, "a"));
   // Runners of notices are probed at most once in that time, too.
-  EXPECT_EQ(gossip.Heard(now, {"x", "y", "x"}),
+  EXPECT_EQ(gossip.OnNotice(now, {"x", "y", "x"}),
             (std::vector<std::string>{"x", "y"}));
-  EXPECT_TRUE(gossip.Heard(now + options.repeat_interval / 2, {"y"}).empty());
-  EXPECT_EQ(gossip.Heard(now + options.repeat_interval, {"y"}).size(), 1);
+  EXPECT_TRUE(
+      gossip.OnNotice(now + options.repeat_interval / 2, {"y"}).empty());
+  EXPECT_EQ(gossip.OnNotice(now + options.repeat_interval, {"y"}).size(), 1);
 }
 
 // A message of a faulty peer may name any number of runners.
-TEST(FailureNews, BoundsTheNumberOfProbes) {
-  const FailureNews::Options options;
-  FailureNews gossip(options);
+TEST(FailureGossip, BoundsTheNumberOfProbes) {
+  const FailureGossip::Options options;
+  FailureGossip gossip(options);
   std::vector<std::string> many;
   many.reserve(1000);
   for (int i = 0; i < 1000; i++) many.push_back(std::to_string(i));
-  EXPECT_EQ(gossip.Heard(Time{} + seconds(1), many).size(),
+  EXPECT_EQ(gossip.OnNotice(Time{} + seconds(1), many).size(),
             options.max_endpoints);
   for (const std::string& name : many) gossip.OnDown(Time{} + seconds(1), name);
   EXPECT_EQ(gossip.Take().size(), options.max_endpoints);
--- a/pinford/testing/pool_planner_test.cc
+++ b/pinford/testing/pool_planner_test.cc
@@ -92,7 +92,7 @@
     row.loading = order.range;
     row.loaded = clock_->now() + load_time;
     loads++;
-    return LayerOrderStatus::kBegun;
+    return LayerOrderStatus::kStarted;
   }
 
   // The runner crashes and comes back empty, under another id.
@@ -204,7 +204,8 @@
                  bool check_after_takeover = true)
       : random(seed), store(&clock, seed), pool(&clock) {
     options.max_moves = max_moves;
-    if (!check_after_takeover) options.off.Add(Mechanism::kTakeOverAsk);
+    if (!check_after_takeover)
+      options.mechanisms.Add(Mechanism::kTakeoverProbe);
     auto c = std::make_shared<ServiceConfiguration>();
     c->version = 1;
     EnginePool engine;
@@ -259,7 +260,7 @@
         clients.back().get(), orders.back().get(), box,
         "box-" + std::to_string(i), options, events));
     planners.back()->Start(milliseconds(100));
-    clients.back()->era.set_on_rise(
+    clients.back()->era.set_on_increase(
         [planner = planners.back().get()](uint64_t, uint64_t) {
           planner->OnStoreRestored();
           EXPECT_FALSE(planner->planning());
