--- a/pinford/forwarding/failure_gossip.h
+++ b/pinford/forwarding/failure_gossip.h
@@ -16,8 +16,8 @@
 // datagrams are made up for by other senders: with five peers each, six or
 // seven boxes in 1,000 get no notice and find out by their own requests.
 //
-// No I/O: the owner probes the runners that Heard returns, and sends what Take
-// returns.
+// No I/O: the owner probes the runners that OnNotice returns, and sends what
+// Take returns.
 
 #ifndef PINFORD_FORWARDING_FAILURE_GOSSIP_H_
 #define PINFORD_FORWARDING_FAILURE_GOSSIP_H_
@@ -33,7 +33,7 @@
 class FailureGossip {
  public:
   struct Options {
-    // Peers notified. Of n boxes about n * exp(-peers) receive nothing.
+    // Peers notified. Of n boxes about n * exp(-fanout) receive nothing.
     size_t fanout = 5;
     // Notices within this time go out in one message: runners that fail
     // together are detected milliseconds apart.
@@ -49,9 +49,10 @@
   explicit FailureGossip(const Options& options) : options_(options) {}
 
   // This box's own probe of the runner failed, or showed that it is slow, for
-  // the first time. Returns true if a message is to be sent after `gather`.
+  // the first time. Returns true if a message is to be sent after
+  // `batch_window`.
   bool OnDown(Time now, const std::string& endpoint);
-  // The runners to announce, once `gather` has passed. Clears them.
+  // The runners to announce, once `batch_window` has passed. Clears them.
   std::vector<std::string> Take();
   // A peer announced these runners as down. Returns those that this box is to
   // probe.
--- a/pinford/forwarding/pool_client.h
+++ b/pinford/forwarding/pool_client.h
@@ -44,7 +44,7 @@
 struct RunnerHealth {
   bool answered = false;  // something came back in time
   bool works = false;     // ... and it holds the listed layers
-  double slowdown = 1;    // as RunnerReport::pace
+  double slowdown = 1;    // as RunnerReport::slowdown
   double used = 0;        // as RunnerReport::used
   int entries = 0;        // its requests, running or waiting
 };
