--- a/pinford/forwarding/endpoint_watch.h
+++ b/pinford/forwarding/endpoint_watch.h
@@ -78,8 +78,7 @@
     double mean_interval = 0;  // seconds between events
     Time last_probe{};
     bool probing = false;
-    bool inconclusive =
-        false;  // the last probe got no answer, for the first time
+    bool inconclusive = false;  // the last probe may be repeated at once
     bool down = false;
     bool slow = false;
   };
--- a/pinford/forwarding/failure_gossip.h
+++ b/pinford/forwarding/failure_gossip.h
@@ -8,7 +8,7 @@
 // only if its own probe fails too. A true notice reaches all boxes within a few
 // rounds of probes (a slow runner answers and reports its slowdown). A false
 // one (from a box that is late, partitioned or faulty) ends with its first
-// receiver, at the cost of one probe each. No box stops using a working runner
+// receivers, at the cost of one probe each. No box stops using a working runner
 // because of a notice alone.
 //
 // The messages that a box sends for one failed runner do not depend on the
