--- a/app/main.cc
+++ b/app/main.cc
@@ -20,8 +20,8 @@
 #include "pinford/settings.h"
 #include "platform/platform.h"
 #include "util/hash.h"
-#include "util/held_signals.h"
 #include "util/json.h"
+#include "util/signal_blocker.h"
 
 namespace leaf = boost::leaf;
 
--- a/pinford/admission.cc
+++ b/pinford/admission.cc
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <cassert>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/box.cc
+++ b/pinford/box.cc
@@ -52,10 +52,11 @@
 
 bool Box::Start(std::string* error) {
   const Settings& s = parts_.settings;
-  if (!ListenOr(callers_.Listen(s.callers), "callers", s.callers, error) ||
-      !ListenOr(operators_.Listen(s.operators), "operators", s.operators,
-                error) ||
-      !ListenOr(peers_.Listen(s.peers), "peers", s.peers, error)) {
+  if (!CheckListening(callers_.Listen(s.callers), "callers", s.callers,
+                      error) ||
+      !CheckListening(operators_.Listen(s.operators), "operators", s.operators,
+                      error) ||
+      !CheckListening(peers_.Listen(s.peers), "peers", s.peers, error)) {
     return false;
   }
   parts_.timeline.Add(EventKind::kBoxStarted, "", s.hall);
@@ -97,7 +98,7 @@
   std::vector<EndpointCount> counts;
   for (const auto& [name, row] : parts_.table.rows()) {
     if (row.own_work == 0) continue;
-    counts.push_back(CountOf(name, row));
+    counts.push_back(MakeEndpointCount(name, row));
   }
   parts_.membership.set_counts(std::move(counts));
   parts_.membership.set_load(caller_api_.running(), caller_api_.waiting());
@@ -287,7 +288,7 @@
   // Answers may still be on their way out of the last connections.
   constexpr Duration kQuiet = milliseconds(300);
   const bool quiet = now - idle_since_ >= kQuiet;
-  const bool late = now - stop_begun_ >= s.stop_at_latest;
+  const bool late = now - stop_begun_ >= s.stop_timeout;
   if (!quiet && !late) return;
   if (late && caller_api_.active() > 0) {
     Log(LogPart::kBox, LogLevel::kError,
--- a/pinford/box.h
+++ b/pinford/box.h
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/caller_api.h"
 #include "pinford/documents.h"
 #include "pinford/gossip.h"
@@ -53,7 +53,7 @@
   void FinishStop();
 
   uint64_t incarnation_;
-  BoxParts parts_;
+  BoxContext parts_;
   Gossip peers_;
   Documents documents_;
   CallerApi caller_api_;
--- a/pinford/box_parts.cc
+++ b/pinford/box_context.cc
@@ -1,4 +1,4 @@
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 
 #include <cerrno>
 #include <chrono>
@@ -15,8 +15,8 @@
       .count();
 }
 
-bool ListenOr(bool listening, const char* what, const Address& address,
-              std::string* error) {
+bool CheckListening(bool listening, const char* what, const Address& address,
+                    std::string* error) {
   if (listening) return true;
   *error = std::string("cannot listen for ") + what + " on " +
            address.ToString() + ": " + strerror(errno);
@@ -43,7 +43,7 @@
   return Policy::Load({}, Policy::Options(), &findings);
 }
 
-BoxParts::BoxParts(const Settings& s, EventLoop* l, uint64_t incarnation)
+BoxContext::BoxContext(const Settings& s, EventLoop* l, uint64_t incarnation)
     : settings(s),
       loop(l),
       random(SeededRandom()),
@@ -64,9 +64,11 @@
   return std::fmod(hours, 24);
 }
 
-double BoxParts::Hour() const { return HourOfDay(settings.utc_offset_minutes); }
+double BoxContext::Hour() const {
+  return HourOfDay(settings.utc_offset_minutes);
+}
 
-void BoxParts::NotePolicyErrors() {
+void BoxContext::NotePolicyErrors() {
   if (policy.get() != seen_policy_) {
     seen_policy_ = policy.get();
     seen_policy_errors_ = 0;
--- a/pinford/box_parts.h
+++ b/pinford/box_context.h
@@ -2,8 +2,8 @@
 //
 // Box owns everything here and outlives every user of it.
 
-#ifndef PINFORD_BOX_PARTS_H_
-#define PINFORD_BOX_PARTS_H_
+#ifndef PINFORD_BOX_CONTEXT_H_
+#define PINFORD_BOX_CONTEXT_H_
 
 #include <functional>
 #include <map>
@@ -14,9 +14,9 @@
 #include "pinford/engine_client.h"
 #include "pinford/event_loop.h"
 #include "pinford/http_client.h"
+#include "pinford/http_service_client.h"
 #include "pinford/membership.h"
 #include "pinford/metrics.h"
-#include "pinford/plain_client.h"
 #include "pinford/policy.h"
 #include "pinford/retry_budget.h"
 #include "pinford/settings.h"
@@ -26,8 +26,8 @@
 
 namespace pinford {
 
-struct BoxParts {
-  BoxParts(const Settings& settings, EventLoop* loop, uint64_t incarnation);
+struct BoxContext {
+  BoxContext(const Settings& settings, EventLoop* loop, uint64_t incarnation);
 
   Settings settings;
   EventLoop* loop;
@@ -62,12 +62,12 @@
 double HourOfDay(int utc_offset_minutes);
 // Gives `listening`; if that is false, `error` says what could not be listened
 // for and why (errno).
-bool ListenOr(bool listening, const char* what, const Address& address,
-              std::string* error);
+bool CheckListening(bool listening, const char* what, const Address& address,
+                    std::string* error);
 // How a box describes itself to its peers, and how much it tells them.
 MemberRow SelfRow(const Settings& settings, uint64_t incarnation);
 Membership::Options GossipOptions(const Settings& settings);
 
 }  // namespace pinford
 
-#endif  // PINFORD_BOX_PARTS_H_
+#endif  // PINFORD_BOX_CONTEXT_H_
--- a/pinford/caller_api.cc
+++ b/pinford/caller_api.cc
@@ -38,7 +38,7 @@
   std::unique_ptr<Driver> driver;
 };
 
-CallerApi::CallerApi(BoxParts* parts) : parts_(parts), calls_(parts) {}
+CallerApi::CallerApi(BoxContext* parts) : parts_(parts), calls_(parts) {}
 
 CallerApi::~CallerApi() {
   for (auto& [item, c] : completions_) c->exchange->set_on_disconnect(nullptr);
--- a/pinford/caller_api.h
+++ b/pinford/caller_api.h
@@ -1,4 +1,4 @@
-// HTTP for callers: completions, and the way to plain calls (call_api.h).
+// HTTP for callers: completions, and the way to plain calls (service_api.h).
 //
 // docs/INTERFACES.md describes the interface. Every answer carries the
 // request's id and its outcome. A request that is given up gets its answer
@@ -14,18 +14,18 @@
 #include <string>
 
 #include "pinford/admission.h"
-#include "pinford/box_parts.h"
-#include "pinford/call_api.h"
-#include "pinford/caller_answer.h"
+#include "pinford/box_context.h"
 #include "pinford/caller_request.h"
+#include "pinford/caller_response.h"
 #include "pinford/completion_driver.h"
 #include "pinford/http_server.h"
+#include "pinford/service_api.h"
 
 namespace pinford {
 
 class CallerApi {
  public:
-  explicit CallerApi(BoxParts* parts);
+  explicit CallerApi(BoxContext* parts);
   ~CallerApi();
 
   void OnRequest(ExchangePtr exchange);
@@ -72,7 +72,7 @@
   // The completion is over, whatever the reason.
   void Close(Completion* c, Outcome outcome, const std::string& detail);
 
-  BoxParts* parts_;
+  BoxContext* parts_;
   CallApi calls_;
   bool ready_ = false;
   int active_ = 0;
--- a/pinford/caller_request.cc
+++ b/pinford/caller_request.cc
@@ -1,7 +1,7 @@
 #include "pinford/caller_request.h"
 
+#include "util/enum_names.h"
 #include "util/json.h"
-#include "util/names.h"
 
 namespace pinford {
 
--- a/pinford/caller_answer.cc
+++ b/pinford/caller_response.cc
@@ -1,4 +1,4 @@
-#include "pinford/caller_answer.h"
+#include "pinford/caller_response.h"
 
 #include <cmath>
 
--- a/pinford/caller_answer.h
+++ b/pinford/caller_response.h
@@ -1,7 +1,7 @@
 // What all answers to callers share.
 
-#ifndef PINFORD_CALLER_ANSWER_H_
-#define PINFORD_CALLER_ANSWER_H_
+#ifndef PINFORD_CALLER_RESPONSE_H_
+#define PINFORD_CALLER_RESPONSE_H_
 
 #include <string>
 
@@ -18,4 +18,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_CALLER_ANSWER_H_
+#endif  // PINFORD_CALLER_RESPONSE_H_
--- a/pinford/claim.cc
+++ b/pinford/claim.cc
@@ -1,8 +1,8 @@
 #include "pinford/claim.h"
 
+#include "util/enum_names.h"
 #include "util/hash.h"
 #include "util/json.h"
-#include "util/names.h"
 
 namespace pinford {
 
--- a/pinford/completion_driver.cc
+++ b/pinford/completion_driver.cc
@@ -1,6 +1,6 @@
 #include "pinford/completion_driver.h"
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/documents.cc
+++ b/pinford/documents.cc
@@ -15,8 +15,8 @@
 static constexpr DocumentKind kAllKinds[] = {DocumentKind::kConfiguration,
                                              DocumentKind::kEndpoints};
 
-Documents::Documents(BoxParts* parts, PeerLink* link)
-    : parts_(parts),
+Documents::Documents(BoxContext* context, PeerLink* link)
+    : context_(context),
       link_(link),
       documents_{
           ReplicatedDocument([this](uint64_t v, const std::string& body) {
@@ -41,9 +41,9 @@
     return false;
   }
   configuration_ = std::move(*c);
-  parts_->policy = std::move(policy);
-  parts_->timeline.Add(EventKind::kConfigurationAdopted, "",
-                       "generation " + std::to_string(version));
+  context_->policy = std::move(policy);
+  context_->timeline.Add(EventKind::kConfigurationAdopted, "",
+                         "generation " + std::to_string(version));
   Log(LogPart::kConfig, LogLevel::kInfo,
       "Generation " + std::to_string(version) + " is in force.");
   return true;
@@ -63,10 +63,10 @@
         "The platform's list has " + std::to_string(bad_rows) +
             " rows that cannot be read.");
   }
-  parts_->table.OnList(*list);
-  parts_->timeline.Add(EventKind::kEndpointsAdopted, "",
-                       "list " + std::to_string(version) + " with " +
-                           std::to_string(list->size()) + " endpoints");
+  context_->table.OnList(*list);
+  context_->timeline.Add(EventKind::kEndpointsAdopted, "",
+                         "list " + std::to_string(version) + " with " +
+                             std::to_string(list->size()) + " endpoints");
   return true;
 }
 
@@ -75,7 +75,7 @@
   ReplicatedDocument& document = documents_[IndexOf(kind)];
   if (!document.Offer(version, body)) return false;
   known_[IndexOf(kind)] = true;
-  parts_->membership.set_version(kind, document.version());
+  context_->membership.set_version(kind, document.version());
   return true;
 }
 
@@ -100,11 +100,11 @@
 
 void Documents::Read(DocumentKind kind) {
   if (std::exchange(reading_[IndexOf(kind)], true)) return;
-  parts_->store.Get(KeyOf(kind), [this, kind](const StoreResult& r) {
+  context_->store.Get(KeyOf(kind), [this, kind](const StoreResult& r) {
     reading_[IndexOf(kind)] = false;
     OnStoreValue(kind, r);
     if (known_[IndexOf(kind)]) return;
-    parts_->loop->After(kReadAgain, [this, kind] { Read(kind); });
+    context_->loop->After(kReadAgain, [this, kind] { Read(kind); });
   });
 }
 
@@ -128,16 +128,17 @@
 
 void Documents::Watch(DocumentKind kind) {
   watching_[IndexOf(kind)] = true;
-  parts_->store.Watch(
+  context_->store.Watch(
       KeyOf(kind), store_revision_[IndexOf(kind)], kWatchFor,
       [this, kind](const StoreResult& r) {
         OnStoreValue(kind, r);
         const bool answered =
             r.status == StoreStatus::kOk || r.status == StoreStatus::kTimeout;
-        parts_->loop->After(answered ? Duration(0) : kReadAgain, [this, kind] {
-          watching_[IndexOf(kind)] = false;
-          Tick();
-        });
+        context_->loop->After(answered ? Duration(0) : kReadAgain,
+                              [this, kind] {
+                                watching_[IndexOf(kind)] = false;
+                                Tick();
+                              });
       });
 }
 
@@ -145,7 +146,7 @@
   if (fetching_[IndexOf(kind)]) return;
   const uint64_t own = documents_[IndexOf(kind)].version();
   const Membership::Member* best = nullptr;
-  for (const auto& [name, m] : parts_->membership.members()) {
+  for (const auto& [name, m] : context_->membership.members()) {
     const uint64_t theirs = m.row.versions[IndexOf(kind)];
     if (theirs <= own) continue;
     if (best == nullptr || theirs > best->row.versions[IndexOf(kind)])
@@ -155,9 +156,9 @@
   fetching_[IndexOf(kind)] = true;
   FetchRequest request;
   request.kind = static_cast<FetchKind>(kind);
-  request.above_version = own;
+  request.known_version = own;
   // What came out of the own hall was announced there by who had it first.
-  const bool pass_on = best->row.hall != parts_->settings.hall;
+  const bool pass_on = best->row.hall != context_->settings.hall;
   link_->Fetch(best->row.address, request,
                [this, kind, pass_on](std::optional<FetchReply> reply) {
                  fetching_[IndexOf(kind)] = false;
@@ -168,11 +169,12 @@
 }
 
 void Documents::Tick() {
-  const Time now = parts_->loop->now();
+  const Time now = context_->loop->now();
   for (DocumentKind kind : kAllKinds) {
     FetchFromPeers(kind);
     if (watching_[IndexOf(kind)]) continue;
-    if (parts_->membership.IsElected(now, KeyOf(kind), kWatchers)) Watch(kind);
+    if (context_->membership.IsElected(now, KeyOf(kind), kWatchers))
+      Watch(kind);
   }
 }
 
--- a/pinford/documents.h
+++ b/pinford/documents.h
@@ -17,7 +17,7 @@
 #include <map>
 #include <string>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/configuration.h"
 #include "pinford/peer_link.h"
 #include "pinford/replicated_document.h"
@@ -26,7 +26,7 @@
 
 class Documents {
  public:
-  Documents(BoxParts* parts, PeerLink* link);
+  Documents(BoxContext* context, PeerLink* link);
 
   // Asks the store for both documents, and again until it has answered.
   void Start();
@@ -58,7 +58,7 @@
   bool Offer(DocumentKind kind, uint64_t version, const std::string& body);
   void FetchFromPeers(DocumentKind kind);
 
-  BoxParts* parts_;
+  BoxContext* context_;
   PeerLink* link_;
   Configuration configuration_;
   ReplicatedDocument documents_[kDocumentKinds];
--- a/pinford/forwarding/admitted_request.cc
+++ b/pinford/forwarding/admitted_request.cc
@@ -26,21 +26,21 @@
   return facts;
 }
 
-ForwardTarget::Options TargetOptions(const ForwardContext& parts,
+ForwardTarget::Options TargetOptions(const ForwardContext& context,
                                      const AdmittedRequest& order) {
   ForwardTarget::Options options;
   options.service = order.service;
   options.version = order.request_class.version;
-  options.hall_weight = [&parts,
+  options.hall_weight = [&context,
                          service = order.service](const std::string& hall) {
-    return parts.hall_weight(service, hall);
+    return context.hall_weight(service, hall);
   };
   const ServiceSpec* spec =
       order.routes->configuration().Service(order.service);
   if (spec == nullptr || !spec->engine) return options;
   options.layers = spec->engine->layers;
-  const auto tokens = parts.protocol.read_tokens(
-      order.exchange->head().header(parts.protocol.headers.tokens));
+  const auto tokens = context.protocol.read_tokens(
+      order.exchange->head().header(context.protocol.headers.tokens));
   if (!tokens) return options;
   // The most that an answer may have is rarely reached.
   const int usual = spec->engine->mean_answer_tokens;
--- a/pinford/forwarding/admitted_request.h
+++ b/pinford/forwarding/admitted_request.h
@@ -33,7 +33,7 @@
 RequestFacts FactsOf(const AdmittedRequest& order);
 
 // What its target depends on.
-ForwardTarget::Options TargetOptions(const ForwardContext& parts,
+ForwardTarget::Options TargetOptions(const ForwardContext& context,
                                      const AdmittedRequest& order);
 
 // How long a request may be silent before it is looked after: until its answer
--- a/pinford/forwarding/attempt_result.cc
+++ b/pinford/forwarding/attempt_result.cc
@@ -1,6 +1,6 @@
 #include "pinford/forwarding/attempt_result.h"
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/forwarding/forward_policy.cc
+++ b/pinford/forwarding/forward_policy.cc
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/log.h"
 
 namespace pinford {
--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -105,11 +105,11 @@
   static constexpr milliseconds kRerouteLimit{100};
 
   void ServeRequests() {
-    core_.parts()->probe = [this](const std::string& id,
-                                  std::function<void(RunnerHealth)> fn) {
-      Ask(id, std::move(fn));
-    };
-    core_.parts()->reroute =
+    core_.forward_context()->probe =
+        [this](const std::string& id, std::function<void(RunnerHealth)> fn) {
+          Ask(id, std::move(fn));
+        };
+    core_.forward_context()->reroute =
         [this](const Address& entry, const std::string& request,
                const std::vector<AddressedStage>& chain, RerouteHandler fn) {
           runners_.Reroute(entry, request, chain, kRerouteLimit, std::move(fn));
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/forwarding/forwarding_options.h"
 #include "pinford/log.h"
 #include "util/deflate.h"
@@ -45,7 +45,7 @@
       retries_(loop->now(), RetryOptions(settings, settings.mechanisms)),
       loans_(&retries_, RetryLoans::Options(), SeededRandom()),
       news_(FailureGossip::Options()),
-      parts_{
+      forward_context_{
           loop,
           &upstream_,
           &table_,
@@ -67,7 +67,7 @@
           },
           {},
           settings.mechanisms},
-      forwarder_(&parts_),
+      forwarder_(&forward_context_),
       membership_(SelfRow(settings, WallMillis()), settings.seeds,
                   PeerOptions(settings), SeededRandom()),
       gossip_(loop, &membership_, settings.peer_key, PeerHandlers()),
@@ -154,23 +154,25 @@
 bool ForwardingCore::Start(std::string* error) {
   const Settings& s = settings_;
   if (!policy_.Load(s.policy_file, error)) return false;
-  if (!ListenOr(callers_.Listen(s.callers), "callers", s.callers, error) ||
-      !ListenOr(operators_.Listen(s.operators), "operators", s.operators,
-                error)) {
+  if (!CheckListening(callers_.Listen(s.callers), "callers", s.callers,
+                      error) ||
+      !CheckListening(operators_.Listen(s.operators), "operators", s.operators,
+                      error)) {
     return false;
   }
-  if (s.ready.port != 0 &&
-      !ListenOr(readiness_.Listen(s.ready), "the balancer", s.ready, error)) {
+  if (s.ready.port != 0 && !CheckListening(readiness_.Listen(s.ready),
+                                           "the balancer", s.ready, error)) {
     return false;
   }
-  if (!ListenOr(gossip_.Listen(s.peers), "peers", s.peers, error)) return false;
+  if (!CheckListening(gossip_.Listen(s.peers), "peers", s.peers, error))
+    return false;
   LogEvent(LogPart::kBox, LogLevel::kInfo, "box_started",
            LogFields()
                .Add("hall", s.hall)
                .Add("callers", s.callers.ToString())
                .Add("store", s.store.ToString())
                .Add("off", s.mechanisms.ToString())
-               .Add("key_proof_ms", ToMillis(s.key_proof)));
+               .Add("key_proof_ms", ToMillis(s.max_key_staleness)));
   gossip_.Start();
   loop_->Every(ForwardPolicy::kUpdateEvery,
                [this] { policy_.UpdateHallWeights(loop_->now(), table_); });
@@ -189,8 +191,8 @@
   }
   SetLogLevel(settings.log_level);
   settings_.log_level = settings.log_level;
-  settings_.key_proof = settings.key_proof;
-  settings_.stop_at_latest = settings.stop_at_latest;
+  settings_.max_key_staleness = settings.max_key_staleness;
+  settings_.stop_timeout = settings.stop_timeout;
   settings_.stop_listening_after = settings.stop_listening_after;
   retries_.set_options(RetryOptions(settings, settings_.mechanisms));
   const bool same_places = settings.callers == settings_.callers &&
@@ -293,8 +295,9 @@
 }
 
 bool ForwardingCore::ProofHolds() const {
-  if (settings_.key_proof == Duration(0)) return configuration_ != nullptr;
-  return ProofAge() < settings_.key_proof - kProofMargin;
+  if (settings_.max_key_staleness == Duration(0))
+    return configuration_ != nullptr;
+  return ProofAge() < settings_.max_key_staleness - kProofMargin;
 }
 
 StoreTask ForwardingCore::StoreTaskNow(bool plans) {
@@ -447,7 +450,7 @@
   stopping_ = true;
   stop_begun_ = busy_at_ = loop_->now();
   forwarder_.BeginStop(stop_begun_ + settings_.stop_listening_after,
-                       stop_begun_ + settings_.stop_at_latest - kStopMargin);
+                       stop_begun_ + settings_.stop_timeout - kStopMargin);
   LogEvent(LogPart::kBox, LogLevel::kInfo, "box_stopping",
            LogFields().Add("active", forwarder_.active()));
   callers_.set_close_after_reply(true);
@@ -460,18 +463,18 @@
   const Duration since = now - stop_begun_;
   if (since < settings_.stop_listening_after) return;
   // Who still comes then could not be answered before the end.
-  if (since >= settings_.stop_at_latest - kLastConnections) {
+  if (since >= settings_.stop_timeout - kLastConnections) {
     callers_.StopListening();
   }
   // Callers that kept a connection would send on it to the end.
   callers_.CloseIdle(kFirstRequest);
   if (forwarder_.active() > 0 || callers_.connections() > 0) busy_at_ = now;
-  const bool late = since >= settings_.stop_at_latest - kStopMargin;
+  const bool late = since >= settings_.stop_timeout - kStopMargin;
   if (late) {
     unfinished_ += forwarder_.active();
     forwarder_.AbortAll();
   }
-  const bool over = since >= settings_.stop_at_latest - kExitMargin;
+  const bool over = since >= settings_.stop_timeout - kExitMargin;
   const bool told = late && callers_.connections() == 0;
   const bool quiet =
       now - std::max(busy_at_, callers_.last_activity()) >= kQuiet;
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -101,7 +101,7 @@
   const EndpointTable* table() const { return &table_; }
   HttpClient* http() { return &http_; }
   // How runners are asked and told (ForwardContext).
-  ForwardContext* parts() { return &parts_; }
+  ForwardContext* forward_context() { return &forward_context_; }
   Metrics* metrics() { return &metrics_; }
   EventLoop* loop() { return loop_; }
   const Settings& settings() const { return settings_; }
@@ -124,9 +124,9 @@
   void TakeCountsOfPeers();
   void OnCallerWaiting();
   void OnRunnerDown(const std::string& endpoint);
-  void OnDownNote(const DownNote& note);
+  void OnFailureNotice(const FailureNotice& note);
   void AskForRetries();
-  std::optional<RetryLoan> OnRetryAsk(const RetryAsk& ask);
+  std::optional<RetryLoan> OnRetryRequest(const RetryRequest& ask);
   void OnRetryLoan(const RetryLoan& loan);
   FetchReply OnFetch(const FetchRequest& request);
   uint64_t ProofAgeMs(Time fresh_as_of) const;
@@ -164,7 +164,7 @@
   RetryShare retries_;
   RetryLoans loans_;
   FailureGossip news_;
-  ForwardContext parts_;
+  ForwardContext forward_context_;
   Forwarder forwarder_;
   Membership membership_;
   Gossip gossip_;
--- a/pinford/forwarding/forwarding_options.cc
+++ b/pinford/forwarding/forwarding_options.cc
@@ -1,6 +1,6 @@
 #include "pinford/forwarding/forwarding_options.h"
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 
 namespace pinford {
 
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/forwarding/forwarding_core.h"
 #include "pinford/log.h"
 #include "util/deflate.h"
@@ -21,9 +21,13 @@
   handlers.refresh = [this] { UpdateOwnState(); };
   handlers.time = [] { return HybridTime{WallMillis(), 0}; };
   handlers.on_digest = [this](const Digest& d) { OnDigest(d); };
-  handlers.on_down = [this](const DownNote& n) { OnDownNote(n); };
+  handlers.on_failure_notice = [this](const FailureNotice& n) {
+    OnFailureNotice(n);
+  };
   handlers.on_fetch = [this](const FetchRequest& r) { return OnFetch(r); };
-  handlers.on_retry_ask = [this](const RetryAsk& a) { return OnRetryAsk(a); };
+  handlers.on_retry_request = [this](const RetryRequest& a) {
+    return OnRetryRequest(a);
+  };
   handlers.on_retry_loan = [this](const RetryLoan& l) { OnRetryLoan(l); };
   handlers.on_member = [](const std::string& box, MemberChange change) {
     LogEvent(
@@ -55,7 +59,7 @@
   std::vector<EndpointCount> counts;
   for (const auto& [name, row] : table_.rows()) {
     if (row.own_work == 0) continue;
-    counts.push_back(CountOf(name, row));
+    counts.push_back(MakeEndpointCount(name, row));
   }
   membership_.set_counts(std::move(counts));
   membership_.set_load(static_cast<uint32_t>(forwarder_.active()), 0);
@@ -72,7 +76,7 @@
       digest.sender.address,
       digest.sender.versions[IndexOf(DocumentKind::kConfiguration)],
       digest.sender.versions[IndexOf(DocumentKind::kEndpoints)],
-      now - milliseconds(digest.proof_age_ms));
+      now - milliseconds(digest.freshness_age_ms));
   peers_told_ = true;
 }
 
@@ -86,15 +90,15 @@
 }
 
 void ForwardingCore::OnRunnerDown(const std::string& endpoint) {
-  if (!parts_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
+  if (!forward_context_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
   if (!news_.OnDown(loop_->now(), endpoint)) return;
   loop_->After(news_.options().batch_window, [this] {
     gossip_.SendFailureNotice({news_.Take()}, news_.options().fanout);
   });
 }
 
-void ForwardingCore::OnDownNote(const DownNote& note) {
-  if (!parts_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
+void ForwardingCore::OnFailureNotice(const FailureNotice& note) {
+  if (!forward_context_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
   metrics_.Count("down_notes_total");
   for (const std::string& id : news_.OnNotice(loop_->now(), note.endpoints)) {
     if (directory_.Find(id) != nullptr) forwarder_.ProbeIfDue(id);
@@ -102,8 +106,8 @@
 }
 
 void ForwardingCore::AskForRetries() {
-  if (!parts_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
-  std::vector<RetryAsk> asks = loans_.MakeAsks(loop_->now());
+  if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
+  std::vector<RetryRequest> asks = loans_.MakeAsks(loop_->now());
   if (asks.empty()) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_asked",
            LogFields()
@@ -113,8 +117,10 @@
   gossip_.SendRetryRequests(std::move(asks));
 }
 
-std::optional<RetryLoan> ForwardingCore::OnRetryAsk(const RetryAsk& ask) {
-  if (!parts_.mechanisms.enabled(Mechanism::kRetryLoans)) return std::nullopt;
+std::optional<RetryLoan> ForwardingCore::OnRetryRequest(
+    const RetryRequest& ask) {
+  if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans))
+    return std::nullopt;
   const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), ask);
   if (!loan) return std::nullopt;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_lent",
@@ -127,7 +133,7 @@
 }
 
 void ForwardingCore::OnRetryLoan(const RetryLoan& loan) {
-  if (!parts_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
+  if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
   const int borrowed = loans_.OnLoan(loop_->now(), loan);
   if (borrowed == 0) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_borrowed",
@@ -138,11 +144,11 @@
   FetchReply reply;
   reply.kind = request.kind;
   if (request.kind != FetchKind::kShared) return reply;
-  reply.store_fails = store_fails_;
+  reply.store_unreachable = store_fails_;
   DocumentState& state = reply.documents[IndexOf(DocumentKind::kConfiguration)];
   state = StateOf(DocumentKind::kConfiguration);
   const uint64_t above =
-      request.above_versions[IndexOf(DocumentKind::kConfiguration)];
+      request.known_versions[IndexOf(DocumentKind::kConfiguration)];
   if (state.version > above) state.body = configuration_packed_;
   reply.documents[IndexOf(DocumentKind::kEndpoints)] = ListState(request);
   return reply;
@@ -156,14 +162,14 @@
 DocumentState ForwardingCore::StateOf(DocumentKind kind) const {
   DocumentState state;
   state.version = VersionOf(kind);
-  state.proof_age_ms = ProofAgeMs(proofs_[IndexOf(kind)]);
+  state.freshness_age_ms = ProofAgeMs(proofs_[IndexOf(kind)]);
   return state;
 }
 
 DocumentState ForwardingCore::ListState(const FetchRequest& request) {
   const ListCursor now{membership_.self().incarnation, directory_.at()};
   std::optional<DirectoryChanges> changes;
-  if (request.list.life == now.life) {
+  if (request.list.incarnation == now.incarnation) {
     changes = directory_.ChangesSince(loop_->now(), request.list.at);
   }
   DocumentState state = StateOf(DocumentKind::kEndpoints);
@@ -173,7 +179,7 @@
     state.body = Deflate(WriteChanges(*changes));
   }
   const uint64_t above =
-      request.above_versions[IndexOf(DocumentKind::kEndpoints)];
+      request.known_versions[IndexOf(DocumentKind::kEndpoints)];
   if (changes || state.version <= above) return state;
   const WholeList& list = ListAbove(above);
   // Its version without its body: the peer asks another that has it.
@@ -183,7 +189,7 @@
   }
   state.version = list.moment().version;
   state.list.at = list.moment().at;
-  state.proof_age_ms = ProofAgeMs(list.moment().fresh_as_of);
+  state.freshness_age_ms = ProofAgeMs(list.moment().fresh_as_of);
   state.body = list.body();
   return state;
 }
@@ -204,7 +210,8 @@
 
 bool ForwardingCore::OnPeerBody(DocumentKind kind, const DocumentState& state,
                                 const std::string& peer) {
-  const std::optional<std::string> body = Inflate(state.body, kMaxPeerMessage);
+  const std::optional<std::string> body =
+      Inflate(state.body, kMaxPeerMessageBytes);
   if (body && kind == DocumentKind::kConfiguration) {
     return OnConfiguration(*body, peer);
   }
--- a/pinford/forwarding/http_reader.cc
+++ b/pinford/forwarding/http_reader.cc
@@ -11,7 +11,7 @@
 using BeastView = boost::beast::string_view;
 
 std::string_view HttpHead::header(std::string_view name) const {
-  return HeaderIn(headers, name);
+  return FindHeader(headers, name);
 }
 
 int HttpHead::CountOf(std::string_view name) const {
--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -190,7 +190,7 @@
     FetchRequest request;
     request.kind = FetchKind::kShared;
     for (int k = 0; k < kDocumentKinds; k++) {
-      request.above_versions[k] = events_.version(static_cast<DocumentKind>(k));
+      request.known_versions[k] = events_.version(static_cast<DocumentKind>(k));
     }
     if (to == list_from_) request.list = list_;
     const uint64_t question = ++question_;
@@ -225,8 +225,8 @@
     const DocumentState& configuration =
         reply->documents[IndexOf(DocumentKind::kConfiguration)];
     const bool old =
-        milliseconds(configuration.proof_age_ms) > options_.usual_age;
-    const bool fails = old || reply->store_fails;
+        milliseconds(configuration.freshness_age_ms) > options_.usual_age;
+    const bool fails = old || reply->store_unreachable;
     Note(from, fails ? SourceAnswer::kFails : SourceAnswer::kWell);
     for (int k = 0; k < kDocumentKinds; k++) {
       Take(static_cast<DocumentKind>(k), reply->documents[k], from, asked);
@@ -264,8 +264,8 @@
     // An older version proves nothing of the one that this box has.
     if (state.version < events_.version(kind)) return;
     constexpr uint64_t kNoProof = 3600 * 1000;
-    if (state.proof_age_ms >= kNoProof) return;
-    const Time fresh_as_of = asked - milliseconds(state.proof_age_ms);
+    if (state.freshness_age_ms >= kNoProof) return;
+    const Time fresh_as_of = asked - milliseconds(state.freshness_age_ms);
     if (fresh_as_of > events_.fresh_as_of(kind))
       events_.on_freshness(kind, fresh_as_of);
   }
--- a/pinford/forwarding/pool_client.cc
+++ b/pinford/forwarding/pool_client.cc
@@ -1,6 +1,6 @@
 #include "pinford/forwarding/pool_client.h"
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/forwarding/retry_loans.cc
+++ b/pinford/forwarding/retry_loans.cc
@@ -11,12 +11,13 @@
   return std::max(0, most - static_cast<int>(times->size()));
 }
 
-std::vector<RetryAsk> RetryLoans::MakeAsks(Time now) {
+std::vector<RetryRequest> RetryLoans::MakeAsks(Time now) {
   // Those who were refused before the last asks may be served by them.
   const Duration look = share_->options().look;
   if (!ask_times_.empty() && now - ask_times_.back() < look) return {};
   const RetryShare::Shortage lack = share_->Greatest(now);
-  if (lack.count == 0 || lack.service.size() > kMostAskService) return {};
+  if (lack.count == 0 || lack.service.size() > kMaxRequestedServiceBytes)
+    return {};
   std::erase_if(asked_, [now](const auto& a) { return now >= a.second.until; });
   // As many as suffice if each lends. Who is asked beyond that holds back what
   // nobody uses: with one more peer an ask 1 in 100 fewer retries were taken
@@ -27,9 +28,9 @@
   const int peers =
       std::min({suffice, share_->boxes() - 1,
                 Left(now, kSecond, options_.asks_a_second, &ask_times_)});
-  std::vector<RetryAsk> asks;
+  std::vector<RetryRequest> asks;
   for (int i = 0; i < peers; i++) {
-    RetryAsk& ask = asks.emplace_back();
+    RetryRequest& ask = asks.emplace_back();
     ask.nonce = random_();
     ask.service = lack.service;
     ask.count = static_cast<uint8_t>(each);
@@ -40,7 +41,7 @@
   return asks;
 }
 
-std::optional<RetryLoan> RetryLoans::OnAsk(Time now, const RetryAsk& ask) {
+std::optional<RetryLoan> RetryLoans::OnAsk(Time now, const RetryRequest& ask) {
   if (Left(now, kSecond, options_.answers_a_second, &answer_times_) == 0) {
     return std::nullopt;
   }
--- a/pinford/forwarding/retry_loans.h
+++ b/pinford/forwarding/retry_loans.h
@@ -60,9 +60,9 @@
       : share_(share), options_(options), random_(random) {}
 
   // The asks to send now, each to another peer. Call it often.
-  std::vector<RetryAsk> MakeAsks(Time now);
+  std::vector<RetryRequest> MakeAsks(Time now);
   // The answer to a peer's ask, if this box lends.
-  std::optional<RetryLoan> OnAsk(Time now, const RetryAsk& ask);
+  std::optional<RetryLoan> OnAsk(Time now, const RetryRequest& ask);
   // Takes an answer in; returns how many retries were borrowed.
   int OnLoan(Time now, const RetryLoan& loan);
 
--- a/pinford/forwarding/service_configuration.cc
+++ b/pinford/forwarding/service_configuration.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/forwarding/stage_recovery.cc
+++ b/pinford/forwarding/stage_recovery.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/forwarding/tcp_connection.cc
+++ b/pinford/forwarding/tcp_connection.cc
@@ -10,7 +10,7 @@
 #include <cerrno>
 #include <utility>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/forwarding/upstream_client.cc
+++ b/pinford/forwarding/upstream_client.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/forwarding/wait_cause.cc
+++ b/pinford/forwarding/wait_cause.cc
@@ -1,6 +1,6 @@
 #include "pinford/forwarding/wait_cause.h"
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/gossip.cc
+++ b/pinford/gossip.cc
@@ -9,11 +9,11 @@
       handlers_(std::move(handlers)),
       link_(loop, PeerCodec(peer_key),
             {[this](const Digest& d) { OnDigest(d); },
-             [this](const DownNote& n) {
-               if (handlers_.on_down) handlers_.on_down(n);
+             [this](const FailureNotice& n) {
+               if (handlers_.on_failure_notice) handlers_.on_failure_notice(n);
              },
              [this](const FetchRequest& r) { return OnFetch(r); },
-             [this](const RetryAsk& a) { OnRetryAsk(a); },
+             [this](const RetryRequest& a) { OnRetryRequest(a); },
              [this](const RetryLoan& l) {
                if (handlers_.on_retry_loan) handlers_.on_retry_loan(l);
              }}) {}
@@ -41,13 +41,13 @@
   SendAll(membership_->Announce());
 }
 
-void Gossip::SendFailureNotice(const DownNote& note, size_t peers) {
+void Gossip::SendFailureNotice(const FailureNotice& note, size_t peers) {
   for (const std::string& to : membership_->SomeLive(loop_->now(), peers)) {
     link_.Send(to, note);
   }
 }
 
-void Gossip::SendRetryRequests(std::vector<RetryAsk> asks) {
+void Gossip::SendRetryRequests(std::vector<RetryRequest> asks) {
   const std::vector<std::string> peers =
       membership_->SomeLive(loop_->now(), asks.size());
   for (size_t i = 0; i < peers.size(); i++) {
@@ -56,9 +56,9 @@
   }
 }
 
-void Gossip::OnRetryAsk(const RetryAsk& ask) {
-  if (!handlers_.on_retry_ask) return;
-  const std::optional<RetryLoan> loan = handlers_.on_retry_ask(ask);
+void Gossip::OnRetryRequest(const RetryRequest& ask) {
+  if (!handlers_.on_retry_request) return;
+  const std::optional<RetryLoan> loan = handlers_.on_retry_request(ask);
   if (loan) link_.Send(ask.from, *loan);
 }
 
--- a/pinford/gossip.h
+++ b/pinford/gossip.h
@@ -27,9 +27,10 @@
     // After membership has taken a digest in.
     std::function<void(const Digest&)> on_digest;
     // A peer says that runners are down; a box that drives none passes it over.
-    std::function<void(const DownNote&)> on_down;
+    std::function<void(const FailureNotice&)> on_failure_notice;
     // A peer asks for retries: what it is lent, if anything.
-    std::function<std::optional<RetryLoan>(const RetryAsk&)> on_retry_ask;
+    std::function<std::optional<RetryLoan>(const RetryRequest&)>
+        on_retry_request;
     std::function<void(const RetryLoan&)> on_retry_loan;
     // Of everything but the members, which Gossip answers itself.
     std::function<FetchReply(const FetchRequest&)> on_fetch;
@@ -45,9 +46,9 @@
   // Tells the peers at once what cannot wait.
   void Announce();
   // Tells `peers` live members, any of them.
-  void SendFailureNotice(const DownNote& note, size_t peers);
+  void SendFailureNotice(const FailureNotice& note, size_t peers);
   // Sends each of these to another live member, any of them.
-  void SendRetryRequests(std::vector<RetryAsk> asks);
+  void SendRetryRequests(std::vector<RetryRequest> asks);
   // Notices members that were lost, and asks for those that are not known.
   // Call it often.
   void Tick();
@@ -59,7 +60,7 @@
   void SendAll(std::vector<Membership::Datagram> datagrams);
   void OnDigest(const Digest& digest);
   FetchReply OnFetch(const FetchRequest& request);
-  void OnRetryAsk(const RetryAsk& ask);
+  void OnRetryRequest(const RetryRequest& ask);
   void SyncMembers();
   void Note(const std::vector<std::pair<std::string, MemberChange>>& changes);
 
--- a/pinford/http.cc
+++ b/pinford/http.cc
@@ -2,7 +2,7 @@
 
 #include <strings.h>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
@@ -10,7 +10,7 @@
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-std::string_view HeaderIn(const HttpHeaders& headers, std::string_view name) {
+std::string_view FindHeader(const HttpHeaders& headers, std::string_view name) {
   for (const auto& [key, value] : headers) {
     if (SameHeaderName(key, name)) return value;
   }
--- a/pinford/http.h
+++ b/pinford/http.h
@@ -16,7 +16,7 @@
 // Names of headers have no case.
 bool SameHeaderName(std::string_view a, std::string_view b);
 // The first header of that name; "" without one.
-std::string_view HeaderIn(const HttpHeaders& headers, std::string_view name);
+std::string_view FindHeader(const HttpHeaders& headers, std::string_view name);
 
 enum class HttpMethod { kGet, kPost, kPut, kDelete, kOther };
 
--- a/pinford/http_client.cc
+++ b/pinford/http_client.cc
@@ -14,7 +14,7 @@
 #include <cassert>
 #include <utility>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/http_client.h
+++ b/pinford/http_client.h
@@ -55,7 +55,7 @@
   std::string body;
 
   std::string_view header(std::string_view name) const {
-    return HeaderIn(headers, name);
+    return FindHeader(headers, name);
   }
   std::string type() const { return std::string(header("Content-Type")); }
   bool ok() const { return transport == Transport::kOk && status == 200; }
--- a/pinford/plain_client.cc
+++ b/pinford/http_service_client.cc
@@ -1,4 +1,4 @@
-#include "pinford/plain_client.h"
+#include "pinford/http_service_client.h"
 
 #include "pinford/retry_after.h"
 #include "util/json.h"
--- a/pinford/plain_client.h
+++ b/pinford/http_service_client.h
@@ -4,8 +4,8 @@
 // {"started": false, "error": {"code": "leaving" or "busy"}}. Without that
 // word any answer counts as an answer.
 
-#ifndef PINFORD_PLAIN_CLIENT_H_
-#define PINFORD_PLAIN_CLIENT_H_
+#ifndef PINFORD_HTTP_SERVICE_CLIENT_H_
+#define PINFORD_HTTP_SERVICE_CLIENT_H_
 
 #include <functional>
 #include <string>
@@ -35,4 +35,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_PLAIN_CLIENT_H_
+#endif  // PINFORD_HTTP_SERVICE_CLIENT_H_
--- a/pinford/load_poller.h
+++ b/pinford/load_poller.h
@@ -6,13 +6,13 @@
 #include <set>
 #include <string>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 
 namespace pinford {
 
 class LoadPoller {
  public:
-  explicit LoadPoller(BoxParts* parts) : parts_(parts) {}
+  explicit LoadPoller(BoxContext* parts) : parts_(parts) {}
 
   // Asks each endpoint that is not being asked. Call it once an interval.
   void Poll();
@@ -23,7 +23,7 @@
  private:
   void OnAnswer(const std::string& name, Time asked, const HttpResult& result);
 
-  BoxParts* parts_;
+  BoxContext* parts_;
   std::set<std::string> asking_;
   std::set<std::string> heard_;
 };
--- a/pinford/log.cc
+++ b/pinford/log.cc
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/log_digest.cc
+++ b/pinford/log_digest.cc
@@ -7,7 +7,7 @@
 #include <ctime>
 #include <optional>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/membership.cc
+++ b/pinford/membership.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <iterator>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
@@ -56,7 +56,7 @@
   d->counts = counts_;
   d->running = running_;
   d->waiting = waiting_;
-  d->proof_age_ms = static_cast<uint32_t>(
+  d->freshness_age_ms = static_cast<uint32_t>(
       std::clamp<int64_t>(ToMillis(proof_age_), 0, UINT32_MAX));
 }
 
@@ -93,16 +93,17 @@
 Digest Membership::FullDigest(Time now) {
   Digest d;
   d.sender = self_;
-  std::vector<MemberBeat> far;
+  std::vector<MemberHeartbeat> far;
   for (const auto& [name, m] : members_) {
     if (Suspected(now, m)) continue;
     if (now - m.first_seen < options_.joined_for) d.joined.push_back(m.row);
-    const MemberBeat beat{NameId(name), m.row.incarnation, m.row.heartbeat};
-    (m.row.hall == self_.hall ? d.beats : far).push_back(beat);
+    const MemberHeartbeat beat{NameId(name), m.row.incarnation,
+                               m.row.heartbeat};
+    (m.row.hall == self_.hall ? d.heartbeats : far).push_back(beat);
   }
   std::shuffle(far.begin(), far.end(), random_);
   if (far.size() > options_.max_far_beats) far.resize(options_.max_far_beats);
-  d.beats.insert(d.beats.end(), far.begin(), far.end());
+  d.heartbeats.insert(d.heartbeats.end(), far.begin(), far.end());
   TellOwn(&d);
   return d;
 }
@@ -267,7 +268,7 @@
     m.waiting = digest.waiting;
   }
   for (const MemberRow& row : digest.joined) OnRow(now, row, &changes);
-  for (const MemberBeat& beat : digest.beats) {
+  for (const MemberHeartbeat& beat : digest.heartbeats) {
     auto name = names_.find(beat.id);
     if (name == names_.end()) {
       // One that was dropped and is back is as unknown as a new one: else only
--- a/pinford/once_call.cc
+++ b/pinford/once_call.cc
@@ -1,6 +1,6 @@
 #include "pinford/once_call.h"
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/operator_api.cc
+++ b/pinford/operator_api.cc
@@ -21,7 +21,8 @@
     {HttpMethod::kGet, "/readyz", true, &OperatorApi::ShowReady},
 };
 
-OperatorApi::OperatorApi(BoxParts* parts, Documents* documents, PeerLink* link)
+OperatorApi::OperatorApi(BoxContext* parts, Documents* documents,
+                         PeerLink* link)
     : parts_(parts), documents_(documents), link_(link) {}
 
 static void ReplyError(const ExchangePtr& exchange, int status,
--- a/pinford/operator_api.h
+++ b/pinford/operator_api.h
@@ -17,7 +17,7 @@
 #include <memory>
 #include <string>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/documents.h"
 #include "pinford/http_server.h"
 #include "pinford/peer_link.h"
@@ -27,7 +27,7 @@
 
 class OperatorApi {
  public:
-  OperatorApi(BoxParts* parts, Documents* documents, PeerLink* link);
+  OperatorApi(BoxContext* parts, Documents* documents, PeerLink* link);
 
   void OnRequest(ExchangePtr exchange);
 
@@ -60,7 +60,7 @@
   void ShowHealth(ExchangePtr exchange);
   void ShowReady(ExchangePtr exchange);
 
-  BoxParts* parts_;
+  BoxContext* parts_;
   Documents* documents_;
   PeerLink* link_;
   std::function<void()> refresh_metrics_;
--- a/pinford/outcome.cc
+++ b/pinford/outcome.cc
@@ -1,6 +1,6 @@
 #include "pinford/outcome.h"
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/peer_link.cc
+++ b/pinford/peer_link.cc
@@ -78,11 +78,11 @@
   SendBytes(to, codec_.Encode(digest));
 }
 
-void PeerLink::Send(const std::string& to, const DownNote& note) {
+void PeerLink::Send(const std::string& to, const FailureNotice& note) {
   SendBytes(to, codec_.Encode(note));
 }
 
-void PeerLink::Send(const std::string& to, const RetryAsk& ask) {
+void PeerLink::Send(const std::string& to, const RetryRequest& ask) {
   SendBytes(to, codec_.Encode(ask));
 }
 
@@ -120,18 +120,18 @@
     handlers_.on_digest(*digest);
     return;
   }
-  const std::optional<DownNote> note = codec_.DecodeDownNote(bytes);
-  if (note && handlers_.on_down) {
-    handlers_.on_down(*note);
+  const std::optional<FailureNotice> note = codec_.DecodeFailureNotice(bytes);
+  if (note && handlers_.on_failure_notice) {
+    handlers_.on_failure_notice(*note);
     return;
   }
   if (!ReceiveRetries(bytes)) dropped_++;
 }
 
 bool PeerLink::ReceiveRetries(std::string_view bytes) {
-  const std::optional<RetryAsk> ask = codec_.DecodeRetryAsk(bytes);
-  if (ask && handlers_.on_retry_ask) {
-    handlers_.on_retry_ask(*ask);
+  const std::optional<RetryRequest> ask = codec_.DecodeRetryRequest(bytes);
+  if (ask && handlers_.on_retry_request) {
+    handlers_.on_retry_request(*ask);
     return true;
   }
   const std::optional<RetryLoan> loan = codec_.DecodeRetryLoan(bytes);
@@ -148,7 +148,7 @@
       bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb(exchange->bev, OnRead, nullptr, OnEvent, exchange);
   bufferevent_setwatermark(exchange->bev, EV_READ, 0,
-                           kMaxPeerMessage + kLengthSize);
+                           kMaxPeerMessageBytes + kLengthSize);
   bufferevent_enable(exchange->bev, EV_READ | EV_WRITE);
   exchange->timer = loop_->After(kFetchLimit, [this, exchange] {
     exchange->timer = 0;
@@ -202,7 +202,7 @@
     return;
   }
   n = ntohl(n);
-  if (n > kMaxPeerMessage) {
+  if (n > kMaxPeerMessageBytes) {
     exchange->link->dropped_++;
     exchange->link->Close(exchange);
     return;
--- a/pinford/peer_link.h
+++ b/pinford/peer_link.h
@@ -28,9 +28,9 @@
  public:
   struct Handlers {
     std::function<void(const Digest&)> on_digest;
-    std::function<void(const DownNote&)> on_down;
+    std::function<void(const FailureNotice&)> on_failure_notice;
     std::function<FetchReply(const FetchRequest&)> on_fetch;
-    std::function<void(const RetryAsk&)> on_retry_ask = {};
+    std::function<void(const RetryRequest&)> on_retry_request = {};
     std::function<void(const RetryLoan&)> on_retry_loan = {};
   };
 
@@ -44,8 +44,8 @@
 
   size_t SizeOf(const Digest& digest) const;
   void Send(const std::string& to, const Digest& digest);
-  void Send(const std::string& to, const DownNote& note);
-  void Send(const std::string& to, const RetryAsk& ask);
+  void Send(const std::string& to, const FailureNotice& note);
+  void Send(const std::string& to, const RetryRequest& ask);
   void Send(const std::string& to, const RetryLoan& loan);
   // `fn` gets nothing if no whole answer came in time.
   void Fetch(const std::string& from, const FetchRequest& request,
--- a/pinford/peer_messages.cc
+++ b/pinford/peer_messages.cc
@@ -52,7 +52,7 @@
 static void Put(Reader& ar, std::string& v) {
   uint32_t n = 0;
   ar(n);
-  if (n > kMaxPeerMessage) throw cereal::Exception("text too long");
+  if (n > kMaxPeerMessageBytes) throw cereal::Exception("text too long");
   // In pieces, so that a false length ends at the end of the input.
   constexpr uint32_t kPiece = 1 << 16;
   v.clear();
@@ -93,7 +93,7 @@
     Put(ar, m.heartbeat);
     Put(ar, m.state);
     for (auto& v : m.versions) Put(ar, v);
-  } else if constexpr (std::is_same_v<M, MemberBeat>) {
+  } else if constexpr (std::is_same_v<M, MemberHeartbeat>) {
     Put(ar, m.id);
     Put(ar, m.incarnation);
     Put(ar, m.heartbeat);
@@ -118,17 +118,17 @@
     Put(ar, m.time.counter);
     Fields(ar, m.sender);
     PutList(ar, m.joined);
-    PutList(ar, m.beats);
+    PutList(ar, m.heartbeats);
     PutList(ar, m.counts);
     PutList(ar, m.leaving);
     Put(ar, m.running);
     Put(ar, m.waiting);
-    Put(ar, m.proof_age_ms);
+    Put(ar, m.freshness_age_ms);
   } else if constexpr (std::is_same_v<M, std::string>) {
     Put(ar, m);
-  } else if constexpr (std::is_same_v<M, DownNote>) {
+  } else if constexpr (std::is_same_v<M, FailureNotice>) {
     PutList(ar, m.endpoints);
-  } else if constexpr (std::is_same_v<M, RetryAsk>) {
+  } else if constexpr (std::is_same_v<M, RetryRequest>) {
     Put(ar, m.nonce);
     Put(ar, m.from);
     Put(ar, m.service);
@@ -138,24 +138,24 @@
     Put(ar, m.count);
   } else if constexpr (std::is_same_v<M, FetchRequest>) {
     Put(ar, m.kind);
-    Put(ar, m.above_version);
+    Put(ar, m.known_version);
     Put(ar, m.request);
-    for (auto& v : m.above_versions) Put(ar, v);
+    for (auto& v : m.known_versions) Put(ar, v);
     Fields(ar, m.list);
   } else if constexpr (std::is_same_v<M, DocumentState>) {
     Put(ar, m.version);
-    Put(ar, m.proof_age_ms);
+    Put(ar, m.freshness_age_ms);
     Put(ar, m.body);
     Put(ar, m.changes);
     Fields(ar, m.list);
   } else if constexpr (std::is_same_v<M, ListCursor>) {
-    Put(ar, m.life);
+    Put(ar, m.incarnation);
     Put(ar, m.at);
   } else {
     static_assert(std::is_same_v<M, FetchReply>);
     Put(ar, m.kind);
     Put(ar, m.version);
-    Put(ar, m.store_fails);
+    Put(ar, m.store_unreachable);
     Put(ar, m.body);
     PutList(ar, m.events);
     PutList(ar, m.members);
@@ -191,7 +191,8 @@
   return m;
 }
 
-EndpointCount CountOf(const std::string& name, const EndpointTable::Row& row) {
+EndpointCount MakeEndpointCount(const std::string& name,
+                                const EndpointTable::Row& row) {
   const auto bounded = [](int n) {
     return static_cast<uint16_t>(std::min<int>(n, UINT16_MAX));
   };
@@ -207,7 +208,7 @@
   return {reinterpret_cast<const char*>(digest), kTagSize};
 }
 
-std::string PeerCodec::Seal(const std::string& payload) const {
+std::string PeerCodec::Sign(const std::string& payload) const {
   return Tag(key_, payload) + payload;
 }
 
@@ -222,22 +223,22 @@
 }
 
 std::string PeerCodec::Encode(const Digest& m) const {
-  return Seal(Write(Form::kDigest, m));
+  return Sign(Write(Form::kDigest, m));
 }
-std::string PeerCodec::Encode(const DownNote& m) const {
-  return Seal(Write(Form::kDownNote, m));
+std::string PeerCodec::Encode(const FailureNotice& m) const {
+  return Sign(Write(Form::kDownNote, m));
 }
-std::string PeerCodec::Encode(const RetryAsk& m) const {
-  return Seal(Write(Form::kRetryAsk, m));
+std::string PeerCodec::Encode(const RetryRequest& m) const {
+  return Sign(Write(Form::kRetryAsk, m));
 }
 std::string PeerCodec::Encode(const RetryLoan& m) const {
-  return Seal(Write(Form::kRetryLoan, m));
+  return Sign(Write(Form::kRetryLoan, m));
 }
 std::string PeerCodec::Encode(const FetchRequest& m) const {
-  return Seal(Write(Form::kFetchRequest, m));
+  return Sign(Write(Form::kFetchRequest, m));
 }
 std::string PeerCodec::Encode(const FetchReply& m) const {
-  return Seal(Write(Form::kFetchReply, m));
+  return Sign(Write(Form::kFetchReply, m));
 }
 
 std::optional<Digest> PeerCodec::DecodeDigest(std::string_view bytes) const {
@@ -245,19 +246,20 @@
   if (!payload) return std::nullopt;
   return Read<Digest>(Form::kDigest, *payload);
 }
-std::optional<DownNote> PeerCodec::DecodeDownNote(
+std::optional<FailureNotice> PeerCodec::DecodeFailureNotice(
     std::string_view bytes) const {
   auto payload = Open(bytes);
   if (!payload) return std::nullopt;
-  return Read<DownNote>(Form::kDownNote, *payload);
+  return Read<FailureNotice>(Form::kDownNote, *payload);
 }
-std::optional<RetryAsk> PeerCodec::DecodeRetryAsk(
+std::optional<RetryRequest> PeerCodec::DecodeRetryRequest(
     std::string_view bytes) const {
   auto payload = Open(bytes);
   if (!payload) return std::nullopt;
-  std::optional<RetryAsk> ask = Read<RetryAsk>(Form::kRetryAsk, *payload);
-  if (!ask || ask->from.size() > kMostAskFrom) return std::nullopt;
-  if (ask->service.size() > kMostAskService) return std::nullopt;
+  std::optional<RetryRequest> ask =
+      Read<RetryRequest>(Form::kRetryAsk, *payload);
+  if (!ask || ask->from.size() > kMaxRequesterBytes) return std::nullopt;
+  if (ask->service.size() > kMaxRequestedServiceBytes) return std::nullopt;
   return ask;
 }
 std::optional<RetryLoan> PeerCodec::DecodeRetryLoan(
--- a/pinford/policy.cc
+++ b/pinford/policy.cc
@@ -13,7 +13,7 @@
 #include <lua.hpp>
 #include <optional>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
@@ -300,7 +300,7 @@
   return Run(&job) ? out : RequestClass();
 }
 
-bool Policy::Repeatable(const CallFacts& facts) {
+bool Policy::IsIdempotent(const CallFacts& facts) {
   const bool fallback = facts.method == "GET";
   bool out = fallback;
   Job job{"repeatable", &facts, &out, PushCall, TakeBool};
@@ -387,7 +387,7 @@
   samples.emplace_back([this] { Placement("sample", {}, 0); });
   for (const char* method : {"GET", "POST", "PUT", "DELETE"}) {
     samples.emplace_back([this, method] {
-      Repeatable({"sample", "sample", method, "/sample/path"});
+      IsIdempotent({"sample", "sample", method, "/sample/path"});
     });
   }
   std::vector<std::string> seen;
--- a/pinford/policy.h
+++ b/pinford/policy.h
@@ -100,7 +100,7 @@
 
   RequestClass Classify(const RequestFacts& facts);
   // By default GET calls are repeatable and all others are not.
-  bool Repeatable(const CallFacts& facts);
+  bool IsIdempotent(const CallFacts& facts);
   // Weight of each hall; a hall that is missing has weight 1.
   std::map<std::string, double> Share(
       const std::string& pool, const std::map<std::string, HallDemand>& halls,
--- a/pinford/call_api.cc
+++ b/pinford/service_api.cc
@@ -1,10 +1,10 @@
-#include "pinford/call_api.h"
+#include "pinford/service_api.h"
 
 #include <memory>
 #include <utility>
 
-#include "pinford/caller_answer.h"
 #include "pinford/caller_request.h"
+#include "pinford/caller_response.h"
 
 namespace pinford {
 
@@ -48,7 +48,7 @@
 
 void CallApi::Start(const ExchangePtr& exchange, ServiceCall call) {
   const std::string id = call.request;
-  const bool repeatable = parts_->policy->Repeatable(
+  const bool repeatable = parts_->policy->IsIdempotent(
       {call.customer, call.service, call.method, call.target});
   parts_->NotePolicyErrors();
   parts_->timeline.Add(EventKind::kRequestArrived, id,
--- a/pinford/call_api.h
+++ b/pinford/service_api.h
@@ -1,11 +1,11 @@
 // HTTP for callers: plain calls, under /services/NAME/.
 
-#ifndef PINFORD_CALL_API_H_
-#define PINFORD_CALL_API_H_
+#ifndef PINFORD_SERVICE_API_H_
+#define PINFORD_SERVICE_API_H_
 
 #include <string>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/http_server.h"
 #include "pinford/once_call.h"
 
@@ -15,7 +15,7 @@
 
 class CallApi {
  public:
-  explicit CallApi(BoxParts* parts) : parts_(parts) {}
+  explicit CallApi(BoxContext* parts) : parts_(parts) {}
 
   // Takes a request whose path begins with kServicesPath.
   void OnRequest(ExchangePtr exchange);
@@ -30,10 +30,10 @@
   void Answer(const ExchangePtr& exchange, const std::string& id,
               const CallEnd& end);
 
-  BoxParts* parts_;
+  BoxContext* parts_;
   int active_ = 0;
 };
 
 }  // namespace pinford
 
-#endif  // PINFORD_CALL_API_H_
+#endif  // PINFORD_SERVICE_API_H_
--- a/pinford/settings.h
+++ b/pinford/settings.h
@@ -51,7 +51,7 @@
   Duration call_timeout = seconds(10);  // of one plain call
 
   Duration stop_listening_after = seconds(3);  // after SIGTERM
-  Duration stop_at_latest = seconds(600);
+  Duration stop_timeout = seconds(600);
 
   Duration report_interval = milliseconds(500);  // of asking for loads
   int gossip_bytes_per_second = 1000;
@@ -65,7 +65,7 @@
   std::string policy_file;
   // How old the proof may be that the configuration in force is the newest
   // while a customer's key is still believed. 0: as old as it likes.
-  Duration key_proof{};
+  Duration max_key_staleness{};
   // Bound on all boxes' retries to a service, in any window: a part of its
   // requests, and a number.
   double retry_ratio = 0.2;
--- a/pinford/testing/engine_standin.cc
+++ b/pinford/testing/engine_standin.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/engine_protocol.h"
 #include "util/json.h"
 
--- a/pinford/testing/examples_test.cc
+++ b/pinford/testing/examples_test.cc
@@ -61,9 +61,9 @@
                 {"report", 21.5, Tier::kBackground, hours(6), false}});
   EXPECT_EQ(ClassOf(policy.get(), "diner", 12, "island-grill").weight, 4);
   EXPECT_EQ(ClassOf(policy.get(), "diner", 12, "small").weight, 1);
-  EXPECT_TRUE(policy->Repeatable({"c", "bookings", "GET", "/tables"}));
+  EXPECT_TRUE(policy->IsIdempotent({"c", "bookings", "GET", "/tables"}));
   for (const char* method : {"POST", "PUT", "DELETE"}) {
-    EXPECT_FALSE(policy->Repeatable({"c", "bookings", method, "/tables"}));
+    EXPECT_FALSE(policy->IsIdempotent({"c", "bookings", method, "/tables"}));
   }
   // Quiet hours draw the load together; meals and demand spread it.
   const std::map<std::string, HallDemand> quiet = {{"a", {1, 10}},
@@ -85,9 +85,9 @@
                 {"technician", 10, Tier::kHigh, seconds(20), false},
                 {"", 10, Tier::kStandard, seconds(60), false}});
   EXPECT_EQ(ClassOf(policy.get(), "alarm", 2).group, "night");
-  EXPECT_TRUE(policy->Repeatable({"c", "scada", "POST", "/query"}));
-  EXPECT_FALSE(policy->Repeatable({"c", "work-orders", "POST", "/"}));
-  EXPECT_TRUE(policy->Repeatable({"c", "work-orders", "GET", "/"}));
+  EXPECT_TRUE(policy->IsIdempotent({"c", "scada", "POST", "/query"}));
+  EXPECT_FALSE(policy->IsIdempotent({"c", "work-orders", "POST", "/"}));
+  EXPECT_TRUE(policy->IsIdempotent({"c", "work-orders", "GET", "/"}));
 }
 
 }  // namespace
--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -146,13 +146,13 @@
     Box(Fleet* fleet, int i, Membership m, const StoreTaskSelector& d)
         : membership(std::move(m)),
           roster(&membership, SourceSelector::Options()),
-          duty(d),
+          task_selector(d),
           store{&fleet->store, i},
           link{fleet, i} {}
 
     Membership membership;
     SourceSelector roster;
-    StoreTaskSelector duty;
+    StoreTaskSelector task_selector;
     Store store;
     Link link;
     StoreEra era;
@@ -362,7 +362,7 @@
   void Tick(int i, int life) {
     Box& box = *boxes_[i];
     const StoreTask task =
-        box.duty.ChooseTask(clock.now(), box.fresh_as_of, &box.roster);
+        box.task_selector.ChooseTask(clock.now(), box.fresh_as_of, &box.roster);
     box.mirrors = Mirrors(task);
     if (box.mirrors) {
       const bool first = task == StoreTask::kMirror;
@@ -421,13 +421,13 @@
   FetchReply Reply(Box* from, const FetchRequest& request) {
     const Box& box = *from;
     FetchReply reply;
-    reply.store_fails = box.mirrors && box.mirror->failing();
+    reply.store_unreachable = box.mirrors && box.mirror->failing();
     for (int k = 0; k < kDocumentKinds; k++) {
       DocumentState& state = reply.documents[k];
       state.version = box.versions[k];
-      state.proof_age_ms = ToMillis(clock.now() - box.fresh_as_of) + 1;
+      state.freshness_age_ms = ToMillis(clock.now() - box.fresh_as_of) + 1;
       const bool list = k == static_cast<int>(DocumentKind::kEndpoints);
-      const bool wanted = state.version > request.above_versions[k];
+      const bool wanted = state.version > request.known_versions[k];
       const bool sent =
           wanted && (!list || from->list_budget.Take(clock.now(), list_bytes));
       if (sent) state.body = "b";
--- a/pinford/testing/inputs_test.cc
+++ b/pinford/testing/inputs_test.cc
@@ -182,8 +182,8 @@
   facts.customer = "x";
   EXPECT_EQ(policy->Classify(facts).tier, Tier::kStandard);
   EXPECT_EQ(policy->errors(), 1);
-  EXPECT_TRUE(policy->Repeatable({"y", "s", "POST", "/"}));
-  EXPECT_FALSE(policy->Repeatable({"x", "s", "GET", "/"}))
+  EXPECT_TRUE(policy->IsIdempotent({"y", "s", "POST", "/"}));
+  EXPECT_FALSE(policy->IsIdempotent({"x", "s", "GET", "/"}))
       << "a rule that fails must not lead to a second run";
 }
 
@@ -258,7 +258,7 @@
   d.sender = {"box", "hall", "127.0.0.1:1", 5, 6, MemberState::kLeaving,
               {7, 8}};
   d.joined = {d.sender, d.sender};
-  d.beats = {{1, 2, 3}};
+  d.heartbeats = {{1, 2, 3}};
   d.counts = {{4, 5, 6}};
   d.leaving = {{"x", 9}};
   return d;
@@ -275,31 +275,33 @@
   EXPECT_EQ(d->leaving[0], LeavingMark("x", 9));
   EXPECT_FALSE(PeerCodec("other").DecodeDigest(codec.Encode(SampleDigest())));
   EXPECT_FALSE(codec.DecodeFetchReply(codec.Encode(SampleDigest())));
-  const std::string note = codec.Encode(DownNote{{"a", "b"}});
-  ASSERT_TRUE(codec.DecodeDownNote(note).has_value());
-  EXPECT_EQ(codec.DecodeDownNote(note)->endpoints,
+  const std::string note = codec.Encode(FailureNotice{{"a", "b"}});
+  ASSERT_TRUE(codec.DecodeFailureNotice(note).has_value());
+  EXPECT_EQ(codec.DecodeFailureNotice(note)->endpoints,
             (std::vector<std::string>{"a", "b"}));
   EXPECT_FALSE(codec.DecodeDigest(note).has_value());
-  EXPECT_FALSE(PeerCodec("other").DecodeDownNote(note).has_value());
-  const std::string ask = codec.Encode(RetryAsk{7, "1.2.3.4:5", "s", 3});
-  ASSERT_TRUE(codec.DecodeRetryAsk(ask).has_value());
-  EXPECT_EQ(codec.DecodeRetryAsk(ask)->nonce, 7u);
-  EXPECT_EQ(codec.DecodeRetryAsk(ask)->from, "1.2.3.4:5");
-  EXPECT_EQ(codec.DecodeRetryAsk(ask)->service, "s");
-  EXPECT_EQ(codec.DecodeRetryAsk(ask)->count, 3);
+  EXPECT_FALSE(PeerCodec("other").DecodeFailureNotice(note).has_value());
+  const std::string ask = codec.Encode(RetryRequest{7, "1.2.3.4:5", "s", 3});
+  ASSERT_TRUE(codec.DecodeRetryRequest(ask).has_value());
+  EXPECT_EQ(codec.DecodeRetryRequest(ask)->nonce, 7u);
+  EXPECT_EQ(codec.DecodeRetryRequest(ask)->from, "1.2.3.4:5");
+  EXPECT_EQ(codec.DecodeRetryRequest(ask)->service, "s");
+  EXPECT_EQ(codec.DecodeRetryRequest(ask)->count, 3);
   EXPECT_FALSE(codec.DecodeRetryLoan(ask).has_value());
-  EXPECT_FALSE(PeerCodec("other").DecodeRetryAsk(ask).has_value());
+  EXPECT_FALSE(PeerCodec("other").DecodeRetryRequest(ask).has_value());
   const std::string loan = codec.Encode(RetryLoan{7, 2});
   ASSERT_TRUE(codec.DecodeRetryLoan(loan).has_value());
   EXPECT_EQ(codec.DecodeRetryLoan(loan)->nonce, 7u);
   EXPECT_EQ(codec.DecodeRetryLoan(loan)->count, 2);
-  EXPECT_FALSE(codec.DecodeRetryAsk(loan).has_value());
+  EXPECT_FALSE(codec.DecodeRetryRequest(loan).has_value());
   EXPECT_FALSE(PeerCodec("other").DecodeRetryLoan(loan).has_value());
   // Texts that are longer than a peer has reason to send.
-  const std::string a(kMostAskFrom + 1, 'a');
-  const std::string b(kMostAskService + 1, 'b');
-  EXPECT_FALSE(codec.DecodeRetryAsk(codec.Encode(RetryAsk{7, a, "s", 3})));
-  EXPECT_FALSE(codec.DecodeRetryAsk(codec.Encode(RetryAsk{7, "x", b, 3})));
+  const std::string a(kMaxRequesterBytes + 1, 'a');
+  const std::string b(kMaxRequestedServiceBytes + 1, 'b');
+  EXPECT_FALSE(
+      codec.DecodeRetryRequest(codec.Encode(RetryRequest{7, a, "s", 3})));
+  EXPECT_FALSE(
+      codec.DecodeRetryRequest(codec.Encode(RetryRequest{7, "x", b, 3})));
 }
 
 // Bytes flipped, cut and made up, behind a good tag too: a peer of another
@@ -310,12 +312,13 @@
   FetchReply reply;
   reply.body = std::string(300, 'b');
   reply.events = {TimelineEvent(), TimelineEvent()};
-  const std::string samples[] = {codec.Encode(SampleDigest()),
-                                 codec.Encode(FetchRequest()),
-                                 codec.Encode(reply),
-                                 codec.Encode(DownNote{{"a", "b"}}),
-                                 codec.Encode(RetryAsk{7, "1.2.3.4:5", "s", 3}),
-                                 codec.Encode(RetryLoan{7, 2})};
+  const std::string samples[] = {
+      codec.Encode(SampleDigest()),
+      codec.Encode(FetchRequest()),
+      codec.Encode(reply),
+      codec.Encode(FailureNotice{{"a", "b"}}),
+      codec.Encode(RetryRequest{7, "1.2.3.4:5", "s", 3}),
+      codec.Encode(RetryLoan{7, 2})};
   int decoded = 0;
   for (int i = 0; i < 60000; i++) {
     std::string payload = samples[i % std::size(samples)].substr(16);
@@ -325,12 +328,12 @@
     }
     if (random() % 3 == 0) payload.resize(random() % payload.size() + 1);
     // Sealed anew, so that decoding is reached.
-    const std::string bytes = codec.Seal(payload);
+    const std::string bytes = codec.Sign(payload);
     decoded += codec.DecodeDigest(bytes).has_value();
     decoded += codec.DecodeFetchRequest(bytes).has_value();
     decoded += codec.DecodeFetchReply(bytes).has_value();
-    decoded += codec.DecodeDownNote(bytes).has_value();
-    decoded += codec.DecodeRetryAsk(bytes).has_value();
+    decoded += codec.DecodeFailureNotice(bytes).has_value();
+    decoded += codec.DecodeRetryRequest(bytes).has_value();
     decoded += codec.DecodeRetryLoan(bytes).has_value();
   }
   EXPECT_GT(decoded, 5000);
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -22,7 +22,7 @@
   Peer(EventLoop* loop, const std::string& name, int port)
       : link(std::in_place, loop, PeerCodec(kPeerKey),
              PeerLink::Handlers{
-                 [](const Digest&) {}, [](const DownNote&) {},
+                 [](const Digest&) {}, [](const FailureNotice&) {},
                  [this](const FetchRequest& r) { return Answer(r); }}) {
     row.name = name;
     row.hall = "h";
@@ -37,9 +37,9 @@
     reply.kind = request.kind;
     for (DocumentState& state : reply.documents) {
       state.version = 7;
-      state.proof_age_ms = age_ms;
+      state.freshness_age_ms = age_ms;
     }
-    reply.store_fails = store_fails;
+    reply.store_unreachable = store_unreachable;
     if (list) reply.documents[kEndpointsIndex] = *list;
     return reply;
   }
@@ -48,7 +48,7 @@
   std::optional<PeerLink> link;
   int asked = 0;
   uint64_t age_ms = 0;
-  bool store_fails = false;
+  bool store_unreachable = false;
   ListCursor asked_from;              // of the last question
   std::optional<DocumentState> list;  // what it has
 };
@@ -152,7 +152,7 @@
   Fixture f;
   f.RunFor(milliseconds(100));
   EXPECT_FALSE(f.MirrorFails());
-  f.mirror->store_fails = true;
+  f.mirror->store_unreachable = true;
   f.RunFor(milliseconds(100));
   EXPECT_TRUE(f.MirrorFails());
   // It is asked on, in turn with the others, so that its recovery shows.
@@ -161,7 +161,7 @@
   EXPECT_TRUE(f.MirrorFails());
   EXPECT_GT(f.mirror->asked, asked + 3);
   EXPECT_GT(f.other->asked, 3);
-  f.mirror->store_fails = false;
+  f.mirror->store_unreachable = false;
   f.RunFor(milliseconds(400));
   EXPECT_FALSE(f.MirrorFails());
 }
--- a/pinford/testing/pool_simulation_standin.cc
+++ b/pinford/testing/pool_simulation_standin.cc
@@ -6,7 +6,7 @@
 #include <tuple>
 
 #include "pinford/testing/pool_simulation.h"
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -153,7 +153,7 @@
     EXPECT_TRUE(box.loans.MakeAsks(kStart).empty());
     EXPECT_FALSE(box.share.Take(kStart + milliseconds(1), kService));
     const Time next = kStart + tick + milliseconds(2) + late;
-    const std::vector<RetryAsk> asks = box.loans.MakeAsks(next);
+    const std::vector<RetryRequest> asks = box.loans.MakeAsks(next);
     ASSERT_EQ(asks.size(), 1u);
     EXPECT_EQ(asks[0].count, 1);
     // It is asked for once.
@@ -171,9 +171,9 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.lacks);
     Needy box(c.lacks);
-    const std::vector<RetryAsk> asks = box.loans.MakeAsks(kStart);
+    const std::vector<RetryRequest> asks = box.loans.MakeAsks(kStart);
     ASSERT_EQ(asks.size(), c.peers);
-    for (const RetryAsk& ask : asks) EXPECT_EQ(ask.count, c.each);
+    for (const RetryRequest& ask : asks) EXPECT_EQ(ask.count, c.each);
     EXPECT_TRUE(box.loans.MakeAsks(kStart).empty());
   }
   // Where a burst goes on, it asks before it has to refuse: of the 7 that it
@@ -205,7 +205,7 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
     Needy box(4);
-    const RetryAsk ask = box.loans.MakeAsks(kStart).at(0);
+    const RetryRequest ask = box.loans.MakeAsks(kStart).at(0);
     const RetryLoan loan{ask.nonce + c.nonce_change,
                          static_cast<uint8_t>(c.count)};
     const Time now = kStart + c.after;
@@ -227,7 +227,7 @@
   for (int ms = 0; ms < 9990; ms += 10) {
     const Time now = kStart + milliseconds(ms);
     for (int i = 0; i < 100; i++) box.share.Take(now, kService);
-    for (const RetryAsk& ask : box.loans.MakeAsks(now)) {
+    for (const RetryRequest& ask : box.loans.MakeAsks(now)) {
       asks++;
       granted += box.loans.OnLoan(now, {ask.nonce, 255});
     }
@@ -366,7 +366,7 @@
   }
   void SendRetryRequests(int b) {
     if (!lending_ || Stands(boxes_[b])) return;
-    for (const RetryAsk& ask : boxes_[b].loans->MakeAsks(now())) {
+    for (const RetryRequest& ask : boxes_[b].loans->MakeAsks(now())) {
       int to = static_cast<int>(network_() % (size() - 1));
       if (to >= b) to++;
       Deliver(b, to, [this, b, to, ask] {
@@ -590,8 +590,8 @@
 // What goes over the network for a box in need, whatever the number of boxes.
 TEST(RetryLoans, BytesAreFewAndFlat) {
   const PeerCodec codec("key");
-  RetryAsk ask{1, "[2001:db8::1234:5678]:65535", "a-service-with-a-long-name",
-               4};
+  RetryRequest ask{1, "[2001:db8::1234:5678]:65535",
+                   "a-service-with-a-long-name", 4};
   const RetryLoans::Options options;
   const size_t a_second =
       options.asks_a_second * codec.Encode(ask).size() +
@@ -621,14 +621,14 @@
   }
   Gossip::Handlers Handlers() {
     Gossip::Handlers handlers;
-    handlers.on_retry_ask = [this](const RetryAsk& ask) {
+    handlers.on_retry_request = [this](const RetryRequest& ask) {
       asks.push_back(ask);
       return std::optional<RetryLoan>({ask.nonce, 2});
     };
     handlers.on_retry_loan = [this](const RetryLoan& l) { loans.push_back(l); };
     return handlers;
   }
-  std::vector<RetryAsk> asks;
+  std::vector<RetryRequest> asks;
   std::vector<RetryLoan> loans;
   Membership membership;
   Gossip gossip;
@@ -677,12 +677,12 @@
       std::string error;
       ASSERT_TRUE(boxes[i]->Start(&error)) << error;
     }
-    RetryShare* needy = boxes[0]->parts()->retries;
+    RetryShare* needy = boxes[0]->forward_context()->retries;
     loop.After(milliseconds(2300), [&] {
       for (int n = 0; n < 100; n++) {
         // Later than now, so that the loan ends before they leave the window.
-        boxes[1]->parts()->retries->OnRequest(loop.now() + seconds(1),
-                                              kService);
+        boxes[1]->forward_context()->retries->OnRequest(loop.now() + seconds(1),
+                                                        kService);
       }
       for (int n = 0; n < 3; n++)
         EXPECT_FALSE(needy->Take(loop.now(), kService));
--- a/pinford/testing/service_standin.cc
+++ b/pinford/testing/service_standin.cc
@@ -1,6 +1,6 @@
 #include "pinford/testing/service_standin.h"
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/endpoint.h"
 #include "util/json.h"
 
--- a/pinford/testing/store_calls_test.cc
+++ b/pinford/testing/store_calls_test.cc
@@ -40,7 +40,8 @@
   for (int i = 0; i < kSeeds; i++) fleet_.Kill(i);
   const int asked = fleet_.size() / 2;
   int64_t calls = fleet_.Run(milliseconds(300));
-  for (int i = kSeeds; i < asked; i++) fleet_.at(i).duty.OnCallerWaiting();
+  for (int i = kSeeds; i < asked; i++)
+    fleet_.at(i).task_selector.OnCallerWaiting();
   calls += fleet_.Run(milliseconds(200));
   EXPECT_EQ(calls, asked - kSeeds);
   for (int i = kSeeds; i < fleet_.size(); i++) {
@@ -241,7 +242,7 @@
   fleet_.Run(seconds(10));
   for (int i = 0; i < fleet_.size(); i++) fleet_.Start(i);
   int planner = fleet_.size() - 1;
-  fleet_.at(planner).duty.set_plans(true);
+  fleet_.at(planner).task_selector.set_plans(true);
   fleet_.Run(seconds(1));
   for (int change = 0; change < 10; change++) {
     fleet_.store.BumpRevision();
--- a/pinford/timeline.cc
+++ b/pinford/timeline.cc
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <tuple>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
--- a/util/names.h
+++ b/util/enum_names.h
@@ -5,8 +5,8 @@
 // directions use that table, so a name cannot be written one way and read
 // another.
 
-#ifndef UTIL_NAMES_H_
-#define UTIL_NAMES_H_
+#ifndef UTIL_ENUM_NAMES_H_
+#define UTIL_ENUM_NAMES_H_
 
 #include <cstddef>
 #include <optional>
@@ -41,4 +41,4 @@
 
 }  // namespace pinford
 
-#endif  // UTIL_NAMES_H_
+#endif  // UTIL_ENUM_NAMES_H_
--- a/util/held_signals.cc
+++ b/util/held_signals.cc
@@ -1,4 +1,4 @@
-#include "util/held_signals.h"
+#include "util/signal_blocker.h"
 
 namespace pinford {
 
--- a/util/json.h
+++ b/util/json.h
@@ -45,7 +45,7 @@
 
 // The whole number `v` as a T; nothing if it is none, or T cannot hold it.
 template <typename T>
-std::optional<T> JsonWhole(const Json& v) {
+std::optional<T> JsonInteger(const Json& v) {
   if (v.is_number_unsigned()) {
     const auto n = v.get<uint64_t>();
     if (std::in_range<T>(n)) return static_cast<T>(n);
@@ -68,7 +68,7 @@
   } else if constexpr (std::is_floating_point_v<T>) {
     return it->is_number() ? it->get<T>() : fallback;
   } else if constexpr (std::is_integral_v<T>) {
-    return JsonWhole<T>(*it).value_or(fallback);
+    return JsonInteger<T>(*it).value_or(fallback);
   } else {
     return it->is_string() ? it->get<T>() : fallback;
   }
--- a/util/held_signals.h
+++ b/util/signal_blocker.h
@@ -4,8 +4,8 @@
 // What comes while signals are held is delivered when they are released, once
 // of each kind. Threads that start meanwhile never get these signals.
 
-#ifndef UTIL_HELD_SIGNALS_H_
-#define UTIL_HELD_SIGNALS_H_
+#ifndef UTIL_SIGNAL_BLOCKER_H_
+#define UTIL_SIGNAL_BLOCKER_H_
 
 #include <signal.h>
 
@@ -30,4 +30,4 @@
 
 }  // namespace pinford
 
-#endif  // UTIL_HELD_SIGNALS_H_
+#endif  // UTIL_SIGNAL_BLOCKER_H_
