--- a/pinford/forwarding/retry_loans.cc
+++ b/pinford/forwarding/retry_loans.cc
@@ -12,13 +12,14 @@
   return std::max(0, max_count - static_cast<int>(times->size()));
 }
 
-std::vector<RetryAsk> RetryLoans::MakeAsks(Time now) {
+std::vector<RetryRequest> RetryLoans::MakeAsks(Time now) {
   // Refusals before the last asks may still be served by these.
   const Duration min_shortage_span = share_->options().min_shortage_span;
   if (!ask_times_.empty() && now - ask_times_.back() < min_shortage_span)
     return {};
   const RetryShare::Shortage shortage = share_->FindShortage(now);
-  if (shortage.count == 0 || shortage.service.size() > kMostAskService)
+  if (shortage.count == 0 ||
+      shortage.service.size() > kMaxRequestedServiceBytes)
     return {};
   std::erase_if(pending_asks_,
                 [now](const auto& a) { return now >= a.second.until; });
@@ -32,9 +33,9 @@
       std::min({enough, share_->boxes() - 1,
                 RemainingInSpan(now, kSecond, options_.max_asks_per_second,
                                 &ask_times_)});
-  std::vector<RetryAsk> asks;
+  std::vector<RetryRequest> asks;
   for (int i = 0; i < peers; i++) {
-    RetryAsk& ask = asks.emplace_back();
+    RetryRequest& ask = asks.emplace_back();
     ask.nonce = random_();
     ask.service = shortage.service;
     ask.count = static_cast<uint8_t>(each);
@@ -46,7 +47,7 @@
   return asks;
 }
 
-std::optional<RetryLoan> RetryLoans::OnAsk(Time now, const RetryAsk& ask) {
+std::optional<RetryLoan> RetryLoans::OnAsk(Time now, const RetryRequest& ask) {
   if (RemainingInSpan(now, kSecond, options_.max_loans_per_second,
                       &loan_times_) == 0) {
     return std::nullopt;
--- a/pinford/forwarding/retry_loans.h
+++ b/pinford/forwarding/retry_loans.h
@@ -62,9 +62,9 @@
 
   // Returns the asks to send now, each to a different peer. Call it at every
   // tick.
-  std::vector<RetryAsk> MakeAsks(Time now);
+  std::vector<RetryRequest> MakeAsks(Time now);
   // Returns the response to a peer's ask, if this box lends.
-  std::optional<RetryLoan> OnAsk(Time now, const RetryAsk& ask);
+  std::optional<RetryLoan> OnAsk(Time now, const RetryRequest& ask);
   // Accepts a loan. Returns how many retries were borrowed.
   int OnLoan(Time now, const RetryLoan& loan);
 
