--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -1,96 +1,103 @@
-// What ForwardedRequest does after an attempt that gave no answer: another one
-// at once, a wait until one may be made, or the end of the request.
+// The part of ForwardedRequest that handles an attempt without a usable
+// response: it starts another attempt, waits until one is possible, or fails
+// the request.
 
 #include "pinford/error_body.h"
 #include "pinford/forwarding/forwarded_request.h"
 
 namespace pinford {
 
-// With less time left nothing is begun any more.
-static constexpr milliseconds kLeastTime{30};
-// Sends that endpoints refused, beyond the route's attempts: what was refused
-// has not run there. A stream that has begun has no such bound.
-static constexpr int kMostRefusals = 2;
-// When a caller whose request has not run should come back.
-static constexpr std::string_view kComeBack = "0.2";
+// No attempt is started with less time left.
+static constexpr milliseconds kMinTimeLeft{30};
+// Picks beyond the route's attempts, since a rejected attempt has not run.
+// There is no such limit for a started stream.
+static constexpr int kMaxExtraRefusals = 2;
+// The Retry-After for requests that have not run, in seconds.
+static constexpr std::string_view kRetryAfter = "0.2";
 
-// Why the last attempt is the end of its request.
-static std::string_view ReasonOf(UpstreamEnd end) {
-  // It came whole, and was not the endpoint's answer to this request.
+// Why the last attempt ends its request.
+static std::string_view FailureReason(UpstreamEnd end) {
+  // It was complete, but not the endpoint's response to this request.
   if (end == UpstreamEnd::kComplete) return "an answer that cannot be used";
   return UpstreamEndName(end);
 }
 
 void ForwardedRequest::AfterFailure(const AttemptFacts& facts,
                                     const AttemptResult& result) {
-  // That its key may have been taken away does not change with another
-  // endpoint. The next proof is there within milliseconds where the store
-  // answers: no reason to cut a stream whose caller has a part of it.
-  if (facts.end == UpstreamEnd::kWithdrawn && !proved_) {
-    if (!WaitForProof()) GiveUp(kUnproved);
+  // Another endpoint would not help if the key may have been revoked. If the
+  // store responds, the configuration is confirmed within milliseconds, so a
+  // started stream waits for that rather than being cut.
+  if (facts.end == UpstreamEnd::kWithdrawn && !config_fresh_) {
+    if (!WaitForFreshness()) Fail(kConfigMaybeStale);
     return;
   }
-  const bool may_repeat = result.ran == Ran::kNo || MayRepeat();
-  if (!may_repeat || !MayTryAgain(now(), runs_)) {
-    if (may_repeat && why_no_more_ == kNoRetryLeft && WaitForRetry()) return;
-    GiveUp(result.ran == Ran::kNo ? why_no_more_ : ReasonOf(facts.end));
+  const bool may_repeat = result.executed == Executed::kNo || MayRepeat();
+  if (!may_repeat || !AcquireAttempt(now(), possible_runs_)) {
+    if (may_repeat && no_attempt_reason_ == kNoRetryLeft && WaitForRetry())
+      return;
+    Fail(result.executed == Executed::kNo ? no_attempt_reason_
+                                          : FailureReason(facts.end));
     return;
   }
-  // A chain that was full is full for a while. One whose stage is down is not:
-  // that stage is left out of the next pick.
-  const bool refused = facts.says_not_run && order_.exchange->streaming();
-  const bool full = refused && !(timed_ && refusals_++ == 0);
-  if (!full || !WaitToResume()) Attempt();
+  // A chain that was full stays full for a while, so the request waits. If the
+  // rejection was due to a stage that is down, the next pick leaves it out.
+  const bool rejected =
+      facts.reported_not_run && admitted_.exchange->streaming();
+  const bool full = rejected && !(timed_recovery_ && resume_refusals_++ == 0);
+  if (!full || !WaitForChain()) StartAttempt();
 }
 
 bool ForwardedRequest::MayRepeat() const {
   const bool stream = route_.kind == RequestKind::kStream;
   return route_.may_repeat() &&
-         (!stream || parts_->mechanisms.enabled(Mechanism::kResume));
+         (!stream || context_->mechanisms.enabled(Mechanism::kResume));
 }
 
-bool ForwardedRequest::MayTryAgain(Time t, int runs) {
-  why_no_more_ = "not run there";
+bool ForwardedRequest::AcquireAttempt(Time t, int runs) {
+  no_attempt_reason_ = "not run there";
   if (runs >= route_.max_attempts) return false;
-  const bool begun = order_.exchange->streaming();
-  if (!begun && tries_ >= route_.max_attempts + kMostRefusals) return false;
-  if (order_.limit - t < kLeastTime) return false;
-  // What never arrived anywhere is no retry to anybody.
-  if (!sent_any_ || retry_taken_) return true;
-  retry_taken_ = parts_->retries->Take(t, order_.service, Need());
-  if (!retry_taken_) why_no_more_ = kNoRetryLeft;
-  return retry_taken_;
+  const bool started = admitted_.exchange->streaming();
+  if (!started && picks_ >= route_.max_attempts + kMaxExtraRefusals)
+    return false;
+  if (admitted_.limit - t < kMinTimeLeft) return false;
+  // An attempt that was never sent needs no retry.
+  if (!was_sent_ || retry_acquired_) return true;
+  retry_acquired_ =
+      context_->retries->Acquire(t, admitted_.service, retry_class());
+  if (!retry_acquired_) no_attempt_reason_ = kNoRetryLeft;
+  return retry_acquired_;
 }
 
-RetryClass ForwardedRequest::Need() const {
-  if (order_.exchange->streaming()) return RetryClass::kBegunStream;
-  const bool urgent = order_.request_class.tier == Tier::kCritical;
+RetryClass ForwardedRequest::retry_class() const {
+  if (admitted_.exchange->streaming()) return RetryClass::kStartedStream;
+  const bool urgent = admitted_.request_class.tier == Tier::kCritical;
   return urgent ? RetryClass::kUrgent : RetryClass::kOther;
 }
 
-void ForwardedRequest::GiveUp(std::string_view why, bool late) {
-  const ForwardHeaders& names = parts_->protocol.headers;
-  CallerExchange& exchange = *order_.exchange;
+void ForwardedRequest::Fail(std::string_view why, bool timed_out) {
+  const ForwardHeaders& names = context_->protocol.headers;
+  CallerExchange& exchange = *admitted_.exchange;
   if (exchange.streaming()) {
     exchange.Abort();
     Finish(why);
     return;
   }
-  if (failure_) {
-    exchange.Reply(failure_->status, failure_->reason,
-                   ForwardedResponseHeaders(*failure_, parts_->protocol),
-                   failure_body_);
+  if (endpoint_error_) {
+    exchange.Reply(
+        endpoint_error_->status, endpoint_error_->reason,
+        ForwardedResponseHeaders(*endpoint_error_, context_->protocol),
+        endpoint_error_body_);
     Finish("failed by endpoint");
     return;
   }
   HttpHeaders headers = {{"Content-Type", std::string(kJsonType)},
-                         {names.request_id, order_.id}};
+                         {names.request_id, admitted_.id}};
   if (!may_have_run_) {
-    headers.emplace_back("Retry-After", kComeBack);
+    headers.emplace_back("Retry-After", kRetryAfter);
     exchange.Reply(503, "", headers,
                    ErrorBody("unavailable", why, Outcome::kNotRun));
   } else {
-    exchange.Reply(late ? 504 : 502, "", headers,
+    exchange.Reply(timed_out ? 504 : 502, "", headers,
                    ErrorBody("upstream", why, Outcome::kUnknown));
   }
   Finish(why);
@@ -98,44 +105,45 @@
 
 // --- waits -----------------------------------------------------------------
 
-bool ForwardedRequest::WaitToResume() {
-  wait_ = WaitCause::kChain;
-  return LookAgain([](ForwardedRequest* r) { r->Attempt(); });
+bool ForwardedRequest::WaitForChain() {
+  wait_cause_ = WaitCause::kChain;
+  return ScheduleRecheck([](ForwardedRequest* r) { r->StartAttempt(); });
 }
 
 bool ForwardedRequest::WaitForRetry() {
-  wait_ = WaitCause::kRetry;
-  return LookAgain([](ForwardedRequest* r) {
-    if (r->MayTryAgain(r->now(), r->runs_)) {
-      r->Attempt();
-    } else if (r->why_no_more_ != kNoRetryLeft || !r->WaitForRetry()) {
-      r->GiveUp(r->why_no_more_);
+  wait_cause_ = WaitCause::kRetry;
+  return ScheduleRecheck([](ForwardedRequest* r) {
+    if (r->AcquireAttempt(r->now(), r->possible_runs_)) {
+      r->StartAttempt();
+    } else if (r->no_attempt_reason_ != kNoRetryLeft || !r->WaitForRetry()) {
+      r->Fail(r->no_attempt_reason_);
     }
   });
 }
 
-bool ForwardedRequest::WaitForProof() {
-  wait_ = WaitCause::kProof;
-  return LookAgain([](ForwardedRequest* r) {
-    if (r->parts_->proof_holds()) {
-      r->Attempt();
-    } else if (!r->WaitForProof()) {
-      r->GiveUp(kUnproved);
+bool ForwardedRequest::WaitForFreshness() {
+  wait_cause_ = WaitCause::kFreshness;
+  return ScheduleRecheck([](ForwardedRequest* r) {
+    if (r->context_->config_is_fresh()) {
+      r->StartAttempt();
+    } else if (!r->WaitForFreshness()) {
+      r->Fail(kConfigMaybeStale);
     }
   });
 }
 
-// Until its caller leaves or the time limit passes: how long a caller bears a
-// pause is for the caller to say.
-bool ForwardedRequest::LookAgain(void (*look)(ForwardedRequest*)) {
-  if (!order_.exchange->streaming()) return false;
-  resume_timer_ =
-      parts_->loop->After(kResumePause, [look, self = weak_from_this()] {
-        auto r = self.lock();
-        if (r == nullptr || r->over_) return;
-        r->resume_timer_ = 0;
-        look(r.get());
-      });
+// A started stream waits until its caller disconnects or the time limit passes:
+// the caller decides how long a pause it accepts.
+bool ForwardedRequest::ScheduleRecheck(void (*recheck)(ForwardedRequest*)) {
+  if (!admitted_.exchange->streaming()) return false;
+  recheck_timer_ = context_->loop->After(kRecheckInterval,
+                                         [recheck, self = weak_from_this()] {
+                                           auto r = self.lock();
+                                           if (r == nullptr || r->finished_)
+                                             return;
+                                           r->recheck_timer_ = 0;
+                                           recheck(r.get());
+                                         });
   return true;
 }
 
--- a/pinford/testing/forward_decisions_test.cc
+++ b/pinford/testing/forward_decisions_test.cc
@@ -1,5 +1,5 @@
-// The decisions of the forwarding path that need no clock and no sockets:
-// tables, and random cases against simple oracles.
+// Tests of the forwarding path's decisions without a clock or sockets: tables
+// of cases, and random cases compared with simple oracles.
 
 #include <gtest/gtest.h>
 
@@ -18,102 +18,102 @@
 namespace pinford {
 namespace {
 
-// --- what an attempt's end says --------------------------------------------
+// --- results of attempts ---------------------------------------------------
 
-TEST(AttemptResult, NotRunOnlyOnTheEndpointsWordOrWithoutASend) {
+TEST(AttemptResult, NotRunRequiresEndpointReportOrNoSend) {
   const struct {
     const char* name;
     AttemptFacts facts;
-    Ran ran;
-    AttemptUse use;
-    Lesson lesson;
+    Executed executed;
+    ResponseUse use;
+    EndpointFeedback feedback;
   } cases[] = {
       {"no connection",
        {UpstreamEnd::kRefused},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kFailed},
-      {"kept back",
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
+      {"withheld",
        {UpstreamEnd::kWithdrawn},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kNone},
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kNone},
       {"broken",
        {UpstreamEnd::kBroken},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"no HTTP",
        {UpstreamEnd::kMalformed},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"cut",
        {UpstreamEnd::kTruncated, 200, false, true},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"cut refusal",
        {UpstreamEnd::kTruncated, 503, true, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"refused",
        {UpstreamEnd::kComplete, 503, true, false},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kTurnedAway},
-      {"another life",
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kRejected},
+      {"another incarnation",
        {UpstreamEnd::kComplete, 421, false, false},
-       Ran::kNo,
-       AttemptUse::kNone,
-       Lesson::kTurnedAway},
-      {"503 without the word",
+       Executed::kNo,
+       ResponseUse::kNone,
+       EndpointFeedback::kRejected},
+      {"503 without a report",
        {UpstreamEnd::kComplete, 503, false, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
-      {"429 without the word",
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
+      {"429 without a report",
        {UpstreamEnd::kComplete, 429, false, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"answer",
        {UpstreamEnd::kComplete, 200, false, true},
-       Ran::kYes,
-       AttemptUse::kPassOn,
-       Lesson::kNone},
+       Executed::kYes,
+       ResponseUse::kForward,
+       EndpointFeedback::kNone},
       {"answer without seal",
        {UpstreamEnd::kComplete, 200, false, false},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"encoded answer",
        {UpstreamEnd::kComplete, 200, false, true, true},
-       Ran::kMaybe,
-       AttemptUse::kNone,
-       Lesson::kFailed},
+       Executed::kMaybe,
+       ResponseUse::kNone,
+       EndpointFeedback::kFailed},
       {"its own error",
        {UpstreamEnd::kComplete, 500, false, true},
-       Ran::kYes,
-       AttemptUse::kPassError,
-       Lesson::kNone},
+       Executed::kYes,
+       ResponseUse::kForwardError,
+       EndpointFeedback::kNone},
       {"a sealed 404",
        {UpstreamEnd::kComplete, 404, false, true},
-       Ran::kYes,
-       AttemptUse::kPassOn,
-       Lesson::kNone},
+       Executed::kYes,
+       ResponseUse::kForward,
+       EndpointFeedback::kNone},
   };
   for (const auto& c : cases) {
-    const AttemptResult r = JudgeAttempt(c.facts);
-    EXPECT_EQ(r.ran, c.ran) << c.name;
+    const AttemptResult r = ClassifyAttempt(c.facts);
+    EXPECT_EQ(r.executed, c.executed) << c.name;
     EXPECT_EQ(r.use, c.use) << c.name;
-    EXPECT_EQ(r.lesson, c.lesson) << c.name;
+    EXPECT_EQ(r.feedback, c.feedback) << c.name;
   }
 }
 
-// All combinations: "not run" never follows from less than it needs, and
-// nothing but a sealed, whole answer passes.
+// For all combinations: "not run" requires a report or that nothing was sent,
+// and only a complete, sealed response is forwarded.
 TEST(AttemptResult, HoldsForAllCombinations) {
   for (UpstreamEnd end : {UpstreamEnd::kComplete, UpstreamEnd::kRefused,
                           UpstreamEnd::kWithdrawn, UpstreamEnd::kBroken,
@@ -122,15 +122,15 @@
       for (int bits = 0; bits < 8; bits++) {
         const AttemptFacts f{end, status, (bits & 1) != 0, (bits & 2) != 0,
                              (bits & 4) != 0};
-        const AttemptResult r = JudgeAttempt(f);
+        const AttemptResult r = ClassifyAttempt(f);
         const bool never_sent =
             end == UpstreamEnd::kRefused || end == UpstreamEnd::kWithdrawn;
-        const bool word =
-            end == UpstreamEnd::kComplete && (f.says_not_run || status == 421);
-        EXPECT_EQ(r.ran == Ran::kNo, never_sent || word);
-        if (r.use == AttemptUse::kNone) continue;
+        const bool word = end == UpstreamEnd::kComplete &&
+                          (f.reported_not_run || status == 421);
+        EXPECT_EQ(r.executed == Executed::kNo, never_sent || word);
+        if (r.use == ResponseUse::kNone) continue;
         EXPECT_EQ(end, UpstreamEnd::kComplete);
-        EXPECT_TRUE(f.sealed && !f.encoded && !f.says_not_run);
+        EXPECT_TRUE(f.sealed && !f.encoded && !f.reported_not_run);
       }
     }
   }
@@ -143,7 +143,7 @@
          "\n\n";
 }
 
-TEST(EventStream, PassesWholeEventsOnceWhateverThePieces) {
+TEST(EventStream, ForwardsWholeEventsOnceForAnyChunking) {
   for (int seed = 0; seed < 300; seed++) {
     Random random(seed);
     const int events = 1 + static_cast<int>(random() % 20);
@@ -151,8 +151,8 @@
     for (int i = 1; i <= events; i++) all += Event(i);
     EventStream stream;
     std::string out;
-    // Runs break at random places; each next one goes on after the last event
-    // that was passed, or repeats some of those before it.
+    // Attempts break at random places. Each next one resumes after the last
+    // event that was forwarded, or repeats some events before it.
     size_t from = 0;
     for (int run = 0; run < 5; run++) {
       const bool last = run == 4;
@@ -178,7 +178,7 @@
   }
 }
 
-TEST(EventStream, ReadsLineEndsAndVersionsOfBothForms) {
+TEST(EventStream, AcceptsBothLineEndings) {
   EventStream stream;
   EXPECT_EQ(stream.Feed("version: 3\nid: 4\ndata: a\n\n"),
             "version: 3\nid: 4\ndata: a\n\n");
@@ -192,7 +192,7 @@
 
 // --- routes ----------------------------------------------------------------
 
-TEST(RouteTable, LongestPrefixOfTheHostAgainstASimpleSearch) {
+TEST(RouteTable, LongestPrefixMatchesLinearSearch) {
   for (int seed = 0; seed < 200; seed++) {
     Random random(seed);
     auto word = [&random] { return std::string(1, 'a' + random() % 3); };
@@ -256,9 +256,9 @@
 
 // --- retries ---------------------------------------------------------------
 
-// Boxes with uneven load that all retry as much as they may: in no window do
-// they exceed the bound together, though they hear late how many they are.
-TEST(RetryShare, HoldsOverAllBoxesInEveryWindow) {
+// Boxes with uneven load retry as much as they may. Together they stay within
+// the bound in every window, although they learn late how many boxes there are.
+TEST(RetryShare, BoundHoldsAcrossBoxesInEveryWindow) {
   constexpr int kBoxes = 8;
   for (int seed = 0; seed < 20; seed++) {
     Random random(seed);
@@ -271,14 +271,14 @@
     for (int ms = 0; ms < 40000; ms += 10) {
       const Time now = Time{} + milliseconds(ms);
       for (int b = 0; b < kBoxes; b++) {
-        // All have heard of each other after 3 s; later a cut hides half.
+        // Boxes know of each other after 3 s; later a partition hides half.
         const bool cut = ms > 15000 && ms < 25000;
         boxes[b].OnBoxCount(now, ms < 3000 ? 1 : cut ? kBoxes / 2 : kBoxes);
         if (static_cast<int>(random() % 100) < 2 * b) {
           boxes[b].OnRequest(now, "s");
           requests.push_back(now);
         }
-        while (boxes[b].Take(now, "s")) retries.push_back(now);
+        while (boxes[b].Acquire(now, "s")) retries.push_back(now);
       }
     }
     for (int ms = 0; ms < 40000; ms += 500) {
@@ -292,24 +292,24 @@
                                  options.extra)
           << seed << " from " << ms;
     }
-    EXPECT_GT(retries.size(), 300u) << "the bound is also used";
+    EXPECT_GT(retries.size(), 300u) << "the bound is also reached";
   }
 }
 
-TEST(RetryShare, ABoxThatHasJustStartedKnowsNoOther) {
+TEST(RetryShare, ANewBoxHasNoFixedShare) {
   RetryShare::Options options;
   RetryShare share(Time{}, options);
   share.OnBoxCount(Time{}, 1);
-  EXPECT_FALSE(share.Take(Time{} + seconds(1), "s"));
+  EXPECT_FALSE(share.Acquire(Time{} + seconds(1), "s"));
   for (int i = 0; i < 100; i++) share.OnRequest(Time{} + seconds(1), "s");
   int taken = 0;
-  while (share.Take(Time{} + seconds(2), "s")) taken++;
+  while (share.Acquire(Time{} + seconds(2), "s")) taken++;
   EXPECT_EQ(taken, 16);  // 0.8 x 0.2 x 100
 }
 
-// --- silent endpoints ------------------------------------------------------
+// --- idle endpoints --------------------------------------------------------
 
-TEST(EndpointWatch, AsksWhoIsSilentBeyondItsUsual) {
+TEST(EndpointWatch, ProbesEndpointsIdleBeyondTheirUsualInterval) {
   EndpointWatch watch{EndpointWatch::Options()};
   const Chain fast = {{"a", {0, 4}}, {"b", {4, 8}}};
   const Chain other = {{"a", {0, 4}}, {"c", {4, 8}}};
@@ -321,7 +321,7 @@
     watch.OnProgress(now, i % 2 == 0 ? fast : other);
     EXPECT_TRUE(watch.EndpointsToProbe(now).empty());
   }
-  // b and c fall silent; a goes on with what others send.
+  // b and c become idle; a continues with other streams.
   const Chain alone = {{"a", {0, 4}}};
   watch.OnBegin(now, alone);
   std::vector<std::string> asked;
@@ -338,13 +338,13 @@
   EXPECT_EQ(watch.OnProbeResult("c", true, 1), Change::kNone);
   EXPECT_TRUE(watch.IsDown("b"));
   EXPECT_FALSE(watch.IsDown("c"));
-  // Who is down is asked until it answers.
+  // An endpoint that is down is probed until it responds.
   now += milliseconds(500);
   const std::vector<std::string> again = watch.EndpointsToProbe(now);
   EXPECT_NE(std::find(again.begin(), again.end(), "b"), again.end());
   EXPECT_EQ(watch.OnProbeResult("b", true, 1), Change::kBetter);
   EXPECT_FALSE(watch.IsDown("b"));
-  // One that says that it is slow is asked until it is well.
+  // An endpoint that reports a slowdown is probed until it is no longer slow.
   EXPECT_EQ(watch.OnProbeResult("c", true, 5), Change::kWorse);
   EXPECT_TRUE(watch.IsSlow("c"));
   EXPECT_EQ(watch.OnProbeResult("c", true, 6), Change::kNone);
@@ -355,11 +355,11 @@
   EXPECT_FALSE(watch.IsSlow("c"));
 }
 
-TEST(EndpointWatch, WhoIsDoubtedIsAskedOnceAtATime) {
+TEST(EndpointWatch, OneProbeAtATime) {
   const EndpointWatch::Options options;
   EndpointWatch watch{options};
   Time now = Time{} + seconds(1);
-  // Each refusal doubts it; one question is under way, and then a pause.
+  // Each rejection asks for a probe; one is in progress, then there is a pause.
   EXPECT_TRUE(watch.BeginProbe(now, "a"));
   EXPECT_FALSE(watch.BeginProbe(now + milliseconds(1), "a"));
   EXPECT_TRUE(watch.BeginProbe(now + milliseconds(1), "b"));
@@ -367,13 +367,13 @@
   EXPECT_FALSE(watch.BeginProbe(now + milliseconds(2), "a"));
   now += options.healthy_probe_interval;
   EXPECT_TRUE(watch.BeginProbe(now, "a"));
-  // One that is down is asked by EndpointsToProbe, no sooner for a doubt.
+  // An endpoint that is down is probed by EndpointsToProbe and not sooner.
   watch.OnProbeResult("a", false, 1);
   EXPECT_FALSE(watch.BeginProbe(now + options.healthy_probe_interval, "a"));
   EXPECT_TRUE(watch.BeginProbe(now + options.impaired_probe_interval, "a"));
 }
 
-TEST(EndpointWatch, WhoHasNothingToDoIsNotSilent) {
+TEST(EndpointWatch, EndpointsWithoutStreamsAreNotProbed) {
   EndpointWatch watch{EndpointWatch::Options()};
   const Chain chain = {{"a", {0, 8}}};
   Time now{};
@@ -398,7 +398,7 @@
   return pool;
 }
 
-TEST(PoolPlacement, FillsEveryLayerAndRefillsWhatIsLost) {
+TEST(PoolPlacement, CoversEveryLayerAndRefillsAfterLosses) {
   const EnginePool pool = TestPool();
   const PoolPlacementOptions options;
   for (int seed = 0; seed < 50; seed++) {
@@ -439,7 +439,7 @@
       total += r.holds.size();
     }
     EXPECT_GE(least(), total / pool.layers - 2) << seed;
-    // Some come back empty; what they held is held again.
+    // Some restart without layers; the layers that they held are held again.
     const int before = least();
     for (PoolRunner& r : runners) {
       if (random() % 4 == 0) r.holds = {};
@@ -449,7 +449,8 @@
   }
 }
 
-// The least room of a layer that any ranges of the runners' sizes leave.
+// Returns the greatest minimum of free memory over all layers that any
+// placement of the runners reaches.
 double BestLeast(const EnginePool& pool, std::vector<PoolRunner>* runners,
                  size_t i, const PoolPlacementOptions& options) {
   if (i == runners->size())
@@ -465,8 +466,8 @@
   return best;
 }
 
-// On small pools of one hall, against all placements there are.
-TEST(PoolPlacement, IsNearTheBestOfAllOnSmallPools) {
+// Compares small pools of one hall with all possible placements.
+TEST(PoolPlacement, IsNearOptimalOnSmallPools) {
   EnginePool pool;
   pool.layers = 6;
   pool.layer_mb = 1000;
@@ -488,7 +489,7 @@
     const auto placed = PlaceUnderfilledRunners(pool, runners, options);
     for (PoolRunner& r : runners) r.holds = placed.at(r.name);
     const double got = PoolMemory(pool, options, runners).MinFreeMemory();
-    EXPECT_GT(got, 0) << seed << ": a layer is held by nobody";
+    EXPECT_GT(got, 0) << seed << ": a layer has no holder";
     EXPECT_GE(got, best / 2) << seed;
     reached += got;
     possible += best;
@@ -496,7 +497,7 @@
   EXPECT_GT(reached, 0.9 * possible);
 }
 
-TEST(PoolPlacement, WhatIsHeldIsKeptAndTheRestLaidAroundIt) {
+TEST(PoolPlacement, KeepsHeldLayersAndExtendsAroundThem) {
   const EnginePool pool = TestPool();
   const PoolPlacementOptions options;
   for (const LayerRange held : {LayerRange{0, 9}, {30, 39}, {71, 80}}) {
@@ -510,10 +511,10 @@
   }
 }
 
-TEST(PoolPlacement, AMoveCoversWhatNobodyHolds) {
+TEST(PoolPlacement, AMoveCoversUnheldLayers) {
   const EnginePool pool = TestPool();
   const PoolPlacementOptions options;
-  // Ranges of 27 layers; nobody holds those from 54 on.
+  // Ranges of 27 layers; no runner holds layers from 54 on.
   std::vector<PoolRunner> runners = {{"a", "h", "big", {0, 27}},
                                      {"b", "h", "big", {0, 27}},
                                      {"c", "h", "big", {27, 54}}};
@@ -529,7 +530,7 @@
   EXPECT_FALSE(BestMove(pool, runners, {}, 0, options));
 }
 
-TEST(PoolPlacement, BadKindsGetNothing) {
+TEST(PoolPlacement, UnusableKindsGetNoLayers) {
   EnginePool pool = TestPool();
   pool.kinds.push_back({"tiny", 1000, 1, 1});
   pool.kinds.push_back({"huge", 1e6, 1, 1});
@@ -544,7 +545,7 @@
 
 // --- heads -----------------------------------------------------------------
 
-TEST(ForwardHead, PassesAllButWhatConcernsOneConnectionOrTheKey) {
+TEST(ForwardHead, ForwardsAllButConnectionAndKeyHeaders) {
   ForwardProtocol protocol;
   protocol.write_chain = [](const std::vector<AddressedStage>& chain) {
     return std::to_string(chain.size()) + " stages";
@@ -586,7 +587,7 @@
                 {"Content-Type", "t"}, {"X-Seal", "s"}, {"X-Other", "kept"}}));
 }
 
-TEST(Base64, ThereAndBack) {
+TEST(Base64, RoundTrip) {
   for (int seed = 0; seed < 200; seed++) {
     Random random(seed);
     std::string bytes(random() % 50, '\0');
--- a/pinford/testing/forwarder_fixture.h
+++ b/pinford/testing/forwarder_fixture.h
@@ -1,5 +1,5 @@
 // A forwarder between a caller's socket and two endpoints' sockets, all on one
-// event loop, and what such endpoints say.
+// event loop, and the responses of such endpoints.
 
 #ifndef PINFORD_TESTING_FORWARDER_FIXTURE_H_
 #define PINFORD_TESTING_FORWARDER_FIXTURE_H_
@@ -29,7 +29,7 @@
   return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 }
 
-inline std::string EventsHead() {
+inline std::string StreamHead() {
   return "HTTP/1.1 200 OK\r\nX-Pinford-Request: 1\r\nX-Seal: s\r\n"
          "Content-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
@@ -45,7 +45,7 @@
   return "id: " + std::to_string(id) + "\ndata: x\n\n";
 }
 
-// A box in miniature with two endpoints of one plain service.
+// The forwarding path of a box, with two endpoints of one plain service.
 class ForwarderFixture {
  public:
   ForwarderFixture()
@@ -55,33 +55,33 @@
         table("h", TableOptions(), Random(1)),
         retries(Time{}, RetryShare::Options()),
         random(1),
-        parts{&loop,
-              &upstream,
-              &table,
-              &retries,
-              &metrics,
-              &random,
-              {},
-              [](const RequestFacts&) { return RequestClass(); },
-              [](const std::string&, const std::string&) { return 1.0; },
-              [this] { return proof; },
-              [] { return Duration(0); },
-              {},
-              [this] { callers_waiting++; },
-              {},
-              [this](const std::string& name, uint64_t incarnation) {
-                said_leaving.emplace_back(name, incarnation);
-                table.OnLeaving(name, incarnation);
-              },
-              {},
-              {}},
-        forwarder(&parts),
+        context{&loop,
+                &upstream,
+                &table,
+                &retries,
+                &metrics,
+                &random,
+                {},
+                [](const RequestFacts&) { return RequestClass(); },
+                [](const std::string&, const std::string&) { return 1.0; },
+                [this] { return config_fresh; },
+                [] { return Duration(0); },
+                {},
+                [this] { callers_waiting++; },
+                {},
+                [this](const std::string& name, uint64_t incarnation) {
+                  leaving_reports.emplace_back(name, incarnation);
+                  table.OnLeaving(name, incarnation);
+                },
+                {},
+                {}},
+        forwarder(&context),
         server(&loop, CallerServer::Limits(), [this](CallerExchangePtr e) {
           forwarder.Handle(std::move(e));
         }) {
     address = {"127.0.0.1", static_cast<uint16_t>(FreePorts(1)[0])};
     EXPECT_TRUE(server.Listen(address));
-    List({"a", "b"});
+    SetEndpoints({"a", "b"});
     auto c = std::make_shared<ServiceConfiguration>();
     c->version = 1;
     c->customers = {{{"customer", {"key"}, {}}}};
@@ -120,7 +120,7 @@
     return options;
   }
 
-  void List(const std::vector<std::string>& names) {
+  void SetEndpoints(const std::vector<std::string>& names) {
     std::vector<ListedEndpoint> list;
     list.reserve(names.size());
     for (const std::string& name : names) {
@@ -135,7 +135,7 @@
     }
   }
 
-  // How long all routes allow.
+  // Sets the timeout of all routes.
   void SetTimeout(Duration timeout) {
     auto c = std::make_shared<ServiceConfiguration>(
         forwarder.routes()->configuration());
@@ -143,8 +143,8 @@
     forwarder.set_routes(std::make_shared<RouteTable>(c));
   }
 
-  // The service is a pool of two layers: a holds the first, and each of
-  // `holders` the other. Those but b cannot be reached.
+  // Makes the service a pool of two layers: a holds the first, and each of
+  // `holders` the other. Of these, only b can be reached.
   void MakePool(const std::vector<std::string>& holders = {"b"}) {
     auto c = std::make_shared<ServiceConfiguration>(
         forwarder.routes()->configuration());
@@ -168,15 +168,15 @@
       report.slots = 8;
       table.OnReport(loop.now(), e.name, report);
     }
-    parts.probe = [this](const std::string& endpoint,
-                         const std::function<void(RunnerHealth)>& fn) {
-      asked.push_back(endpoint);
-      fn(silent.contains(endpoint) ? RunnerHealth() : health);
+    context.probe = [this](const std::string& endpoint,
+                           const std::function<void(RunnerHealth)>& fn) {
+      probed.push_back(endpoint);
+      fn(unresponsive.contains(endpoint) ? RunnerHealth() : health);
     };
-    parts.reroute = [this](const Address&, const std::string&,
-                           const std::vector<AddressedStage>& chain,
-                           const RerouteHandler& fn) {
-      rerouted.push_back({chain, fn});
+    context.reroute = [this](const Address&, const std::string&,
+                             const std::vector<AddressedStage>& chain,
+                             const RerouteHandler& fn) {
+      reroutes.push_back({chain, fn});
     };
   }
 
@@ -195,8 +195,8 @@
     return Listed(name, EndpointRole::kRunner, at);
   }
 
-  // Runners that this box has work at, but a.
-  std::vector<std::string> AtWork() const {
+  // Runners other than a on which this box has load.
+  std::vector<std::string> BusyRunners() const {
     std::vector<std::string> names;
     for (const auto& [name, row] : table.rows()) {
       if (name != "a" && row.own > 0) names.push_back(name);
@@ -204,16 +204,16 @@
     return names;
   }
 
-  // Both endpoints go through the same steps, one request after the other.
+  // Sets the steps of both endpoints, one per request.
   void Script(const std::vector<RawEndpoint::Step>& first,
               const std::vector<RawEndpoint::Step>& second) {
     a.steps = first;
     b.steps = second;
   }
 
-  std::string Ask(const std::string& method, const std::string& path,
-                  Duration d = milliseconds(400),
-                  const std::string& more = "X-Key: key\r\n") {
+  std::string SendRequest(const std::string& method, const std::string& path,
+                          Duration d = milliseconds(400),
+                          const std::string& more = "X-Key: key\r\n") {
     got.clear();
     ended = false;
     caller = TcpConnection::Connect(&loop, address);
@@ -239,25 +239,27 @@
   RawEndpoint a;
   RawEndpoint b;
   Address address;
-  bool proof = true;
+  bool config_fresh = true;
   Metrics metrics;
   UpstreamClient upstream;
   EndpointTable table;
   RetryShare retries;
   Random random;
-  ForwardContext parts;
+  ForwardContext context;
   Forwarder forwarder;
   CallerServer server;
   std::shared_ptr<TcpConnection> caller;
   std::string got;
   bool ended = false;
-  int callers_waiting = 0;                // times that the box was told of one
-  std::vector<std::string> asked;         // runners of the pool, in order
-  std::set<std::string> silent;           // of them, those that do not answer
-  RunnerHealth health{true, true};        // what each of the others says
-  std::vector<LeavingMark> said_leaving;  // by answers
-  // Chains that a's request was to go on with, and whom to answer.
-  std::vector<std::pair<std::vector<AddressedStage>, RerouteHandler>> rerouted;
+  int callers_waiting = 0;  // calls of on_caller_waiting
+  std::vector<std::string>
+      probed;  // runners of the pool, in order of the probes
+  std::set<std::string> unresponsive;  // runners that do not respond to probes
+  RunnerHealth health{true, true};     // reported by all others
+  std::vector<LeavingMark> leaving_reports;  // read from responses
+  // The chains that a was asked to continue with, and the handlers of the
+  // results.
+  std::vector<std::pair<std::vector<AddressedStage>, RerouteHandler>> reroutes;
 };
 
 inline std::string StatusOf(const std::string& answer) {
--- a/pinford/testing/forwarder_test.cc
+++ b/pinford/testing/forwarder_test.cc
@@ -1,5 +1,5 @@
-// Requests from a caller's socket to an endpoint's and back: what the caller
-// gets for everything an endpoint may do.
+// Requests from a caller's socket to an endpoint's and back: the caller's
+// response for each behavior of an endpoint.
 
 #include "pinford/testing/forwarder_fixture.h"
 
@@ -9,11 +9,11 @@
 using Fixture = ForwarderFixture;
 using Then = RawEndpoint::Step::Then;
 
-TEST(Forwarder, WhatTheCallerGetsForWhatAnEndpointDoes) {
+TEST(Forwarder, CallerResponseForEachEndpointBehavior) {
   const struct {
     const char* name;
-    RawEndpoint::Step step;  // of every endpoint, each time
-    std::string once, get;   // the status, by kind of request
+    RawEndpoint::Step step;  // of both endpoints, for every request
+    std::string once, get;   // expected status, by kind of request
     size_t once_sends, get_sends;
   } cases[] = {
       {"answers", {Sealed("1", "ab")}, "200", "200", 1, 1},
@@ -34,7 +34,7 @@
        "502",
        1,
        2},
-      {"says 503 without the word",
+      {"sends 503 without X-Not-Run",
        {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"},
        "502",
        "502",
@@ -46,7 +46,7 @@
        "502",
        1,
        2},
-      {"answers another",
+      {"answers another request first",
        {Sealed("0", "no") + Sealed("1", "ab")},
        "200",
        "200",
@@ -64,7 +64,8 @@
     for (const bool once : {true, false}) {
       Fixture f;
       f.Script({c.step, c.step, c.step}, {c.step, c.step, c.step});
-      const std::string answer = f.Ask("GET", once ? "/once/" : "/get/");
+      const std::string answer =
+          f.SendRequest("GET", once ? "/once/" : "/get/");
       EXPECT_EQ(StatusOf(answer), once ? c.once : c.get) << c.name;
       EXPECT_EQ(f.sends(), once ? c.once_sends : c.get_sends)
           << c.name << " once " << once;
@@ -72,86 +73,91 @@
       EXPECT_EQ(answer.find("Retry-After") != std::string::npos, refused)
           << c.name;
       EXPECT_EQ(f.forwarder.active(), 0u) << c.name;
-      // What is said of it to operators.
-      const bool told_complete =
+      // The metrics must agree.
+      const bool counted_complete =
           f.metrics.Text().find("outcome=\"complete\"") != std::string::npos;
-      EXPECT_EQ(told_complete, StatusOf(answer) == "200") << c.name;
+      EXPECT_EQ(counted_complete, StatusOf(answer) == "200") << c.name;
     }
   }
 }
 
-TEST(Forwarder, ASilentEndpointIsLeftForAnotherOnlyIfThatMayBe) {
+TEST(Forwarder, AnUnresponsiveEndpointIsRetriedOnlyIfRepeatable) {
   Fixture f;
   f.Script({}, {});
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/once/", milliseconds(1800))), "504");
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/once/", milliseconds(1800))),
+            "504");
   EXPECT_EQ(f.sends(), 1u);
   Fixture g;
   g.Script({}, {});
-  EXPECT_EQ(StatusOf(g.Ask("GET", "/get/", milliseconds(1800))), "504");
+  EXPECT_EQ(StatusOf(g.SendRequest("GET", "/get/", milliseconds(1800))), "504");
   EXPECT_EQ(g.sends(), 2u);
 }
 
-// A key whose proof lapses while a connection is made: nothing is sent, and
-// the caller is told so once.
-TEST(Forwarder, WithoutAProofNothingIsSentAndNothingIsTriedAgain) {
+// If the configuration becomes stale while a connection is made, nothing is
+// sent and the caller gets one refusal.
+TEST(Forwarder, WithoutFreshnessNothingIsSentOrRetried) {
   Fixture f;
   f.Script({{Sealed("1", "ab")}}, {{Sealed("1", "ab")}});
-  int looks = 0;
-  f.parts.proof_holds = [&looks] { return ++looks == 1; };
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/get/")), "503");
+  int checks = 0;
+  f.context.config_is_fresh = [&checks] { return ++checks == 1; };
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/")), "503");
   EXPECT_EQ(f.sends(), 0u);
-  EXPECT_EQ(looks, 2);
-  // Nor is a route or key said to be missing.
-  f.parts.proof_holds = [] { return false; };
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/nowhere/")), "503");
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/get/", milliseconds(100), "")), "503");
-  f.parts.proof_holds = [] { return true; };
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/nowhere/")), "404");
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/get/", milliseconds(100), "")), "401");
+  EXPECT_EQ(checks, 2);
+  // A missing route or key is not reported either.
+  f.context.config_is_fresh = [] { return false; };
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/nowhere/")), "503");
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/", milliseconds(100), "")),
+            "503");
+  f.context.config_is_fresh = [] { return true; };
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/nowhere/")), "404");
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/", milliseconds(100), "")),
+            "401");
 }
 
-// A stream that broke was cut at once when the proof of the configuration was
-// too old for its next send, though the store renews it within milliseconds.
-TEST(Forwarder, ABegunStreamWaitsForAProof) {
+// A stream that broke was cut at once if the configuration was stale at its
+// next send, although the store confirms it within milliseconds.
+TEST(Forwarder, AStartedStreamWaitsForFreshness) {
   Fixture f;
-  f.List({"a"});
-  f.Script({{EventsHead() + Chunk(Event(1)), Then::kReset},
-            {EventsHead() + Chunk(Event(2)) + "0\r\n\r\n"}},
+  f.SetEndpoints({"a"});
+  f.Script({{StreamHead() + Chunk(Event(1)), Then::kReset},
+            {StreamHead() + Chunk(Event(2)) + "0\r\n\r\n"}},
            {});
-  f.loop.After(milliseconds(10), [&f] { f.proof = false; });
-  f.loop.After(milliseconds(300), [&f] { f.proof = true; });
-  const std::string answer = f.Ask("GET", "/stream/", milliseconds(700));
+  f.loop.After(milliseconds(10), [&f] { f.config_fresh = false; });
+  f.loop.After(milliseconds(300), [&f] { f.config_fresh = true; });
+  const std::string answer =
+      f.SendRequest("GET", "/stream/", milliseconds(700));
   EXPECT_NE(answer.find(Chunk(Event(2)) + "0\r\n\r\n"), std::string::npos)
       << answer;
-  EXPECT_EQ(f.sends(), 2u) << "nothing is sent without a proof";
+  EXPECT_EQ(f.sends(), 2u)
+      << "nothing is sent while the configuration is stale";
 }
 
-// Callers of routes with a generous goal bear pauses of four seconds and more;
-// a box cut their streams after 2.5 s, or after twelve refusals, while they
-// still waited.
-TEST(Forwarder, ABegunStreamWaitsAsLongAsItsCallerDoes) {
-  const RawEndpoint::Step begins = {EventsHead() + Chunk(Event(1)),
+// Callers of routes with a generous latency objective accept pauses of four
+// seconds and more. A box cut their streams after 2.5 s, or after twelve
+// rejections, while they still waited.
+TEST(Forwarder, AStartedStreamWaitsUntilItsCallerLeaves) {
+  const RawEndpoint::Step begins = {StreamHead() + Chunk(Event(1)),
                                     Then::kReset};
-  const RawEndpoint::Step ends = {EventsHead() + Chunk(Event(2)) + "0\r\n\r\n"};
+  const RawEndpoint::Step ends = {StreamHead() + Chunk(Event(2)) + "0\r\n\r\n"};
   const struct {
     const char* name;
-    Duration away;    // nobody serves for so long
-    size_t refusals;  // that come after it
-  } cases[] = {{"nobody is there", milliseconds(2800), 0},
-               {"all refuse", milliseconds(0), 13}};
+    Duration away;    // no endpoint for that long
+    size_t refusals;  // after that
+  } cases[] = {{"no endpoint", milliseconds(2800), 0},
+               {"all reject", milliseconds(0), 13}};
   for (const auto& c : cases) {
     Fixture f;
     f.SetTimeout(seconds(8));
-    f.List({"a"});
+    f.SetEndpoints({"a"});
     std::vector<RawEndpoint::Step> steps = {begins};
     steps.insert(steps.end(), c.refusals, {Refused()});
     steps.push_back(ends);
     f.Script(steps, {});
     if (c.away > Duration(0)) {
-      f.loop.After(milliseconds(10), [&f] { f.List({}); });
-      f.loop.After(c.away, [&f] { f.List({"a"}); });
+      f.loop.After(milliseconds(10), [&f] { f.SetEndpoints({}); });
+      f.loop.After(c.away, [&f] { f.SetEndpoints({"a"}); });
     }
-    f.Ask("GET", "/stream/", milliseconds(100));
+    f.SendRequest("GET", "/stream/", milliseconds(100));
     for (int i = 0; i < 60 && !f.ended && f.forwarder.active() > 0; i++) {
       f.RunFor(milliseconds(100));
     }
@@ -160,19 +166,19 @@
   }
 }
 
-// A box left a run that stood still before it had looked for another one. None
-// was to be had, and the caller was cut though the runner went on.
-TEST(Forwarder, ASilentRunIsLeftOnlyForAnotherOne) {
+// A box abandoned a stalled attempt before it had picked another target. There
+// was none, so the caller was cut although the runner continued.
+TEST(Forwarder, AStalledAttemptIsAbandonedOnlyForAnother) {
   for (const bool pool : {true, false}) {
     Fixture f;
     if (pool) {
       f.MakePool();
     } else {
-      f.List({"a"});
+      f.SetEndpoints({"a"});
     }
-    f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-    f.Ask("POST", "/stream/1", milliseconds(30));
-    // It finishes what it has, and takes nothing new.
+    f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+    f.SendRequest("POST", "/stream/1", milliseconds(30));
+    // It finishes its requests and accepts no new ones.
     f.table.OnLeaving("a");
     f.RunFor(milliseconds(400));
     f.a.WriteMore(Chunk(Event(2)) + "0\r\n\r\n");
@@ -185,15 +191,16 @@
   }
 }
 
-TEST(Forwarder, AStreamThatBreaksGoesOnElsewhereAfterItsLastWholeEvent) {
+TEST(Forwarder, ABrokenStreamResumesAfterItsLastWholeEvent) {
   Fixture f;
-  f.List({"a"});
+  f.SetEndpoints({"a"});
   const std::string part = Event(3).substr(0, 5);
   f.Script(
-      {{EventsHead() + Chunk(Event(1)) + Chunk(Event(2) + part), Then::kReset},
-       {EventsHead() + Chunk(Event(3)) + "0\r\n\r\n"}},
+      {{StreamHead() + Chunk(Event(1)) + Chunk(Event(2) + part), Then::kReset},
+       {StreamHead() + Chunk(Event(3)) + "0\r\n\r\n"}},
       {});
-  const std::string answer = f.Ask("GET", "/stream/", milliseconds(600));
+  const std::string answer =
+      f.SendRequest("GET", "/stream/", milliseconds(600));
   EXPECT_EQ(f.sends(), 2u);
   EXPECT_NE(f.a.requests[1].find("Last-Event-ID: 2"), std::string::npos);
   EXPECT_NE(answer.find(Chunk(Event(3)) + "0\r\n\r\n"), std::string::npos);
@@ -205,54 +212,57 @@
   EXPECT_EQ(heads, 1u);
 }
 
-// The head that the caller has is that of a stream.
-TEST(Forwarder, AnAnswerThatIsNoStreamEndsABegunOne) {
+// The caller already has the head of a stream, which no other response can
+// follow.
+TEST(Forwarder, ANonStreamAnswerEndsAStartedStream) {
   Fixture f;
-  f.List({"a"});
-  f.Script({{EventsHead() + Chunk(Event(1)), Then::kReset},
+  f.SetEndpoints({"a"});
+  f.Script({{StreamHead() + Chunk(Event(1)), Then::kReset},
             {Sealed("1", "whole"), Then::kKeep}},
            {});
-  const std::string answer = f.Ask("GET", "/stream/", milliseconds(400));
+  const std::string answer =
+      f.SendRequest("GET", "/stream/", milliseconds(400));
   EXPECT_EQ(f.sends(), 2u);
   EXPECT_TRUE(f.ended);
   EXPECT_EQ(answer.find("whole"), std::string::npos);
   EXPECT_EQ(answer.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST(Forwarder, AStreamThatCannotGoOnDoesNotLookComplete) {
+TEST(Forwarder, AFailedStreamIsNotReportedComplete) {
   Fixture f;
-  f.Script({{EventsHead() + Chunk(Event(1)), Then::kReset},
-            {EventsHead() + Chunk(Event(2)), Then::kReset}},
-           {{EventsHead() + Chunk(Event(1)), Then::kReset},
-            {EventsHead() + Chunk(Event(2)), Then::kReset}});
-  const std::string answer = f.Ask("GET", "/stream/", milliseconds(1200));
+  f.Script({{StreamHead() + Chunk(Event(1)), Then::kReset},
+            {StreamHead() + Chunk(Event(2)), Then::kReset}},
+           {{StreamHead() + Chunk(Event(1)), Then::kReset},
+            {StreamHead() + Chunk(Event(2)), Then::kReset}});
+  const std::string answer =
+      f.SendRequest("GET", "/stream/", milliseconds(1200));
   EXPECT_TRUE(f.ended);
   EXPECT_EQ(answer.find("0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(f.sends(), 2u) << "the route allows two";
 }
 
-// Some endpoints never say that they leave: their entry goes, and they serve
-// on for seconds. What they have is finished there; nothing new goes there.
-TEST(Forwarder, AnEndpointWhoseEntryGoesFinishesWhatItHas) {
+// Some endpoints are removed from the list without announcing that they leave,
+// and serve on for seconds. Their requests finish there; no new ones are sent.
+TEST(Forwarder, ADelistedEndpointFinishesItsRequests) {
   Fixture f;
-  f.List({"a"});
-  f.Script({{EventsHead() + Chunk(Event(1))}}, {{Sealed("1", "ab")}});
-  f.Ask("GET", "/stream/", milliseconds(40));
-  f.List({"b"});
+  f.SetEndpoints({"a"});
+  f.Script({{StreamHead() + Chunk(Event(1))}}, {{Sealed("1", "ab")}});
+  f.SendRequest("GET", "/stream/", milliseconds(40));
+  f.SetEndpoints({"b"});
   f.upstream.DropConnections("a");
   f.forwarder.RemoveEndpoint("a");
   f.a.WriteMore(Chunk(Event(2)) + "0\r\n\r\n");
   f.RunFor(milliseconds(40));
   EXPECT_NE(f.got.find(Chunk(Event(2)) + "0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(f.sends(), 1u);
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/get/")), "200");
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/")), "200");
   EXPECT_EQ(f.a.requests.size(), 1u);
   EXPECT_EQ(f.b.requests.size(), 1u);
 }
 
-// A refusal says which stage is at fault, but not how: only that stage's own
-// answer tells a dead one from a full one.
-TEST(Forwarder, AStageThatARefusalNamesIsAskedAtOnce) {
+// A rejection names the stage at fault but not the fault. Only a probe of that
+// stage tells whether it is down or full.
+TEST(Forwarder, AStageNamedInARejectionIsProbedAtOnce) {
   const struct {
     const char* name;
     bool works;
@@ -261,125 +271,127 @@
   for (const auto& c : cases) {
     Fixture f;
     f.MakePool();
-    if (!c.works) f.silent = {"b"};
+    if (!c.works) f.unresponsive = {"b"};
     const std::string refusal =
         "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-At-Fault: " +
         f.b.address().ToString() + "\r\nContent-Length: 0\r\n\r\n";
     f.Script({{refusal, Then::kKeep}}, {});
-    // Before it is asked again as one that is down (impaired_probe_interval,
+    // Before it is probed again as one that is down (impaired_probe_interval,
     // 400 ms).
-    const std::string got = f.Ask("POST", "/stream/1", milliseconds(200));
+    const std::string got =
+        f.SendRequest("POST", "/stream/1", milliseconds(200));
     EXPECT_EQ(StatusOf(got), "503") << c.name;
-    // Once, however often it is named in so short a time.
-    EXPECT_EQ(f.asked, std::vector<std::string>{"b"}) << c.name;
+    // Only once, however often it is named within that time.
+    EXPECT_EQ(f.probed, std::vector<std::string>{"b"}) << c.name;
     const Time later = f.loop.now() + seconds(1);
     EXPECT_EQ(f.table.TakesNewWork(later, "b"), c.takes_work_later) << c.name;
     EXPECT_TRUE(f.table.TakesNewWork(later, "a")) << c.name;
   }
 }
 
-// A box that had handed a large configuration to its peers got no answers over
-// its own full link. It took all runners of a chain for down at once, and left
-// streams that went well.
-TEST(Forwarder, WhereNobodyAnswersNobodyIsBlamed) {
+// A box whose link was saturated by sending a large configuration to its peers
+// got no responses to its probes. It marked all runners of a chain down at once
+// and abandoned streams that were progressing.
+TEST(Forwarder, NoRunnerIsMarkedDownWhenNoneAnswers) {
   Fixture f;
   f.MakePool({"c", "d"});
-  f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-  f.Ask("POST", "/stream/1", milliseconds(30));
-  const std::string stage = f.AtWork().at(0);
-  f.parts.probe = [&f](const std::string& endpoint,
-                       const std::function<void(RunnerHealth)>& fn) {
-    f.asked.push_back(endpoint);
-    const bool silent = f.silent.contains(endpoint);
-    f.loop.After(milliseconds(silent ? 30 : 2),
-                 [&f, silent, fn] { fn(silent ? RunnerHealth() : f.health); });
+  f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+  f.SendRequest("POST", "/stream/1", milliseconds(30));
+  const std::string stage = f.BusyRunners().at(0);
+  f.context.probe = [&f](const std::string& endpoint,
+                         const std::function<void(RunnerHealth)>& fn) {
+    f.probed.push_back(endpoint);
+    const bool unresponsive = f.unresponsive.contains(endpoint);
+    f.loop.After(milliseconds(unresponsive ? 30 : 2), [&f, unresponsive, fn] {
+      fn(unresponsive ? RunnerHealth() : f.health);
+    });
   };
   int events = 1;
   f.loop.Every(milliseconds(20),
                [&] { f.a.WriteMore(Chunk(Event(++events))); });
   const std::vector<std::string> all = {"a", "c", "d"};
-  const auto doubt_all = [&] {
+  const auto probe_all = [&] {
     for (const std::string& name : all) f.forwarder.ProbeIfDue(name);
     f.RunFor(milliseconds(200));
   };
-  f.silent = {all.begin(), all.end()};
-  doubt_all();
-  EXPECT_GE(f.asked.size(), 2 * all.size()) << "each is asked again";
+  f.unresponsive = {all.begin(), all.end()};
+  probe_all();
+  EXPECT_GE(f.probed.size(), 2 * all.size()) << "each is probed again";
   for (const std::string& name : all) {
     EXPECT_FALSE(f.forwarder.watch()->IsDown(name)) << name;
   }
-  EXPECT_TRUE(f.rerouted.empty());
-  // The way works again, and one of them does not.
-  f.silent = {stage};
-  doubt_all();
+  EXPECT_TRUE(f.reroutes.empty());
+  // The link works again, and one runner is down.
+  f.unresponsive = {stage};
+  probe_all();
   for (const std::string& name : all) {
     EXPECT_EQ(f.forwarder.watch()->IsDown(name), name == stage) << name;
   }
-  EXPECT_EQ(f.rerouted.size(), 1);
+  EXPECT_EQ(f.reroutes.size(), 1);
   EXPECT_EQ(f.sends(), 1);
 }
 
-// Runners that fail together are noticed one after the other: the second while
-// the first one's place is still being filled.
-TEST(Forwarder, AStandInThatFailsIsReplacedToo) {
+// Runners that fail together are detected one after the other: the second while
+// the first one is still being replaced.
+TEST(Forwarder, AFailedReplacementIsReplaced) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
-  f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-  f.Ask("POST", "/stream/1", milliseconds(30));
-  const std::vector<std::string> first = f.AtWork();
+  f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+  f.SendRequest("POST", "/stream/1", milliseconds(30));
+  const std::vector<std::string> first = f.BusyRunners();
   ASSERT_EQ(first.size(), 1);
-  f.silent.insert(first[0]);
+  f.unresponsive.insert(first[0]);
   f.forwarder.ProbeIfDue(first[0]);
-  ASSERT_EQ(f.rerouted.size(), 1);
-  const Address second_at = f.rerouted[0].first[1].at;
+  ASSERT_EQ(f.reroutes.size(), 1);
+  const Address second_at = f.reroutes[0].first[1].at;
   std::string second;
   for (const auto& [name, row] : f.table.rows()) {
     if (row.listed.address == second_at) second = name;
   }
-  f.silent.insert(second);
+  f.unresponsive.insert(second);
   f.forwarder.ProbeIfDue(second);
-  EXPECT_EQ(f.rerouted.size(), 1);  // a change is under way
-  f.rerouted[0].second({RerouteStatus::kDone, ""});
-  ASSERT_EQ(f.rerouted.size(), 2);
-  EXPECT_NE(f.rerouted[1].first[1].at, second_at);
-  f.rerouted[1].second({RerouteStatus::kDone, ""});
-  EXPECT_EQ(f.rerouted.size(), 2);
-  ASSERT_EQ(f.AtWork().size(), 1);
-  EXPECT_NE(f.AtWork()[0], first[0]);
-  EXPECT_NE(f.AtWork()[0], second);
+  EXPECT_EQ(f.reroutes.size(), 1);  // a reroute is in progress
+  f.reroutes[0].second({RerouteStatus::kDone, ""});
+  ASSERT_EQ(f.reroutes.size(), 2);
+  EXPECT_NE(f.reroutes[1].first[1].at, second_at);
+  f.reroutes[1].second({RerouteStatus::kDone, ""});
+  EXPECT_EQ(f.reroutes.size(), 2);
+  ASSERT_EQ(f.BusyRunners().size(), 1);
+  EXPECT_NE(f.BusyRunners()[0], first[0]);
+  EXPECT_NE(f.BusyRunners()[0], second);
 }
 
-// A stage that started anew has lost what it had read, and holds nothing: the
-// stream goes on elsewhere, at once where that is switched on.
-TEST(Forwarder, AStageThatStartsAnewIsReplaced) {
+// A restarted stage has lost its layers and prefilled tokens. The stream moves
+// to other runners, at once if Mechanism::kMoveAtRestart is on.
+TEST(Forwarder, ARestartedStageIsReplaced) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.parts.mechanisms.Add(Mechanism::kMoveOnRestart);
+    if (!on) f.context.mechanisms.Add(Mechanism::kMoveOnRestart);
     f.MakePool({"c", "d", "e"});
-    f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-    f.Ask("POST", "/stream/1", milliseconds(30));
-    ASSERT_EQ(f.AtWork().size(), 1);
-    const std::string stage = f.AtWork()[0];
+    f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+    f.SendRequest("POST", "/stream/1", milliseconds(30));
+    ASSERT_EQ(f.BusyRunners().size(), 1);
+    const std::string stage = f.BusyRunners()[0];
     f.table.OnRestart(f.loop.now(), stage);
     f.forwarder.OnRestart(stage);
-    EXPECT_EQ(f.rerouted.size(), on ? 1 : 0);
+    EXPECT_EQ(f.reroutes.size(), on ? 1 : 0);
     EXPECT_EQ(f.table.LoadOf(stage), 0);
     EXPECT_FALSE(f.forwarder.watch()->IsDown(stage));
     if (!on) continue;
-    f.rerouted[0].second({RerouteStatus::kDone, ""});
+    f.reroutes[0].second({RerouteStatus::kDone, ""});
     EXPECT_EQ(f.table.rows().at(stage).lost.streams, 0);
-    ASSERT_EQ(f.AtWork().size(), 1);
-    EXPECT_NE(f.AtWork()[0], stage);
+    ASSERT_EQ(f.BusyRunners().size(), 1);
+    EXPECT_NE(f.BusyRunners()[0], stage);
   }
 }
 
-// A question of the life before is answered after the next one has begun.
-TEST(Forwarder, AnAnswerOfTheLifeBeforeSaysNothingOfTheNext) {
+// The result of a probe of the previous incarnation arrives after a restart.
+TEST(Forwarder, ProbeResultsOfAnEarlierIncarnationAreIgnored) {
   Fixture f;
   f.MakePool({"c", "d"});
   std::function<void(RunnerHealth)> answer;
-  f.parts.probe = [&answer](const std::string&,
-                            std::function<void(RunnerHealth)> fn) {
+  f.context.probe = [&answer](const std::string&,
+                              std::function<void(RunnerHealth)> fn) {
     answer = std::move(fn);
   };
   f.forwarder.ProbeIfDue("c");
@@ -391,38 +403,38 @@
   EXPECT_FALSE(f.table.rows().at("c").down);
 }
 
-// The answer names the stand-in that cannot take the part: it is asked, and
-// left alone for a moment.
-TEST(Forwarder, AStandInThatHasNotThePartIsAsked) {
+// The result of a reroute names the replacement that cannot take the layers. It
+// is probed and not picked for a short time.
+TEST(Forwarder, AReplacementWithoutTheLayersIsProbed) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
-  f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-  f.Ask("POST", "/stream/1", milliseconds(30));
-  f.silent.insert(f.AtWork().at(0));
-  f.forwarder.ProbeIfDue(f.AtWork().at(0));
-  ASSERT_EQ(f.rerouted.size(), 1);
-  const Address named = f.rerouted[0].first[1].at;
-  f.asked.clear();
-  f.rerouted[0].second({RerouteStatus::kRefusedByStage, named.ToString()});
-  ASSERT_EQ(f.asked.size(), 1);
-  EXPECT_EQ(f.table.AddressOf(f.asked[0]), named);
-  EXPECT_FALSE(f.table.TakesNewWork(f.loop.now(), f.asked[0]));
+  f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+  f.SendRequest("POST", "/stream/1", milliseconds(30));
+  f.unresponsive.insert(f.BusyRunners().at(0));
+  f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
+  ASSERT_EQ(f.reroutes.size(), 1);
+  const Address named = f.reroutes[0].first[1].at;
+  f.probed.clear();
+  f.reroutes[0].second({RerouteStatus::kRefusedByStage, named.ToString()});
+  ASSERT_EQ(f.probed.size(), 1);
+  EXPECT_EQ(f.table.AddressOf(f.probed[0]), named);
+  EXPECT_FALSE(f.table.TakesNewWork(f.loop.now(), f.probed[0]));
 }
 
-// Retries are used up where a pool loses runners: a begun stream goes on as
-// soon as there is one, and is not cut for want of it.
-TEST(Forwarder, ABegunStreamWaitsForARetry) {
+// Retries run out when a pool loses runners. A started stream waits for one
+// rather than being cut.
+TEST(Forwarder, AStartedStreamWaitsForARetry) {
   Fixture f;
-  f.List({"a"});
-  f.Script({{EventsHead() + Chunk(Event(1)), Then::kReset},
-            {EventsHead() + Chunk(Event(2)) + "0\r\n\r\n"}},
+  f.SetEndpoints({"a"});
+  f.Script({{StreamHead() + Chunk(Event(1)), Then::kReset},
+            {StreamHead() + Chunk(Event(2)) + "0\r\n\r\n"}},
            {});
   RetryShare::Options none;
   none.ratio = none.extra = 0;
   f.retries.set_options(none);
   f.loop.After(milliseconds(400),
                [&f] { f.retries.set_options(RetryShare::Options()); });
-  f.Ask("POST", "/stream/x", milliseconds(300));
+  f.SendRequest("POST", "/stream/x", milliseconds(300));
   EXPECT_FALSE(f.ended);
   EXPECT_EQ(f.sends(), 1);
   f.RunFor(milliseconds(400));
@@ -430,56 +442,57 @@
   EXPECT_NE(f.got.find("0\r\n\r\n"), std::string::npos) << f.got;
 }
 
-// Nobody decides for a stream that stands still but its box: where a change was
-// refused and no retry is left, it looks again until somebody takes the part.
-TEST(Forwarder, AStreamWithoutAStageLooksAgain) {
+// Only its box can recover a stalled stream. After a failed reroute, and
+// without a retry left, the box tries again until a replacement takes the
+// layers.
+TEST(Forwarder, AStreamWithoutAStageReevaluates) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
   RetryShare::Options none;
   none.ratio = none.extra = 0;
   f.retries.set_options(none);
-  f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-  f.Ask("POST", "/stream/1", milliseconds(30));
-  f.silent.insert(f.AtWork().at(0));
-  f.forwarder.ProbeIfDue(f.AtWork().at(0));
-  ASSERT_EQ(f.rerouted.size(), 1);
-  f.silent.clear();
-  f.rerouted[0].second(
-      {RerouteStatus::kRefusedByStage, f.rerouted[0].first[1].at.ToString()});
+  f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+  f.SendRequest("POST", "/stream/1", milliseconds(30));
+  f.unresponsive.insert(f.BusyRunners().at(0));
+  f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
+  ASSERT_EQ(f.reroutes.size(), 1);
+  f.unresponsive.clear();
+  f.reroutes[0].second(
+      {RerouteStatus::kRefusedByStage, f.reroutes[0].first[1].at.ToString()});
   f.RunFor(milliseconds(150));
-  ASSERT_GE(f.rerouted.size(), 2);
-  EXPECT_NE(f.rerouted[1].first[1].at, f.rerouted[0].first[1].at);
-  f.rerouted[1].second({RerouteStatus::kDone, ""});
+  ASSERT_GE(f.reroutes.size(), 2);
+  EXPECT_NE(f.reroutes[1].first[1].at, f.reroutes[0].first[1].at);
+  f.reroutes[1].second({RerouteStatus::kDone, ""});
   f.RunFor(milliseconds(100));
-  EXPECT_EQ(f.rerouted.size(), 2) << "it goes on";
+  EXPECT_EQ(f.reroutes.size(), 2) << "it resumes";
 }
 
-// With replacement switched off nobody puts others in a stage's place, however
-// often it is looked at; with it on, as above.
-TEST(Forwarder, StagesAreReplacedOnlyWhereThatIsSwitchedOn) {
+// Without Mechanism::kStageReplacement no stage is replaced, even though the
+// recovery is decided again and again.
+TEST(Forwarder, StagesAreReplacedOnlyIfEnabled) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.parts.mechanisms.Add(Mechanism::kStageReplacement);
+    if (!on) f.context.mechanisms.Add(Mechanism::kStageReplacement);
     f.MakePool({"c", "d", "e"});
     RetryShare::Options none;
     none.ratio = none.extra = 0;
     f.retries.set_options(none);
-    f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-    f.Ask("POST", "/stream/1", milliseconds(30));
-    f.silent.insert(f.AtWork().at(0));
-    f.forwarder.ProbeIfDue(f.AtWork().at(0));
+    f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+    f.SendRequest("POST", "/stream/1", milliseconds(30));
+    f.unresponsive.insert(f.BusyRunners().at(0));
+    f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
     f.RunFor(milliseconds(200));
-    EXPECT_EQ(!f.rerouted.empty(), on);
+    EXPECT_EQ(!f.reroutes.empty(), on);
   }
 }
 
-// Runners of other halls would make all tokens so far cross twice.
-TEST(Forwarder, StandInsAreOfTheStagesOwnHall) {
+// With runners of other halls, all tokens so far would be transferred twice.
+TEST(Forwarder, ReplacementsComeFromTheStagesHall) {
   Fixture f;
   f.MakePool({"c", "d", "e"});
-  f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-  f.Ask("POST", "/stream/1", milliseconds(30));
-  const std::string lost = f.AtWork().at(0);
+  f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+  f.SendRequest("POST", "/stream/1", milliseconds(30));
+  const std::string lost = f.BusyRunners().at(0);
   std::string near;
   std::vector<ListedEndpoint> list;
   for (const auto& [name, row] : f.table.rows()) {
@@ -490,79 +503,79 @@
     list.push_back(e);
   }
   f.table.OnList(list);
-  f.table.SetSlowdown(near, 3);  // dearer than the others
-  f.silent.insert(lost);
+  f.table.SetSlowdown(near, 3);  // costs more than the others
+  f.unresponsive.insert(lost);
   f.forwarder.ProbeIfDue(lost);
-  ASSERT_EQ(f.rerouted.size(), 1);
-  EXPECT_EQ(f.rerouted[0].first[1].at, f.table.AddressOf(near));
+  ASSERT_EQ(f.reroutes.size(), 1);
+  EXPECT_EQ(f.reroutes[0].first[1].at, f.table.AddressOf(near));
 }
 
-// Events that come well within the allowed pause are worth more than reading
-// all tokens again elsewhere.
-TEST(Forwarder, AStreamStaysWithAStageThatIsSlow) {
+// While events arrive well within the allowed pause, staying is cheaper than
+// prefilling all tokens again elsewhere.
+TEST(Forwarder, AStreamStaysWithASlowStage) {
   for (const bool timed : {true, false}) {
     Fixture f;
-    if (!timed) f.parts.mechanisms.Add(Mechanism::kTimedRecovery);
+    if (!timed) f.context.mechanisms.Add(Mechanism::kTimedRecovery);
     f.MakePool({"c", "d"});
-    f.Script({{EventsHead() + Chunk(Event(1))}}, {});
-    f.Ask("POST", "/stream/1", milliseconds(30));
+    f.Script({{StreamHead() + Chunk(Event(1))}}, {});
+    f.SendRequest("POST", "/stream/1", milliseconds(30));
     f.a.WriteMore(Chunk(Event(2)));
     f.RunFor(milliseconds(30));
     f.health.slowdown = 3;
-    f.forwarder.ProbeIfDue(f.AtWork().at(0));
-    EXPECT_EQ(f.rerouted.size(), timed ? 0 : 1);
+    f.forwarder.ProbeIfDue(f.BusyRunners().at(0));
+    EXPECT_EQ(f.reroutes.size(), timed ? 0 : 1);
   }
 }
 
-// Prompts went on to a runner twelve times too slow for 9 s: where no event has
-// passed nobody missed one, and nobody asked.
-TEST(Forwarder, StagesThatHoldUpAFirstEventAreAsked) {
+// Prompts were sent to a runner twelve times too slow for 9 s: before the first
+// event, missing progress was not noticed and no stage was probed.
+TEST(Forwarder, StagesDelayingAFirstEventAreProbed) {
   Fixture f;
   f.MakePool({"c"});
   f.Script({{"", Then::kKeep}}, {});
   f.health.slowdown = 12;
-  // Beyond 0.45 of the 600 ms that the route aims at.
-  f.Ask("POST", "/stream/1", milliseconds(400));
-  EXPECT_NE(std::find(f.asked.begin(), f.asked.end(), "c"), f.asked.end());
+  // Longer than 0.45 of the route's latency objective of 600 ms.
+  f.SendRequest("POST", "/stream/1", milliseconds(400));
+  EXPECT_NE(std::find(f.probed.begin(), f.probed.end(), "c"), f.probed.end());
   EXPECT_EQ(f.table.rows().at("c").slowdown, 12);
 }
 
-// A box has just started: who comes before it knows anything waits for that,
-// but not for long.
-// The last retry is kept for who has most to lose.
-TEST(Forwarder, BegunStreamsAndUrgentRequestsGetTheLastRetry) {
+// The last retry is reserved for the callers that would lose most.
+TEST(Forwarder, StartedStreamsAndUrgentRequestsGetTheLastRetry) {
   const struct {
     const char* path;
     Tier tier;
-    std::string first;  // what the first endpoint sends before it breaks off
+    std::string first;  // sent by the first endpoint before it resets
     int sends;
   } cases[] = {
       {"/get/x", Tier::kStandard, "", 1},
       {"/get/x", Tier::kCritical, "", 2},
       {"/stream/x", Tier::kStandard, "", 1},
-      {"/stream/x", Tier::kStandard, EventsHead() + Chunk(Event(1)), 2},
+      {"/stream/x", Tier::kStandard, StreamHead() + Chunk(Event(1)), 2},
   };
   for (const auto& c : cases) {
     Fixture f;
     const std::string rest = c.first.empty()
                                  ? Sealed("1", "ab")
-                                 : EventsHead() + Chunk(Event(2)) + "0\r\n\r\n";
+                                 : StreamHead() + Chunk(Event(2)) + "0\r\n\r\n";
     f.Script({{c.first, Then::kReset}, {rest}}, {});
-    f.List({"a"});
-    f.parts.classify = [&c](const RequestFacts&) {
+    f.SetEndpoints({"a"});
+    f.context.classify = [&c](const RequestFacts&) {
       RequestClass request_class;
       request_class.tier = c.tier;
       return request_class;
     };
     RetryShare::Options one;
     one.ratio = 0;
-    one.extra = 1 / one.used;
+    one.extra = 1 / one.safety_factor;
     f.retries.set_options(one);
-    f.Ask("POST", c.path);
+    f.SendRequest("POST", c.path);
     EXPECT_EQ(f.sends(), c.sends) << c.path << " " << TierName(c.tier);
   }
 }
 
+// Requests that arrive before a new box has its first configuration wait for
+// it, for a short time.
 TEST(Forwarder, ACallerWaitsForTheFirstConfiguration) {
   Fixture f;
   f.Script({{Sealed("1", "x")}}, {{Sealed("1", "x")}});
@@ -574,17 +587,18 @@
     f.forwarder.set_routes(routes);
     f.forwarder.AdmitWaiting();
   });
-  EXPECT_EQ(StatusOf(f.Ask("GET", "/get/1")), "200");
+  EXPECT_EQ(StatusOf(f.SendRequest("GET", "/get/1")), "200");
   EXPECT_EQ(f.callers_waiting, 1);
-  // Later changes make nobody wait.
+  // Later configurations make no request wait.
   EXPECT_EQ(f.sends(), 1);
 }
 
 TEST(Forwarder, WithoutAConfigurationACallerIsSoonRefused) {
   Fixture f;
   f.forwarder.set_routes(nullptr);
-  EXPECT_EQ(f.Ask("GET", "/get/1", StartQueueOptions().max_wait / 2), "");
-  const std::string got = f.Ask("GET", "/get/1", milliseconds(200));
+  EXPECT_EQ(f.SendRequest("GET", "/get/1", StartQueueOptions().max_wait / 2),
+            "");
+  const std::string got = f.SendRequest("GET", "/get/1", milliseconds(200));
   EXPECT_EQ(StatusOf(got), "503");
   EXPECT_NE(got.find("Retry-After"), std::string::npos);
   EXPECT_EQ(f.sends(), 0);
@@ -592,24 +606,24 @@
 
 TEST(StartQueue, IsBoundedAndKeepsTheOrder) {
   StartQueueOptions options;
-  options.most = 2;
+  options.max_items = 2;
   StartQueue<int> queue(options);
   const Time now = Time{} + seconds(1);
   EXPECT_TRUE(queue.Add(now, 1));
   EXPECT_TRUE(queue.Add(now + milliseconds(10), 2));
   EXPECT_FALSE(queue.Add(now + milliseconds(10), 3));
-  EXPECT_TRUE(queue.TakeOverdue(now + milliseconds(99)).empty());
-  EXPECT_EQ(queue.TakeOverdue(now + options.max_wait), std::vector<int>{1});
+  EXPECT_TRUE(queue.PopExpired(now + milliseconds(99)).empty());
+  EXPECT_EQ(queue.PopExpired(now + options.max_wait), std::vector<int>{1});
   EXPECT_TRUE(queue.Add(now + options.max_wait, 3));
-  EXPECT_EQ(queue.TakeAll(), (std::vector<int>{2, 3}));
-  EXPECT_TRUE(queue.TakeAll().empty());
+  EXPECT_EQ(queue.PopAll(), (std::vector<int>{2, 3}));
+  EXPECT_TRUE(queue.PopAll().empty());
 }
 
-TEST(Forwarder, WorkEndsWhenItsCallerLeaves) {
+TEST(Forwarder, CancelsWhenTheCallerDisconnects) {
   Fixture f;
-  f.Script({{EventsHead() + Chunk(Event(1))}},
-           {{EventsHead() + Chunk(Event(1))}});
-  f.Ask("GET", "/stream/", milliseconds(60));
+  f.Script({{StreamHead() + Chunk(Event(1))}},
+           {{StreamHead() + Chunk(Event(1))}});
+  f.SendRequest("GET", "/stream/", milliseconds(60));
   EXPECT_EQ(f.forwarder.active(), 1u);
   f.caller->Close();
   f.RunFor(milliseconds(60));
@@ -617,16 +631,16 @@
   EXPECT_EQ(f.a.ended + f.b.ended, 1);
 }
 
-// A runner's death may leave no chain for a moment. A stream that has begun
-// waits for one; its caller would give it up only after seconds of silence.
-TEST(Forwarder, ABegunStreamWaitsForAnEndpoint) {
+// Losing a runner may leave no chain for a moment. A started stream waits for
+// one, since its caller disconnects only after a pause of seconds.
+TEST(Forwarder, AStartedStreamWaitsForAnEndpoint) {
   Fixture f;
-  f.List({"a"});
-  f.Script({{EventsHead() + Chunk(Event(1)), Then::kReset}},
-           {{EventsHead() + Chunk(Event(2)) + "0\r\n\r\n", Then::kKeep}});
-  f.loop.After(milliseconds(10), [&f] { f.List({}); });
-  f.loop.After(milliseconds(300), [&f] { f.List({"b"}); });
-  const std::string got = f.Ask("POST", "/stream/x", milliseconds(700));
+  f.SetEndpoints({"a"});
+  f.Script({{StreamHead() + Chunk(Event(1)), Then::kReset}},
+           {{StreamHead() + Chunk(Event(2)) + "0\r\n\r\n", Then::kKeep}});
+  f.loop.After(milliseconds(10), [&f] { f.SetEndpoints({}); });
+  f.loop.After(milliseconds(300), [&f] { f.SetEndpoints({"b"}); });
+  const std::string got = f.SendRequest("POST", "/stream/x", milliseconds(700));
   EXPECT_NE(got.find(Event(1)), std::string::npos) << got;
   EXPECT_NE(got.find(Event(2)), std::string::npos) << got;
   EXPECT_NE(got.find("0\r\n\r\n"), std::string::npos) << got;
