--- a/pinford/forwarding/entry_server.cc
+++ b/pinford/forwarding/entry_server.cc
@@ -15,23 +15,23 @@
 namespace pinford {
 
 // How often silent connections are looked for; the timeouts are in seconds.
-static constexpr milliseconds kSweep{200};
+static constexpr milliseconds kSweepInterval{200};
 // Bytes of further requests that are read while one is worked on.
-static constexpr size_t kReadAhead = 64 << 10;
-static constexpr int kBacklog = 1024;
+static constexpr size_t kMaxReadAheadBytes = 64 << 10;
+static constexpr int kListenBacklog = 1024;
 
 static HttpReader::Limits ReaderLimits(const EntryServer::Limits& l) {
   return {l.head_bytes, l.body_bytes};
 }
 
-class EntryConnection : public std::enable_shared_from_this<EntryConnection> {
+class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
-  EntryConnection(EntryServer* server, std::shared_ptr<TcpConnection> tcp)
+  CallerConnection(EntryServer* server, std::shared_ptr<TcpConnection> tcp)
       : server_(server),
         tcp_(std::move(tcp)),
         reader_(HttpReader::Kind::kRequest, ReaderLimits(server->limits_)),
         opened_(server->loop_->now()),
-        quiet_since_(opened_) {}
+        idle_since_(opened_) {}
 
   void Start() {
     auto self = weak_from_this();
@@ -42,7 +42,7 @@
     handlers.on_end = [self](TcpEnd how) {
       if (auto c = self.lock()) c->OnEnd(how);
     };
-    handlers.on_lost = [id = log_id_](size_t bytes) {
+    handlers.on_undelivered = [id = log_id_](size_t bytes) {
       LogEvent(LogPart::kCallers, LogLevel::kWarn, "answer_undelivered",
                LogFields().Add("id", *id).Add("bytes", bytes));
     };
@@ -53,11 +53,11 @@
   void set_log_id(const std::string& id) { *log_id_ = id; }
   EntryServer* server() { return server_; }
   bool idle() const { return exchange_.expired() && !reader_.begun(); }
-  bool ExpectsFirst(Time opened_before) const {
-    return !answered_ && opened_ > opened_before;
+  bool AwaitsFirstRequest(Time opened_after) const {
+    return !has_answered_ && opened_ > opened_after;
   }
   // The server goes away before its connections.
-  void Orphan() { server_ = nullptr; }
+  void DetachServer() { server_ = nullptr; }
   bool closes_after_reply() const {
     return closing_ || server_ == nullptr || server_->close_after_reply_;
   }
@@ -65,19 +65,19 @@
   // The exchange has written its whole answer.
   void OnAnswered() {
     exchange_.reset();
-    answered_ = true;
+    has_answered_ = true;
     busy_ = false;
     if (server_ != nullptr) server_->last_activity_ = server_->loop_->now();
-    if (closes_after_reply() || !caller_keeps_) {
+    if (closes_after_reply() || !caller_keep_alive_) {
       Close();
       return;
     }
-    quiet_since_ = server_->loop_->now();
-    server_->last_activity_ = quiet_since_;
+    idle_since_ = server_->loop_->now();
+    server_->last_activity_ = idle_since_;
     reader_.set_limits(ReaderLimits(server_->limits_));
     reader_.Next();
     tcp_->PauseReading(false);
-    begun_ = quiet_since_;
+    started_ = idle_since_;
     // Not from within the exchange: its owner is still at work.
     server_->loop_->After(Duration(0), [self = weak_from_this()] {
       if (auto c = self.lock()) c->Advance();
@@ -87,43 +87,43 @@
   // It counts among the server's connections until its answer is on its way.
   void Close() {
     closing_ = true;
-    if (std::exchange(delivering_, true)) return;
+    if (std::exchange(flushing_, true)) return;
     tcp_->CloseGracefully([self = weak_from_this()] {
-      if (auto c = self.lock()) c->Forget();
+      if (auto c = self.lock()) c->RemoveFromServer();
     });
   }
 
-  void Break() {
+  void CloseAbruptly() {
     closing_ = true;
     tcp_->set_handlers({});
     tcp_->Close();
-    Forget();
+    RemoveFromServer();
   }
 
   void Sweep(Time now) {
     if (busy_ || closing_) return;
     const EntryServer::Limits& limits = server_->limits_;
     if (!reader_.begun()) {
-      if (now - quiet_since_ >= limits.idle_timeout) Close();
+      if (now - idle_since_ >= limits.idle_timeout) Close();
       return;
     }
     const bool in_head = reader_.state() == HttpReader::State::kHead;
-    const bool late = in_head ? now - begun_ >= limits.head_timeout
-                              : now - last_bytes_ >= limits.idle_timeout;
-    if (late) Refuse(408, "timeout", "the request did not arrive in time");
+    const bool timed_out = in_head ? now - started_ >= limits.head_timeout
+                                   : now - last_bytes_ >= limits.idle_timeout;
+    if (timed_out) Refuse(408, "timeout", "the request did not arrive in time");
   }
 
  private:
   void OnBytes(std::string_view bytes) {
     const Time now = server_ != nullptr ? server_->loop_->now() : Time{};
     if (server_ != nullptr) server_->last_activity_ = now;
-    if (!reader_.begun()) begun_ = now;
+    if (!reader_.begun()) started_ = now;
     last_bytes_ = now;
     reader_.Feed(bytes);
     if (busy_) {
       // Any of these bytes belong to the next request.
       read_ahead_ += bytes.size();
-      if (read_ahead_ > kReadAhead) tcp_->PauseReading(true);
+      if (read_ahead_ > kMaxReadAheadBytes) tcp_->PauseReading(true);
       return;
     }
     Advance();
@@ -137,33 +137,33 @@
         Dispatch();
         return;
       case HttpReader::State::kFailed:
-        RefuseUnread();
+        RefuseReadError();
         return;
       case HttpReader::State::kBody:
-        ContinueOnce();
+        SendContinueOnce();
         return;
       case HttpReader::State::kHead:
         return;
     }
   }
 
-  void ContinueOnce() {
-    if (continued_ || reader_.head().header("Expect").empty()) return;
-    continued_ = true;
+  void SendContinueOnce() {
+    if (sent_continue_ || reader_.head().header("Expect").empty()) return;
+    sent_continue_ = true;
     tcp_->Write("HTTP/1.1 100 Continue\r\n\r\n");
   }
 
   void Dispatch() {
     busy_ = true;
-    continued_ = false;
-    caller_keeps_ = reader_.head().keep_alive;
+    sent_continue_ = false;
+    caller_keep_alive_ = reader_.head().keep_alive;
     auto exchange = std::make_shared<EntryExchange>(
-        shared_from_this(), reader_.head(), reader_.TakeBody(), begun_);
+        shared_from_this(), reader_.head(), reader_.TakeBody(), started_);
     exchange_ = exchange;
     server_->handler_(std::move(exchange));
   }
 
-  void RefuseUnread() {
+  void RefuseReadError() {
     switch (reader_.error()) {
       case HttpReadError::kHeadTooLarge:
         Refuse(431, "size", "the headers are too large");
@@ -185,19 +185,19 @@
                     code));
     closing_ = true;
     busy_ = true;
-    auto exchange = std::make_shared<EntryExchange>(shared_from_this(),
-                                                    reader_.head(), "", begun_);
+    auto exchange = std::make_shared<EntryExchange>(
+        shared_from_this(), reader_.head(), "", started_);
     exchange->Reply(status, "", {}, ErrorBody(code, message, Outcome::kNotRun));
   }
 
   void OnEnd(TcpEnd how) {
     auto self = shared_from_this();
     closing_ = true;
-    if (auto exchange = exchange_.lock()) exchange->OnGone(how);
-    Forget();
+    if (auto exchange = exchange_.lock()) exchange->OnDisconnect(how);
+    RemoveFromServer();
   }
 
-  void Forget() {
+  void RemoveFromServer() {
     if (server_ != nullptr) server_->connections_.erase(this);
   }
 
@@ -207,30 +207,30 @@
   std::weak_ptr<EntryExchange> exchange_;
   // Outlives this, as the connection does while it delivers the last answer.
   std::shared_ptr<std::string> log_id_ = std::make_shared<std::string>();
-  bool busy_ = false;        // a request is worked on
-  bool closing_ = false;     // no further request is taken
-  bool delivering_ = false;  // it closes once its last answer is on its way
-  bool caller_keeps_ = true;
-  bool continued_ = false;
+  bool busy_ = false;      // a request is worked on
+  bool closing_ = false;   // no further request is taken
+  bool flushing_ = false;  // it closes once its last answer is on its way
+  bool caller_keep_alive_ = true;
+  bool sent_continue_ = false;
   size_t read_ahead_ = 0;
   Time opened_;
-  Time quiet_since_;  // no request since
-  bool answered_ = false;
-  Time begun_{};  // the present request's first byte
+  Time idle_since_;  // no request since
+  bool has_answered_ = false;
+  Time started_{};  // the present request's first byte
   Time last_bytes_{};
 };
 
 // --- the exchange ----------------------------------------------------------
 
-EntryExchange::EntryExchange(std::shared_ptr<EntryConnection> connection,
+EntryExchange::EntryExchange(std::shared_ptr<CallerConnection> connection,
                              HttpHead head, std::string body, Time begun)
     : connection_(std::move(connection)),
       head_(std::move(head)),
       body_(std::move(body)),
-      begun_(begun) {}
+      started_(begun) {}
 
 EntryExchange::~EntryExchange() {
-  on_hang_up_ = nullptr;
+  on_disconnect_ = nullptr;
   if (!open()) return;
   // Nobody is left to answer it: its caller would wait in vain.
   LogEvent(
@@ -239,11 +239,11 @@
   Abort();
 }
 
-void EntryExchange::OnGone(TcpEnd how) {
+void EntryExchange::OnDisconnect(TcpEnd how) {
   connection_ = nullptr;
   caller_end_ = how;
-  std::function<void()> fn = std::move(on_hang_up_);
-  on_hang_up_ = nullptr;
+  std::function<void()> fn = std::move(on_disconnect_);
+  on_disconnect_ = nullptr;
   if (fn) fn();
 }
 
@@ -255,7 +255,7 @@
   return open() ? connection_->tcp()->unsent() : 0;
 }
 
-static std::string_view ReasonOf(int status) {
+static std::string_view ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -284,10 +284,10 @@
   }
 }
 
-std::string EntryExchange::Head(int status, std::string_view reason,
-                                const HttpHeaders& headers) const {
+std::string EntryExchange::FormatHead(int status, std::string_view reason,
+                                      const HttpHeaders& headers) const {
   std::string out = fmt::format("HTTP/1.1 {} {}\r\n", status,
-                                reason.empty() ? ReasonOf(status) : reason);
+                                reason.empty() ? ReasonPhrase(status) : reason);
   for (const auto& [name, value] : headers) {
     out += name;
     out += ": ";
@@ -303,11 +303,11 @@
                           const HttpHeaders& headers, std::string_view body) {
   if (!open()) return;
   assert(!streaming_);
-  std::string out = Head(status, reason, headers);
-  const bool bodiless = status == 204 || status == 304;
-  if (!bodiless) out += fmt::format("Content-Length: {}\r\n", body.size());
+  std::string out = FormatHead(status, reason, headers);
+  const bool no_body = status == 204 || status == 304;
+  if (!no_body) out += fmt::format("Content-Length: {}\r\n", body.size());
   out += "\r\n";
-  if (!bodiless && head_.method != "HEAD") out += body;
+  if (!no_body && head_.method != "HEAD") out += body;
   connection_->tcp()->Write(out);
   Finish();
 }
@@ -316,7 +316,7 @@
                                 const HttpHeaders& headers) {
   if (!open()) return;
   streaming_ = true;
-  connection_->tcp()->Write(Head(status, reason, headers) +
+  connection_->tcp()->Write(FormatHead(status, reason, headers) +
                             "Transfer-Encoding: chunked\r\n\r\n");
 }
 
@@ -335,30 +335,30 @@
 }
 
 void EntryExchange::Finish() {
-  on_hang_up_ = nullptr;
-  std::shared_ptr<EntryConnection> c = std::move(connection_);
+  on_disconnect_ = nullptr;
+  std::shared_ptr<CallerConnection> c = std::move(connection_);
   connection_ = nullptr;
   c->OnAnswered();
 }
 
 void EntryExchange::Abort() {
   if (!open()) return;
-  on_hang_up_ = nullptr;
-  std::shared_ptr<EntryConnection> c = std::move(connection_);
+  on_disconnect_ = nullptr;
+  std::shared_ptr<CallerConnection> c = std::move(connection_);
   connection_ = nullptr;
-  c->Break();
+  c->CloseAbruptly();
 }
 
 // --- the server ------------------------------------------------------------
 
 EntryServer::EntryServer(EventLoop* loop, const Limits& limits, Handler handler)
     : loop_(loop), limits_(limits), handler_(std::move(handler)) {
-  loop_->Every(kSweep, [this] { Sweep(); });
+  loop_->Every(kSweepInterval, [this] { Sweep(); });
 }
 
 EntryServer::~EntryServer() {
   StopListening();
-  for (auto& [key, c] : connections_) c->Orphan();
+  for (auto& [key, c] : connections_) c->DetachServer();
 }
 
 bool EntryServer::Listen(const Address& address) {
@@ -376,7 +376,7 @@
         static_cast<EntryServer*>(arg)->Accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
-      kBacklog, reinterpret_cast<sockaddr*>(&at), size);
+      kListenBacklog, reinterpret_cast<sockaddr*>(&at), size);
   return listener_ != nullptr;
 }
 
@@ -393,25 +393,25 @@
     close(fd);
     return;
   }
-  auto c = std::make_shared<EntryConnection>(
-      this, TcpConnection::Accept(loop_, fd, limits_.silent_timeout));
+  auto c = std::make_shared<CallerConnection>(
+      this, TcpConnection::Accept(loop_, fd, limits_.write_stall_timeout));
   connections_[c.get()] = c;
   c->Start();
   last_activity_ = loop_->now();
 }
 
-void EntryServer::CloseIdle(Duration for_first) {
-  const Time opened_before = loop_->now() - for_first;
-  std::vector<std::shared_ptr<EntryConnection>> idle;
+void EntryServer::CloseIdle(Duration first_request_grace) {
+  const Time opened_after = loop_->now() - first_request_grace;
+  std::vector<std::shared_ptr<CallerConnection>> idle;
   for (auto& [key, c] : connections_) {
-    if (c->idle() && !c->ExpectsFirst(opened_before)) idle.push_back(c);
+    if (c->idle() && !c->AwaitsFirstRequest(opened_after)) idle.push_back(c);
   }
   for (auto& c : idle) c->Close();
 }
 
 void EntryServer::Sweep() {
   const Time now = loop_->now();
-  std::vector<std::shared_ptr<EntryConnection>> all;
+  std::vector<std::shared_ptr<CallerConnection>> all;
   all.reserve(connections_.size());
   for (auto& [key, c] : connections_) all.push_back(c);
   for (auto& c : all) c->Sweep(now);
--- a/pinford/forwarding/entry_server.h
+++ b/pinford/forwarding/entry_server.h
@@ -27,12 +27,12 @@
 
 namespace pinford {
 
-class EntryConnection;
+class CallerConnection;
 
 // One request and the answer to it.
 class EntryExchange {
  public:
-  EntryExchange(std::shared_ptr<EntryConnection> connection, HttpHead head,
+  EntryExchange(std::shared_ptr<CallerConnection> connection, HttpHead head,
                 std::string body, Time begun);
   ~EntryExchange();
   EntryExchange(const EntryExchange&) = delete;
@@ -41,7 +41,7 @@
   const HttpHead& head() const { return head_; }
   const std::string& body() const { return body_; }
   // When the first byte of the request came.
-  Time begun() const { return begun_; }
+  Time begun() const { return started_; }
 
   // Sends the whole answer, with its length. `headers` hold no length.
   void Reply(int status, std::string_view reason, const HttpHeaders& headers,
@@ -66,22 +66,24 @@
   std::optional<TcpEnd> caller_end() const { return caller_end_; }
 
   // Called once if the caller goes away before the answer is finished.
-  void set_on_hang_up(std::function<void()> fn) { on_hang_up_ = std::move(fn); }
+  void set_on_hang_up(std::function<void()> fn) {
+    on_disconnect_ = std::move(fn);
+  }
 
  private:
-  friend class EntryConnection;
-  void OnGone(TcpEnd how);
-  std::string Head(int status, std::string_view reason,
-                   const HttpHeaders& headers) const;
+  friend class CallerConnection;
+  void OnDisconnect(TcpEnd how);
+  std::string FormatHead(int status, std::string_view reason,
+                         const HttpHeaders& headers) const;
   void Finish();
 
-  std::shared_ptr<EntryConnection> connection_;
+  std::shared_ptr<CallerConnection> connection_;
   HttpHead head_;
   std::string body_;
-  Time begun_;
+  Time started_;
   bool streaming_ = false;
   std::optional<TcpEnd> caller_end_;
-  std::function<void()> on_hang_up_;
+  std::function<void()> on_disconnect_;
 };
 
 using EntryPtr = std::shared_ptr<EntryExchange>;
@@ -96,7 +98,7 @@
     size_t connections = 3500;            // beyond, new ones are closed
     // A caller that takes nothing of its answer for so long is gone. Longer
     // than requests may take: how long a pause it bears is for it to say.
-    Duration silent_timeout = seconds(30);
+    Duration write_stall_timeout = seconds(30);
   };
   using Handler = std::function<void(EntryPtr)>;
 
@@ -111,9 +113,9 @@
   // From now on each answer closes its connection.
   void set_close_after_reply(bool v) { close_after_reply_ = v; }
   // Closes the connections on which no request is under way. One that has
-  // brought none yet is left for `for_first` after it was opened: its caller
-  // has sent one, or is about to, and takes an end for its answer's.
-  void CloseIdle(Duration for_first = Duration(0));
+  // brought none yet is left for `first_request_grace` after it was opened: its
+  // caller has sent one, or is about to, and takes an end for its answer's.
+  void CloseIdle(Duration first_request_grace = Duration(0));
   void set_limits(const Limits& limits) { limits_ = limits; }
   const Limits& limits() const { return limits_; }
 
@@ -124,7 +126,7 @@
   int64_t refused() const { return refused_; }
 
  private:
-  friend class EntryConnection;
+  friend class CallerConnection;
   void Accept(int fd);
   // Ends connections that have been silent for too long.
   void Sweep();
@@ -136,7 +138,7 @@
   bool close_after_reply_ = false;
   int64_t refused_ = 0;
   Time last_activity_{};
-  std::unordered_map<EntryConnection*, std::shared_ptr<EntryConnection>>
+  std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
       connections_;
 };
 
--- a/pinford/forwarding/http_reader.cc
+++ b/pinford/forwarding/http_reader.cc
@@ -31,27 +31,29 @@
 
 template <bool kIsRequest>
 struct HttpReader::Parser : http::basic_parser<kIsRequest> {
-  Message* to = nullptr;
+  Message* message = nullptr;
 
   static std::string Text(BeastView v) { return std::string(v); }
 
   void on_request_impl(http::verb, BeastView method, BeastView target, int,
                        beast::error_code&) override {
-    to->head.method = Text(method);
-    to->head.target = Text(target);
+    message->head.method = Text(method);
+    message->head.target = Text(target);
   }
   void on_response_impl(int status, BeastView reason, int,
                         beast::error_code&) override {
-    to->head.status = status;
-    to->head.reason = Text(reason);
+    message->head.status = status;
+    message->head.reason = Text(reason);
   }
   void on_field_impl(http::field, BeastView name, BeastView value,
                      beast::error_code&) override {
     // Trailers carry nothing that is passed on.
-    if (to->head_done) return;
-    to->head.headers.emplace_back(Text(name), Text(value));
+    if (message->head_done) return;
+    message->head.headers.emplace_back(Text(name), Text(value));
+  }
+  void on_header_impl(beast::error_code&) override {
+    message->head_done = true;
   }
-  void on_header_impl(beast::error_code&) override { to->head_done = true; }
   void on_body_init_impl(const boost::optional<std::uint64_t>&,
                          beast::error_code&) override {}
   std::size_t on_body_impl(BeastView v, beast::error_code&) override {
@@ -63,11 +65,11 @@
                                  beast::error_code&) override {
     return Append(v);
   }
-  void on_finish_impl(beast::error_code&) override { to->done = true; }
+  void on_finish_impl(beast::error_code&) override { message->done = true; }
 
   std::size_t Append(BeastView v) {
-    to->body.append(v.data(), v.size());
-    to->body_bytes += v.size();
+    message->body.append(v.data(), v.size());
+    message->body_bytes += v.size();
     return v.size();
   }
 };
@@ -80,9 +82,9 @@
 HttpReader::~HttpReader() = default;
 
 template <typename P>
-static std::unique_ptr<P> MakeParser(HttpReader::Message* to) {
+static std::unique_ptr<P> MakeParser(HttpReader::Message* message) {
   auto parser = std::make_unique<P>();
-  parser->to = to;
+  parser->message = message;
   parser->eager(true);
   // The reader's own bounds come first, with answers of their own.
   parser->body_limit(boost::none);
@@ -134,7 +136,7 @@
 }
 
 // A message must have one length that nobody can read otherwise.
-static bool HasOneLength(const HttpHead& head) {
+static bool HasUnambiguousLength(const HttpHead& head) {
   if (head.CountOf("Content-Length") > 1) return false;
   const std::string_view length = head.header("Content-Length");
   if (length.find(',') != std::string_view::npos) return false;
@@ -161,9 +163,9 @@
   }
   beast::error_code ec;
   const boost::asio::const_buffer in(pending_.data(), pending_.size());
-  const size_t taken =
+  const size_t consumed =
       kind_ == Kind::kRequest ? request_->put(in, ec) : response_->put(in, ec);
-  pending_.erase(0, taken);
+  pending_.erase(0, consumed);
   if (ec && ec != http::error::need_more) {
     Fail(HttpReadError::kMalformed);
     return;
@@ -177,7 +179,7 @@
   }
   if (state_ == State::kHead) {
     HttpHead& head = message_->head;
-    if (!HasOneLength(head)) {
+    if (!HasUnambiguousLength(head)) {
       Fail(HttpReadError::kMalformed);
       return;
     }
@@ -193,11 +195,11 @@
   if (message_->done) state_ = State::kDone;
 }
 
-void HttpReader::FeedEnd() {
+void HttpReader::FeedEof() {
   if (state_ == State::kDone || state_ == State::kFailed) return;
-  const bool whole =
+  const bool complete =
       state_ == State::kBody && message_->head.until_close && pending_.empty();
-  if (whole) {
+  if (complete) {
     state_ = State::kDone;
   } else if (begun()) {
     Fail(HttpReadError::kMalformed);
--- a/pinford/forwarding/http_reader.h
+++ b/pinford/forwarding/http_reader.h
@@ -61,7 +61,7 @@
 
   void Feed(std::string_view bytes);
   // The other side has ended. Completes a body that runs until then.
-  void FeedEnd();
+  void FeedEof();
   // Goes on to the next message with what is left over.
   void Next();
 
--- a/pinford/forwarding/tcp_connection.cc
+++ b/pinford/forwarding/tcp_connection.cc
@@ -18,7 +18,7 @@
     {TcpEnd::kRefused, "refused"},
     {TcpEnd::kClosed, "closed"},
     {TcpEnd::kReset, "reset"},
-    {TcpEnd::kSilent, "silent"},
+    {TcpEnd::kTimedOut, "silent"},
 };
 
 std::string_view TcpEndName(TcpEnd end) { return NameIn(kTcpEndNames, end); }
@@ -26,20 +26,20 @@
 // Of connections that this process makes. Longer than a few retransmissions of
 // a lossy link (200, 400, 800 ms), shorter than the time after which a silent
 // peer would count as lost anyway.
-static constexpr milliseconds kSilentPeer{4000};
+static constexpr milliseconds kOutgoingWriteStallTimeout{4000};
 // How long a closed connection waits for the peer's end once all is sent.
-static constexpr milliseconds kLinger{1000};
-static constexpr size_t kReadBytes = 64 << 10;
+static constexpr milliseconds kLingerTimeout{1000};
+static constexpr size_t kReadBufferBytes = 64 << 10;
 
 static void SetOption(int fd, int level, int name, int value) {
   // An option that cannot be set leaves the kernel's default in force.
   (void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
-static void SetOptions(int fd, Duration silent_limit) {
+static void SetOptions(int fd, Duration write_stall_timeout) {
   SetOption(fd, IPPROTO_TCP, TCP_NODELAY, 1);
   SetOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
-            static_cast<int>(ToMillis(silent_limit)));
+            static_cast<int>(ToMillis(write_stall_timeout)));
 }
 
 TcpConnection::TcpConnection(EventLoop* loop, int fd, bool connected)
@@ -58,7 +58,7 @@
               : -1;
   std::shared_ptr<TcpConnection> c(new TcpConnection(loop, fd, false));
   if (fd >= 0) {
-    SetOptions(fd, kSilentPeer);
+    SetOptions(fd, kOutgoingWriteStallTimeout);
     const auto* address = reinterpret_cast<const sockaddr*>(&at);
     if (connect(fd, address, sizeof(at)) == 0 || errno == EINPROGRESS) {
       c->StartEvents();
@@ -70,14 +70,14 @@
   }
   std::weak_ptr<TcpConnection> weak = c;
   loop->After(Duration(0), [weak] {
-    if (auto self = weak.lock()) self->End(TcpEnd::kRefused);
+    if (auto self = weak.lock()) self->CloseAndNotify(TcpEnd::kRefused);
   });
   return c;
 }
 
-std::shared_ptr<TcpConnection> TcpConnection::Accept(EventLoop* loop, int fd,
-                                                     Duration silent_limit) {
-  SetOptions(fd, silent_limit);
+std::shared_ptr<TcpConnection> TcpConnection::Accept(
+    EventLoop* loop, int fd, Duration write_stall_timeout) {
+  SetOptions(fd, write_stall_timeout);
   std::shared_ptr<TcpConnection> c(new TcpConnection(loop, fd, true));
   c->StartEvents();
   return c;
@@ -112,17 +112,17 @@
 }
 
 void TcpConnection::OnReadable(int, short, void* arg) {
-  static_cast<TcpConnection*>(arg)->Readable();
+  static_cast<TcpConnection*>(arg)->HandleReadable();
 }
 
 void TcpConnection::OnWritable(int, short, void* arg) {
-  static_cast<TcpConnection*>(arg)->Writable();
+  static_cast<TcpConnection*>(arg)->HandleWritable();
 }
 
-void TcpConnection::Readable() {
+void TcpConnection::HandleReadable() {
   if (!connected_) return;
   auto self = shared_from_this();
-  static char buffer[kReadBytes];
+  static char buffer[kReadBufferBytes];
   const ssize_t n = recv(fd_, buffer, sizeof(buffer), 0);
   if (n > 0) {
     auto handlers = handlers_;
@@ -132,21 +132,21 @@
     return;
   }
   if (n == 0) {
-    End(TcpEnd::kClosed);
+    CloseAndNotify(TcpEnd::kClosed);
     return;
   }
   if (errno == EAGAIN || errno == EINTR) return;
-  End(errno == ETIMEDOUT ? TcpEnd::kSilent : TcpEnd::kReset);
+  CloseAndNotify(errno == ETIMEDOUT ? TcpEnd::kTimedOut : TcpEnd::kReset);
 }
 
-void TcpConnection::Writable() {
+void TcpConnection::HandleWritable() {
   auto self = shared_from_this();
   if (!connected_) {
     int error = 0;
     socklen_t size = sizeof(error);
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
     if (error != 0) {
-      End(TcpEnd::kRefused);
+      CloseAndNotify(TcpEnd::kRefused);
       return;
     }
     connected_ = true;
@@ -155,17 +155,17 @@
     if (handlers->on_connected) handlers->on_connected();
     if (!open()) return;
   }
-  SendSome();
+  FlushUnsent();
   if (!open() || !unsent_.empty()) return;
   if (closing_) {
-    SendEnd();
+    ShutdownWrite();
     return;
   }
   auto handlers = handlers_;
   if (handlers->on_drained) handlers->on_drained();
 }
 
-void TcpConnection::SendSome() {
+void TcpConnection::FlushUnsent() {
   while (!unsent_.empty()) {
     const ssize_t n = send(fd_, unsent_.data(), unsent_.size(), MSG_NOSIGNAL);
     if (n > 0) {
@@ -175,17 +175,17 @@
     }
     if (n < 0 && errno == EINTR) continue;
     // The end is told by the read side, which first gives what had come.
-    if (n < 0 && errno != EAGAIN) failed_ = true;
+    if (n < 0 && errno != EAGAIN) write_failed_ = true;
     break;
   }
-  WantWrite(!unsent_.empty() && !failed_);
+  WantWrite(!unsent_.empty() && !write_failed_);
 }
 
 void TcpConnection::Write(std::string_view bytes) {
   if (!open() || closing_) return;
   const bool waiting = !unsent_.empty();
-  if (!failed_) unsent_.append(bytes);
-  if (connected_ && !waiting) SendSome();
+  if (!write_failed_) unsent_.append(bytes);
+  if (connected_ && !waiting) FlushUnsent();
 }
 
 void TcpConnection::CloseGracefully(std::function<void()> on_sent) {
@@ -194,20 +194,20 @@
     return;
   }
   closing_ = true;
-  held_ = shared_from_this();
+  self_reference_ = shared_from_this();
   on_sent_ = std::move(on_sent);
   Handlers handlers;
-  handlers.on_lost = handlers_->on_lost;
+  handlers.on_undelivered = handlers_->on_undelivered;
   set_handlers(std::move(handlers));
   PauseReading(false);
-  if (connected_ && unsent_.empty()) SendEnd();
+  if (connected_ && unsent_.empty()) ShutdownWrite();
 }
 
-void TcpConnection::SendEnd() {
-  if (linger_ != 0) return;
+void TcpConnection::ShutdownWrite() {
+  if (linger_timer_ != 0) return;
   shutdown(fd_, SHUT_WR);
-  linger_ = loop_->After(kLinger, [this] {
-    linger_ = 0;
+  linger_timer_ = loop_->After(kLingerTimeout, [this] {
+    linger_timer_ = 0;
     Close();
   });
   if (auto fn = std::exchange(on_sent_, nullptr)) fn();
@@ -226,15 +226,15 @@
   read_ = write_ = nullptr;
   if (fd_ >= 0) close(fd_);
   fd_ = -1;
-  if (linger_ != 0) loop_->Cancel(std::exchange(linger_, 0));
-  const size_t lost = std::exchange(unsent_, "").size();
-  if (lost > 0 && handlers_->on_lost) handlers_->on_lost(lost);
+  if (linger_timer_ != 0) loop_->Cancel(std::exchange(linger_timer_, 0));
+  const size_t bytes = std::exchange(unsent_, "").size();
+  if (bytes > 0 && handlers_->on_undelivered) handlers_->on_undelivered(bytes);
   if (auto fn = std::exchange(on_sent_, nullptr)) fn();
   // Last: it may be the last that holds this.
-  const std::shared_ptr<TcpConnection> self = std::move(held_);
+  const std::shared_ptr<TcpConnection> self = std::move(self_reference_);
 }
 
-void TcpConnection::End(TcpEnd how) {
+void TcpConnection::CloseAndNotify(TcpEnd how) {
   auto self = shared_from_this();
   std::function<void(TcpEnd)> fn = std::move(handlers_->on_end);
   Close();
--- a/pinford/forwarding/tcp_connection.h
+++ b/pinford/forwarding/tcp_connection.h
@@ -29,10 +29,10 @@
 
 // How a connection ended.
 enum class TcpEnd {
-  kRefused,  // it was never established
-  kClosed,   // the peer sent its end
-  kReset,    // the peer or the network broke it
-  kSilent,   // the peer acknowledged nothing for too long
+  kRefused,   // it was never established
+  kClosed,    // the peer sent its end
+  kReset,     // the peer or the network broke it
+  kTimedOut,  // the peer acknowledged nothing for too long
 };
 
 std::string_view TcpEndName(TcpEnd end);
@@ -48,7 +48,7 @@
     std::function<void()> on_drained;
     // It is closed, by either side, with so many bytes that were written and
     // not handed to the kernel. Stays set through CloseGracefully().
-    std::function<void(size_t)> on_lost;
+    std::function<void(size_t)> on_undelivered;
   };
 
   // Begins to connect. `on_end` is called with kRefused if that fails.
@@ -56,7 +56,7 @@
                                                 const Address& to);
   // Takes over an accepted socket, whose peer may take no bytes for so long.
   static std::shared_ptr<TcpConnection> Accept(EventLoop* loop, int fd,
-                                               Duration silent_limit);
+                                               Duration write_stall_timeout);
   ~TcpConnection();
   TcpConnection(const TcpConnection&) = delete;
   TcpConnection& operator=(const TcpConnection&) = delete;
@@ -91,12 +91,12 @@
   void StartEvents();
   static void OnReadable(int fd, short what, void* arg);
   static void OnWritable(int fd, short what, void* arg);
-  void Readable();
-  void Writable();
+  void HandleReadable();
+  void HandleWritable();
   void WantWrite(bool want);
-  void SendSome();
-  void SendEnd();
-  void End(TcpEnd how);
+  void FlushUnsent();
+  void ShutdownWrite();
+  void CloseAndNotify(TcpEnd how);
 
   EventLoop* loop_;
   int fd_;
@@ -105,10 +105,10 @@
   bool want_write_ = false;
   bool sent_any_ = false;
   bool closing_ = false;
-  bool failed_ = false;  // the kernel takes nothing more
+  bool write_failed_ = false;  // the kernel takes nothing more
   // All is sent, and the peer's end is waited for.
-  TimerId linger_ = 0;
-  std::shared_ptr<TcpConnection> held_;  // itself, while it closes
+  TimerId linger_timer_ = 0;
+  std::shared_ptr<TcpConnection> self_reference_;  // itself, while it closes
   std::function<void()> on_sent_;
   event* read_ = nullptr;
   event* write_ = nullptr;
--- a/pinford/forwarding/upstream_client.cc
+++ b/pinford/forwarding/upstream_client.cc
@@ -7,7 +7,7 @@
 
 namespace pinford {
 
-static constexpr seconds kSweep{1};
+static constexpr seconds kSweepInterval{1};
 
 static constexpr EnumName<UpstreamEnd> kUpstreamEndNames[] = {
     {UpstreamEnd::kComplete, "complete"},
@@ -37,14 +37,14 @@
   std::shared_ptr<TcpConnection> tcp;
   TimerId connect_timer = 0;
   bool sent = false;
-  bool head_given = false;
+  bool head_delivered = false;
   bool reusable = true;
-  bool over = false;
+  bool finished = false;
 };
 
 UpstreamClient::UpstreamClient(EventLoop* loop, const Options& options)
     : loop_(loop), options_(options) {
-  loop_->Every(kSweep, [this] { Sweep(); });
+  loop_->Every(kSweepInterval, [this] { Sweep(); });
 }
 
 UpstreamClient::~UpstreamClient() {
@@ -56,16 +56,16 @@
   auto it = idle_.find(request.endpoint);
   if (it == idle_.end()) return nullptr;
   const Time now = loop_->now();
-  std::deque<Idle>& kept = it->second;
+  std::deque<IdleConnection>& pool = it->second;
   // The one that rested least is the least likely to be closed by now.
-  while (!kept.empty()) {
-    Idle last = std::move(kept.back());
-    if (now - last.since > request.max_rest) {
-      kept.back() = std::move(last);
+  while (!pool.empty()) {
+    IdleConnection last = std::move(pool.back());
+    if (now - last.idle_since > request.max_rest) {
+      pool.back() = std::move(last);
       return nullptr;
     }
-    kept.pop_back();
-    if (last.tcp->open() && now < last.until) return last.tcp;
+    pool.pop_back();
+    if (last.tcp->open() && now < last.expires_at) return last.tcp;
     last.tcp->Close();
   }
   return nullptr;
@@ -82,16 +82,16 @@
   if (x->tcp == nullptr) {
     x->tcp = TcpConnection::Connect(loop_, x->request.to);
     connects_++;
-    x->connect_timer = loop_->After(x->request.connect_limit, [this, x] {
+    x->connect_timer = loop_->After(x->request.connect_timeout, [this, x] {
       x->connect_timer = 0;
       if (!x->sent) Finish(x, UpstreamEnd::kRefused);
     });
   }
-  Begin(x);
+  InstallHandlers(x);
   return id;
 }
 
-void UpstreamClient::Begin(const std::shared_ptr<Exchange>& x) {
+void UpstreamClient::InstallHandlers(const std::shared_ptr<Exchange>& x) {
   // The connection's handlers must not keep the connection alive.
   std::weak_ptr<Exchange> weak = x;
   TcpConnection::Handlers handlers;
@@ -112,7 +112,7 @@
 }
 
 void UpstreamClient::OnConnected(const std::shared_ptr<Exchange>& x) {
-  if (x->over) return;
+  if (x->finished) return;
   if (x->connect_timer != 0) loop_->Cancel(std::exchange(x->connect_timer, 0));
   if (x->handlers.before_send && !x->handlers.before_send()) {
     Finish(x, UpstreamEnd::kWithdrawn);
@@ -125,7 +125,7 @@
 
 void UpstreamClient::OnBytes(const std::shared_ptr<Exchange>& x,
                              std::string_view bytes) {
-  if (x->over) return;
+  if (x->finished) return;
   x->reader.Feed(bytes);
   Deliver(x);
 }
@@ -134,7 +134,7 @@
   for (;;) {
     const HttpReader::State state = x->reader.state();
     if (state == HttpReader::State::kFailed) {
-      Finish(x, x->head_given ? UpstreamEnd::kCut : UpstreamEnd::kGarbage);
+      Finish(x, x->head_delivered ? UpstreamEnd::kCut : UpstreamEnd::kGarbage);
       return;
     }
     if (state == HttpReader::State::kHead) return;
@@ -143,54 +143,54 @@
     const bool interim = head.status < 200;
     // An answer to another request stands in the place of ours.
     const std::string_view id = head.header(options_.id_header);
-    const bool foreign = !interim && id != x->request.id && !id.empty();
-    if (foreign) x->reusable = false;
-    if (interim || foreign) {
+    const bool mismatched = !interim && id != x->request.id && !id.empty();
+    if (mismatched) x->reusable = false;
+    if (interim || mismatched) {
       x->reader.TakeBody();
       if (!done) return;
       x->reader.Next();
       continue;
     }
-    if (!x->head_given) {
-      x->head_given = true;
+    if (!x->head_delivered) {
+      x->head_delivered = true;
       if (!head.keep_alive || head.until_close) x->reusable = false;
       if (x->handlers.on_head) x->handlers.on_head(head);
-      if (x->over) return;
+      if (x->finished) return;
     }
     std::string body = x->reader.TakeBody();
     if (!body.empty() && x->handlers.on_body) {
       x->handlers.on_body(std::move(body));
     }
-    if (done && !x->over) Finish(x, UpstreamEnd::kComplete);
+    if (done && !x->finished) Finish(x, UpstreamEnd::kComplete);
     return;
   }
 }
 
 void UpstreamClient::OnTcpEnd(const std::shared_ptr<Exchange>& x, TcpEnd how) {
-  if (x->over) return;
+  if (x->finished) return;
   if (!x->sent) {
     Finish(x, UpstreamEnd::kRefused);
     return;
   }
   x->reusable = false;
   if (how == TcpEnd::kClosed) {
-    x->reader.FeedEnd();
+    x->reader.FeedEof();
     if (x->reader.state() == HttpReader::State::kDone) {
       Deliver(x);
-      if (x->over) return;
+      if (x->finished) return;
     }
   }
-  Finish(x, x->head_given ? UpstreamEnd::kCut : UpstreamEnd::kBroken);
+  Finish(x, x->head_delivered ? UpstreamEnd::kCut : UpstreamEnd::kBroken);
 }
 
 void UpstreamClient::Finish(const std::shared_ptr<Exchange>& x,
                             UpstreamEnd end) {
-  if (x->over) return;
-  x->over = true;
+  if (x->finished) return;
+  x->finished = true;
   if (x->connect_timer != 0) loop_->Cancel(std::exchange(x->connect_timer, 0));
   exchanges_.erase(x->id);
   if (end == UpstreamEnd::kComplete) {
-    Keep(x);
+    ReturnToPool(x);
   } else {
     x->tcp->Close();
   }
@@ -198,7 +198,7 @@
 }
 
 // The seconds of "timeout=N" in a Keep-Alive header, if it has them.
-static std::optional<seconds> KeepAliveOf(std::string_view text) {
+static std::optional<seconds> ParseKeepAliveTimeout(std::string_view text) {
   constexpr std::string_view kName = "timeout=";
   const size_t at = text.find(kName);
   if (at == std::string_view::npos) return std::nullopt;
@@ -206,22 +206,22 @@
   return seconds(std::strtol(number.c_str(), nullptr, 10));
 }
 
-void UpstreamClient::Keep(const std::shared_ptr<Exchange>& x) {
+void UpstreamClient::ReturnToPool(const std::shared_ptr<Exchange>& x) {
   const bool clean = x->reusable && x->tcp->open() && x->tcp->unsent() == 0 &&
                      !x->reader.has_leftover();
-  std::deque<Idle>& kept = idle_[x->request.endpoint];
-  if (!clean || kept.size() >= options_.max_idle) {
+  std::deque<IdleConnection>& pool = idle_[x->request.endpoint];
+  if (!clean || pool.size() >= options_.max_idle) {
     x->tcp->Close();
     return;
   }
   // A quarter of what the endpoint allows is left for a request's way there.
-  Duration limit = options_.idle_limit;
+  Duration idle_timeout = options_.idle_timeout;
   const HttpHead& head = x->reader.head();
-  if (auto s = KeepAliveOf(head.header("Keep-Alive"))) {
-    limit = Duration(*s) * 3 / 4;
+  if (auto s = ParseKeepAliveTimeout(head.header("Keep-Alive"))) {
+    idle_timeout = Duration(*s) * 3 / 4;
   }
   const Time now = loop_->now();
-  kept.push_back({x->tcp, now, now + limit});
+  pool.push_back({x->tcp, now, now + idle_timeout});
   TcpConnection::Handlers handlers;
   const TcpConnection* tcp = x->tcp.get();
   // Whatever comes on a connection at rest was not asked for.
@@ -238,19 +238,21 @@
                               const TcpConnection* tcp) {
   auto it = idle_.find(endpoint);
   if (it == idle_.end()) return;
-  std::deque<Idle>& kept = it->second;
-  auto at = std::find_if(kept.begin(), kept.end(),
-                         [tcp](const Idle& i) { return i.tcp.get() == tcp; });
-  if (at == kept.end()) return;
-  std::shared_ptr<TcpConnection> held = std::move(at->tcp);
-  kept.erase(at);
-  held->Close();
+  std::deque<IdleConnection>& pool = it->second;
+  auto at = std::find_if(
+      pool.begin(), pool.end(),
+      [tcp](const IdleConnection& i) { return i.tcp.get() == tcp; });
+  if (at == pool.end()) return;
+  std::shared_ptr<TcpConnection> connection = std::move(at->tcp);
+  pool.erase(at);
+  connection->Close();
 }
 
 void UpstreamClient::Sweep() {
   const Time now = loop_->now();
-  for (auto& [endpoint, kept] : idle_) {
-    std::erase_if(kept, [now](const Idle& i) { return now >= i.until; });
+  for (auto& [endpoint, pool] : idle_) {
+    std::erase_if(
+        pool, [now](const IdleConnection& i) { return now >= i.expires_at; });
   }
   std::erase_if(idle_, [](const auto& e) { return e.second.empty(); });
 }
@@ -266,7 +268,7 @@
   auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   std::shared_ptr<Exchange> x = it->second;
-  x->over = true;
+  x->finished = true;
   exchanges_.erase(it);
   if (x->connect_timer != 0) loop_->Cancel(std::exchange(x->connect_timer, 0));
   x->tcp->Close();
--- a/pinford/forwarding/upstream_client.h
+++ b/pinford/forwarding/upstream_client.h
@@ -51,7 +51,7 @@
   bool head_only = false;  // a HEAD request: its answer has no body
   // Kept connections that rested for longer are not used for it.
   Duration max_rest = seconds(60);
-  Duration connect_limit = milliseconds(400);
+  Duration connect_timeout = milliseconds(400);
 };
 
 struct UpstreamHandlers {
@@ -74,7 +74,7 @@
     size_t body_bytes = 64 << 20;
     size_t max_idle = 64;  // connections kept, of one endpoint
     // How long a connection is kept without word from the endpoint.
-    Duration idle_limit = seconds(4);
+    Duration idle_timeout = seconds(4);
   };
 
   UpstreamClient(EventLoop* loop, const Options& options);
@@ -97,20 +97,20 @@
 
  private:
   struct Exchange;
-  struct Idle {
+  struct IdleConnection {
     std::shared_ptr<TcpConnection> tcp;
-    Time since;
-    Time until;
+    Time idle_since;
+    Time expires_at;
   };
 
   std::shared_ptr<TcpConnection> TakeIdle(const UpstreamRequest& request);
-  void Begin(const std::shared_ptr<Exchange>& x);
+  void InstallHandlers(const std::shared_ptr<Exchange>& x);
   void OnConnected(const std::shared_ptr<Exchange>& x);
   void OnBytes(const std::shared_ptr<Exchange>& x, std::string_view bytes);
   void Deliver(const std::shared_ptr<Exchange>& x);
   void OnTcpEnd(const std::shared_ptr<Exchange>& x, TcpEnd how);
   void Finish(const std::shared_ptr<Exchange>& x, UpstreamEnd end);
-  void Keep(const std::shared_ptr<Exchange>& x);
+  void ReturnToPool(const std::shared_ptr<Exchange>& x);
   void DropIdle(const std::string& endpoint, const TcpConnection* tcp);
   void Sweep();
 
@@ -119,7 +119,7 @@
   UpstreamId next_id_ = 1;
   int64_t connects_ = 0;
   std::unordered_map<UpstreamId, std::shared_ptr<Exchange>> exchanges_;
-  std::map<std::string, std::deque<Idle>> idle_;
+  std::map<std::string, std::deque<IdleConnection>> idle_;
 };
 
 }  // namespace pinford
--- a/pinford/testing/entry_server_test.cc
+++ b/pinford/testing/entry_server_test.cc
@@ -27,30 +27,32 @@
   }
 
   void Handle(const EntryPtr& e) {
-    seen.push_back(e->head().method + " " + e->head().target + " " + e->body());
-    if (hold) {
-      e->set_on_hang_up([this] { hang_ups++; });
-      held.push_back(e);
+    requests.push_back(e->head().method + " " + e->head().target + " " +
+                       e->body());
+    if (defer_replies) {
+      e->set_on_hang_up([this] { disconnects++; });
+      deferred.push_back(e);
     } else {
       e->Reply(200, "OK", {{"A", "b"}}, "<" + e->head().target + ">");
     }
   }
 
   // Connects, writes `text`, and gives what came back within `d`.
-  std::string Say(const std::string& text, Duration d = milliseconds(200)) {
-    said = Open();
-    said->Write(text);
+  std::string SendText(const std::string& text,
+                       Duration d = milliseconds(200)) {
+    last_connection = Open();
+    last_connection->Write(text);
     RunFor(d);
-    return got;
+    return received;
   }
 
   std::shared_ptr<TcpConnection> Open() {
-    got.clear();
-    ended = false;
+    received.clear();
+    disconnected = false;
     std::shared_ptr<TcpConnection> tcp = TcpConnection::Connect(&loop, address);
     TcpConnection::Handlers handlers;
-    handlers.on_bytes = [this](std::string_view b) { got += b; };
-    handlers.on_end = [this](TcpEnd) { ended = true; };
+    handlers.on_bytes = [this](std::string_view b) { received += b; };
+    handlers.on_end = [this](TcpEnd) { disconnected = true; };
     tcp->set_handlers(std::move(handlers));
     return tcp;
   }
@@ -63,20 +65,21 @@
   EventLoop loop;
   Address address;
   EntryServer server;
-  std::vector<std::string> seen;
-  std::vector<EntryPtr> held;
-  std::shared_ptr<TcpConnection> said;  // the connection of the last Say
-  int hang_ups = 0;
-  bool hold = false;
-  std::string got;
-  bool ended = false;
+  std::vector<std::string> requests;
+  std::vector<EntryPtr> deferred;
+  std::shared_ptr<TcpConnection>
+      last_connection;  // the connection of the last Say
+  int disconnects = 0;
+  bool defer_replies = false;
+  std::string received;
+  bool disconnected = false;
 };
 
 std::string StatusOf(const std::string& answer) {
   return answer.size() < 12 ? answer : answer.substr(9, 3);
 }
 
-TEST(EntryServer, RefusesWhatItMayNotTake) {
+TEST(EntryServer, RefusesInvalidRequests) {
   const struct {
     const char* name;
     std::string text;
@@ -104,27 +107,29 @@
   };
   for (const auto& c : cases) {
     Fixture f;
-    EXPECT_EQ(StatusOf(f.Say(c.text, milliseconds(700))), c.status) << c.name;
+    EXPECT_EQ(StatusOf(f.SendText(c.text, milliseconds(700))), c.status)
+        << c.name;
     const bool good = c.status == "200";
-    EXPECT_EQ(f.seen.size(), good ? 1u : 0u) << c.name;
+    EXPECT_EQ(f.requests.size(), good ? 1u : 0u) << c.name;
     if (!good) {
-      EXPECT_NE(f.got.find("Connection: close"), std::string::npos) << c.name;
-      EXPECT_TRUE(f.ended) << c.name;
+      EXPECT_NE(f.received.find("Connection: close"), std::string::npos)
+          << c.name;
+      EXPECT_TRUE(f.disconnected) << c.name;
     }
   }
 }
 
-TEST(EntryServer, AnswersInOrderWhatComesInARow) {
+TEST(EntryServer, AnswersPipelinedRequestsInOrder) {
   Fixture f;
-  const std::string got = f.Say(
+  const std::string received = f.SendText(
       "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
       "POST /2 HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
       "GET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
-  EXPECT_EQ(f.seen,
+  EXPECT_EQ(f.requests,
             (std::vector<std::string>{"GET /1 ", "POST /2 abc", "GET /3 "}));
-  const size_t one = got.find("</1>");
-  const size_t two = got.find("</2>");
-  const size_t three = got.find("</3>");
+  const size_t one = received.find("</1>");
+  const size_t two = received.find("</2>");
+  const size_t three = received.find("</3>");
   EXPECT_LT(one, two);
   EXPECT_LT(two, three);
   EXPECT_NE(three, std::string::npos);
@@ -133,43 +138,43 @@
 
 TEST(EntryServer, ACallerThatLeavesIsNoticedAtOnce) {
   Fixture f;
-  f.hold = true;
+  f.defer_replies = true;
   auto tcp = f.Open();
   tcp->Write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   f.RunFor(milliseconds(50));
-  ASSERT_EQ(f.held.size(), 1u);
+  ASSERT_EQ(f.deferred.size(), 1u);
   tcp->Close();
   f.RunFor(milliseconds(50));
-  EXPECT_EQ(f.hang_ups, 1);
-  EXPECT_FALSE(f.held[0]->open());
-  f.held[0]->Reply(200, "", {}, "nobody hears this");
+  EXPECT_EQ(f.disconnects, 1);
+  EXPECT_FALSE(f.deferred[0]->open());
+  f.deferred[0]->Reply(200, "", {}, "nobody hears this");
 }
 
 TEST(EntryServer, AnAnswerThatBreaksOffDoesNotLookComplete) {
   Fixture f;
-  f.hold = true;
+  f.defer_replies = true;
   auto tcp = f.Open();
   tcp->Write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   f.RunFor(milliseconds(50));
-  f.held[0]->StartStream(200, "OK", {});
-  f.held[0]->Write("part");
+  f.deferred[0]->StartStream(200, "OK", {});
+  f.deferred[0]->Write("part");
   f.RunFor(milliseconds(50));
-  f.held[0]->Abort();
+  f.deferred[0]->Abort();
   f.RunFor(milliseconds(50));
-  EXPECT_TRUE(f.ended);
-  EXPECT_NE(f.got.find("part"), std::string::npos);
-  EXPECT_EQ(f.got.find("0\r\n\r\n"), std::string::npos);
+  EXPECT_TRUE(f.disconnected);
+  EXPECT_NE(f.received.find("part"), std::string::npos);
+  EXPECT_EQ(f.received.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST(EntryServer, ConnectionsAtRestEndAfterTheirTimeOrOnCloseIdle) {
+TEST(EntryServer, IdleConnectionsCloseAfterATimeoutOrOnCloseIdle) {
   Fixture f;
-  f.Say("GET / HTTP/1.1\r\nHost: h\r\n\r\n", milliseconds(300));
-  EXPECT_FALSE(f.ended);
+  f.SendText("GET / HTTP/1.1\r\nHost: h\r\n\r\n", milliseconds(300));
+  EXPECT_FALSE(f.disconnected);
   f.RunFor(milliseconds(900));
-  EXPECT_TRUE(f.ended);
+  EXPECT_TRUE(f.disconnected);
 
   Fixture g;
-  g.hold = true;
+  g.defer_replies = true;
   auto busy = g.Open();
   busy->Write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   g.RunFor(milliseconds(50));
@@ -180,7 +185,7 @@
   g.server.CloseIdle();
   g.RunFor(milliseconds(50));
   EXPECT_EQ(g.server.connections(), 1u) << "the busy one stays";
-  g.held[0]->Reply(200, "OK", {}, "done");
+  g.deferred[0]->Reply(200, "OK", {}, "done");
   g.RunFor(milliseconds(50));
   EXPECT_EQ(g.server.connections(), 0u);
 }
@@ -188,10 +193,10 @@
 TEST(EntryServer, CloseIdleLeavesTimeForAFirstRequest) {
   const std::string request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   Fixture kept;
-  kept.Say(request, milliseconds(50));
+  kept.SendText(request, milliseconds(50));
   kept.server.CloseIdle(milliseconds(500));
   kept.RunFor(milliseconds(50));
-  EXPECT_TRUE(kept.ended) << "it has brought a request";
+  EXPECT_TRUE(kept.disconnected) << "it has brought a request";
 
   Fixture fresh;
   auto tcp = fresh.Open();
@@ -199,18 +204,18 @@
   fresh.server.set_close_after_reply(true);
   fresh.server.CloseIdle(milliseconds(500));
   fresh.RunFor(milliseconds(50));
-  ASSERT_FALSE(fresh.ended);
+  ASSERT_FALSE(fresh.disconnected);
   tcp->Write(request);
   fresh.RunFor(milliseconds(50));
-  EXPECT_NE(fresh.got.find("200"), std::string::npos);
-  EXPECT_TRUE(fresh.ended);
+  EXPECT_NE(fresh.received.find("200"), std::string::npos);
+  EXPECT_TRUE(fresh.disconnected);
 
   Fixture silent;
   auto other = silent.Open();
   silent.RunFor(milliseconds(150));
   silent.server.CloseIdle(milliseconds(100));
   silent.RunFor(milliseconds(50));
-  EXPECT_TRUE(silent.ended) << "its time is over";
+  EXPECT_TRUE(silent.disconnected) << "its time is over";
 }
 
 TEST(EntryServer, KeepsToItsBoundOfConnections) {
@@ -229,19 +234,19 @@
 // unsent, where the caller's link or the caller was slow.
 TEST(EntryServer, AnAnswerIsDeliveredHoweverSlowlyItIsRead) {
   Fixture f;
-  f.hold = true;
-  f.Say("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-  ASSERT_EQ(f.held.size(), 1);
+  f.defer_replies = true;
+  f.SendText("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+  ASSERT_EQ(f.deferred.size(), 1);
   const std::string body(16 << 20, 'x');  // more than kernels buffer
-  f.said->PauseReading(true);
-  f.held[0]->Reply(200, "OK", {}, body);
-  f.held.clear();
+  f.last_connection->PauseReading(true);
+  f.deferred[0]->Reply(200, "OK", {}, body);
+  f.deferred.clear();
   f.RunFor(milliseconds(1500));
   EXPECT_EQ(f.server.connections(), 1) << "a stop waits for it";
-  f.said->PauseReading(false);
-  for (int i = 0; i < 50 && !f.ended; i++) f.RunFor(milliseconds(100));
-  EXPECT_TRUE(f.ended);
-  EXPECT_EQ(f.got.size() - f.got.find("\r\n\r\n") - 4, body.size());
+  f.last_connection->PauseReading(false);
+  for (int i = 0; i < 50 && !f.disconnected; i++) f.RunFor(milliseconds(100));
+  EXPECT_TRUE(f.disconnected);
+  EXPECT_EQ(f.received.size() - f.received.find("\r\n\r\n") - 4, body.size());
   EXPECT_EQ(f.server.connections(), 0);
 }
 
@@ -249,19 +254,19 @@
 // it is asked; its connection was ended after four.
 TEST(EntryServer, ACallerThatPausesIsNotTakenForGone) {
   Fixture f;
-  f.hold = true;
-  f.Say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-  ASSERT_EQ(f.held.size(), 1);
+  f.defer_replies = true;
+  f.SendText("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+  ASSERT_EQ(f.deferred.size(), 1);
   const std::string body(16 << 20, 'x');  // more than kernels buffer
-  f.said->PauseReading(true);
-  f.held[0]->Reply(200, "OK", {}, body);
-  f.held.clear();
+  f.last_connection->PauseReading(true);
+  f.deferred[0]->Reply(200, "OK", {}, body);
+  f.deferred.clear();
   f.RunFor(milliseconds(6000));
-  f.said->PauseReading(false);
-  for (int i = 0; i < 50 && f.got.size() < body.size(); i++) {
+  f.last_connection->PauseReading(false);
+  for (int i = 0; i < 50 && f.received.size() < body.size(); i++) {
     f.RunFor(milliseconds(100));
   }
-  EXPECT_EQ(f.got.size() - f.got.find("\r\n\r\n") - 4, body.size());
+  EXPECT_EQ(f.received.size() - f.received.find("\r\n\r\n") - 4, body.size());
 }
 
 }  // namespace
--- a/pinford/testing/http_reader_test.cc
+++ b/pinford/testing/http_reader_test.cc
@@ -124,23 +124,23 @@
     reader.Feed(c.text);
     EXPECT_EQ(reader.state(), c.before) << c.name;
     EXPECT_EQ(reader.TakeBody(), c.body) << c.name;
-    reader.FeedEnd();
+    reader.FeedEof();
     EXPECT_EQ(reader.state(), c.after) << c.name;
   }
 }
 
 // What one message was read as.
-struct Read {
+struct ParsedMessage {
   std::string method, target, body;
   HttpHeaders headers;
-  bool operator==(const Read&) const = default;
+  bool operator==(const ParsedMessage&) const = default;
 };
 
 // Reads `text` in pieces that end at `cuts`.
-std::vector<Read> ReadInPieces(const std::string& text,
-                               const std::vector<size_t>& cuts) {
+std::vector<ParsedMessage> ReadInPieces(const std::string& text,
+                                        const std::vector<size_t>& cuts) {
   HttpReader reader = Reader(HttpReader::Kind::kRequest);
-  std::vector<Read> all;
+  std::vector<ParsedMessage> all;
   std::string body;
   size_t at = 0;
   for (size_t cut : cuts) {
@@ -164,7 +164,7 @@
       "POST /e HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
       "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: t\r\n\r\n"
       "GET /f HTTP/1.1\r\nHost: h\r\n\r\n";
-  const std::vector<Read> whole = ReadInPieces(text, {text.size()});
+  const std::vector<ParsedMessage> whole = ReadInPieces(text, {text.size()});
   ASSERT_EQ(whole.size(), 4u);
   EXPECT_EQ(whole[0].body, "hello");
   EXPECT_EQ(whole[2].body, "abcde");
@@ -195,7 +195,7 @@
     }
     HttpReader reader = Reader(HttpReader::Kind::kRequest);
     reader.Feed(text);
-    reader.FeedEnd();
+    reader.FeedEof();
     if (reader.state() != State::kDone) continue;
     // Whatever passed has one length, and the body has it.
     EXPECT_LE(reader.head().CountOf("Content-Length"), 1) << seed;
--- a/pinford/testing/raw_endpoint.h
+++ b/pinford/testing/raw_endpoint.h
@@ -47,7 +47,7 @@
   Address address() const { return {"127.0.0.1", port_}; }
 
   // More of an answer, on the newest connection.
-  void WriteMore(const std::string& bytes) { held_.back()->Write(bytes); }
+  void WriteMore(const std::string& bytes) { accepted_.back()->Write(bytes); }
 
   std::vector<Step> steps;            // for the requests in turn
   std::vector<std::string> requests;  // as they came
@@ -59,7 +59,7 @@
     connections++;
     std::shared_ptr<TcpConnection> tcp =
         TcpConnection::Accept(loop_, fd, seconds(4));
-    held_.push_back(tcp);
+    accepted_.push_back(tcp);
     TcpConnection* raw = tcp.get();
     auto text = std::make_shared<std::string>();
     TcpConnection::Handlers handlers;
@@ -86,7 +86,7 @@
   EventLoop* loop_;
   uint16_t port_;
   evconnlistener* listener_;
-  std::vector<std::shared_ptr<TcpConnection>> held_;
+  std::vector<std::shared_ptr<TcpConnection>> accepted_;
 };
 
 }  // namespace pinford
--- a/pinford/testing/tcp_connection_test.cc
+++ b/pinford/testing/tcp_connection_test.cc
@@ -9,7 +9,7 @@
 
 // Closed while it was being made, a connection ended twice: a timer of the
 // first end found its memory freed. Found with the address sanitizer.
-TEST(TcpConnection, OneThatIsClosedWhileItIsMadeEndsOnce) {
+TEST(TcpConnection, EndsOnceWhenClosedWhileConnecting) {
   for (const bool writes : {true, false}) {
     EventLoop loop;
     RawEndpoint endpoint(&loop);
--- a/pinford/testing/upstream_client_test.cc
+++ b/pinford/testing/upstream_client_test.cc
@@ -20,7 +20,7 @@
 }
 
 struct Result {
-  bool over = false;
+  bool finished = false;
   UpstreamEnd end = UpstreamEnd::kRefused;
   int status = 0;
   std::string body;
@@ -51,7 +51,7 @@
     handlers.on_body = [result](std::string b) { result->body += b; };
     handlers.on_end = [this, result](UpstreamEnd end) {
       result->end = end;
-      result->over = true;
+      result->finished = true;
       loop.Stop();
     };
     return client.Send(std::move(request), std::move(handlers));
@@ -75,13 +75,13 @@
   UpstreamClient client;
 };
 
-TEST(UpstreamClient, TellsHowAnExchangeEndedAndWhatIsUsedAgain) {
+TEST(UpstreamClient, ReportsHowAnExchangeEndedAndReusesOnlyCleanConnections) {
   const struct {
     const char* name;
     RawEndpoint::Step step;
     UpstreamEnd end;
     std::string body;
-    bool again;  // the connection serves the next request too
+    bool reused;  // the connection serves the next request too
   } cases[] = {
       {"whole", {Answer("1", "ab")}, UpstreamEnd::kComplete, "ab", true},
       {"says close",
@@ -141,7 +141,7 @@
     Fixture f;
     f.endpoint.steps = {c.step, {Answer("2", "ef")}};
     const Result first = f.Get("1");
-    EXPECT_TRUE(first.over) << c.name;
+    EXPECT_TRUE(first.finished) << c.name;
     EXPECT_EQ(first.end, c.end) << c.name;
     EXPECT_EQ(first.body, c.body) << c.name;
     // Surplus bytes have time to come.
@@ -149,34 +149,34 @@
     const Result second = f.Get("2");
     EXPECT_EQ(second.end, UpstreamEnd::kComplete) << c.name;
     EXPECT_EQ(second.body, "ef") << c.name;
-    EXPECT_EQ(f.endpoint.connections, c.again ? 1 : 2) << c.name;
+    EXPECT_EQ(f.endpoint.connections, c.reused ? 1 : 2) << c.name;
   }
 }
 
 // A whole answer cut after each of its bytes is never taken for whole, and is
 // never said not to have been sent.
-TEST(UpstreamClient, CutAfterEachByte) {
+TEST(UpstreamClient, AnAnswerTruncatedAnywhereIsNotComplete) {
   const std::string whole = Answer("1", "hello");
   for (size_t n = 0; n < whole.size(); n++) {
     Fixture f;
     f.endpoint.steps = {{whole.substr(0, n), Then::kClose}};
     const Result r = f.Get("1");
-    ASSERT_TRUE(r.over) << n;
+    ASSERT_TRUE(r.finished) << n;
     EXPECT_TRUE(r.end == UpstreamEnd::kBroken || r.end == UpstreamEnd::kCut)
         << n;
   }
 }
 
-TEST(UpstreamClient, WhatIsNotSentIsSaidNotToBe) {
+TEST(UpstreamClient, ReportsRequestsThatWereNotSent) {
   Fixture f;
   Result refused;
   f.Send("1", &refused, {"127.0.0.1", static_cast<uint16_t>(FreePorts(1)[0])});
   f.RunFor(seconds(2));
   EXPECT_EQ(refused.end, UpstreamEnd::kRefused);
-  Result kept_back;
-  f.Send("2", &kept_back, f.endpoint.address(), [] { return false; });
+  Result withheld;
+  f.Send("2", &withheld, f.endpoint.address(), [] { return false; });
   f.RunFor(seconds(2));
-  EXPECT_EQ(kept_back.end, UpstreamEnd::kWithdrawn);
+  EXPECT_EQ(withheld.end, UpstreamEnd::kWithdrawn);
   f.RunFor(milliseconds(50));
   EXPECT_TRUE(f.endpoint.requests.empty());
 }
@@ -191,10 +191,10 @@
   f.client.Cancel(id);
   f.RunFor(milliseconds(50));
   EXPECT_EQ(f.endpoint.ended, 1);
-  EXPECT_FALSE(result.over);
+  EXPECT_FALSE(result.finished);
 }
 
-TEST(UpstreamClient, AnIdleConnectionThatSpeaksOrEndsIsDropped) {
+TEST(UpstreamClient, AnIdleConnectionThatReceivesBytesOrEndsIsDropped) {
   for (Then then : {Then::kClose, Then::kReset}) {
     Fixture f;
     f.endpoint.steps = {{Answer("1", "ab"), then}, {Answer("2", "cd")}};
