--- a/pinford/forwarding/entry_server.cc
+++ b/pinford/forwarding/entry_server.cc
@@ -14,9 +14,9 @@
 
 namespace pinford {
 
-// How often silent connections are looked for; the timeouts are in seconds.
+// How often timeouts are checked; they are a few seconds long.
 static constexpr milliseconds kSweepInterval{200};
-// Bytes of further requests that are read while one is worked on.
+// Bytes of pipelined requests that are read while one is in progress.
 static constexpr size_t kMaxReadAheadBytes = 64 << 10;
 static constexpr int kListenBacklog = 1024;
 
@@ -56,13 +56,13 @@
   bool AwaitsFirstRequest(Time opened_after) const {
     return !has_answered_ && opened_ > opened_after;
   }
-  // The server goes away before its connections.
+  // Called when the server is destroyed before its connections.
   void DetachServer() { server_ = nullptr; }
   bool closes_after_reply() const {
     return closing_ || server_ == nullptr || server_->close_after_reply_;
   }
 
-  // The exchange has written its whole answer.
+  // Called when the exchange has written its complete response.
   void OnAnswered() {
     exchange_.reset();
     has_answered_ = true;
@@ -78,13 +78,13 @@
     reader_.Next();
     tcp_->PauseReading(false);
     started_ = idle_since_;
-    // Not from within the exchange: its owner is still at work.
+    // Deferred, because the exchange's owner is still on the call stack.
     server_->loop_->After(Duration(0), [self = weak_from_this()] {
       if (auto c = self.lock()) c->Advance();
     });
   }
 
-  // It counts among the server's connections until its answer is on its way.
+  // Stays among the server's connections until the response has been sent.
   void Close() {
     closing_ = true;
     if (std::exchange(flushing_, true)) return;
@@ -121,7 +121,7 @@
     last_bytes_ = now;
     reader_.Feed(bytes);
     if (busy_) {
-      // Any of these bytes belong to the next request.
+      // These bytes belong to the next request.
       read_ahead_ += bytes.size();
       if (read_ahead_ > kMaxReadAheadBytes) tcp_->PauseReading(true);
       return;
@@ -177,12 +177,13 @@
     }
   }
 
-  // Answers a request that was not read whole, and closes.
+  // Answers a request that was not read completely, and closes.
   void Refuse(int status, std::string_view code, std::string_view message) {
     server_->refused_++;
     Log(LogPart::kCallers, LogLevel::kInfo,
-        fmt::format("A request was refused unread: status={} code={}.", status,
-                    code));
+        fmt::format(
+            "Refused a request before reading all of it: status={} code={}.",
+            status, code));
     closing_ = true;
     busy_ = true;
     auto exchange = std::make_shared<EntryExchange>(
@@ -205,22 +206,23 @@
   std::shared_ptr<TcpConnection> tcp_;
   HttpReader reader_;
   std::weak_ptr<EntryExchange> exchange_;
-  // Outlives this, as the connection does while it delivers the last answer.
+  // Shared, because the TCP connection outlives this object while it delivers
+  // the last response.
   std::shared_ptr<std::string> log_id_ = std::make_shared<std::string>();
-  bool busy_ = false;      // a request is worked on
-  bool closing_ = false;   // no further request is taken
-  bool flushing_ = false;  // it closes once its last answer is on its way
+  bool busy_ = false;      // a request is in progress
+  bool closing_ = false;   // no further request is accepted
+  bool flushing_ = false;  // closes once the last response is sent
   bool caller_keep_alive_ = true;
   bool sent_continue_ = false;
   size_t read_ahead_ = 0;
   Time opened_;
-  Time idle_since_;  // no request since
+  Time idle_since_;  // when the last request ended
   bool has_answered_ = false;
-  Time started_{};  // the present request's first byte
+  Time started_{};  // first byte of the current request
   Time last_bytes_{};
 };
 
-// --- the exchange ----------------------------------------------------------
+// --- EntryExchange -----------------------------------------------------------
 
 EntryExchange::EntryExchange(std::shared_ptr<CallerConnection> connection,
                              HttpHead head, std::string body, Time begun)
@@ -232,7 +234,8 @@
 EntryExchange::~EntryExchange() {
   on_disconnect_ = nullptr;
   if (!open()) return;
-  // Nobody is left to answer it: its caller would wait in vain.
+  // Nothing will answer this request any more, so the caller would wait in
+  // vain.
   LogEvent(
       LogPart::kCallers, LogLevel::kWarn, "exchange_dropped",
       LogFields().Add("target", head_.target).Add("streaming", streaming_));
@@ -349,7 +352,7 @@
   c->CloseAbruptly();
 }
 
-// --- the server ------------------------------------------------------------
+// --- EntryServer -------------------------------------------------------------
 
 EntryServer::EntryServer(EventLoop* loop, const Limits& limits, Handler handler)
     : loop_(loop), limits_(limits), handler_(std::move(handler)) {
@@ -388,7 +391,7 @@
 void EntryServer::Accept(int fd) {
   if (connections_.size() >= limits_.connections) {
     Log(LogPart::kCallers, LogLevel::kWarn,
-        fmt::format("A connection was closed unread: {} are open, the limit.",
+        fmt::format("Closed a new connection: {} are open, which is the limit.",
                     connections_.size()));
     close(fd);
     return;
--- a/pinford/forwarding/entry_server.h
+++ b/pinford/forwarding/entry_server.h
@@ -1,12 +1,12 @@
-// HTTP/1.1 towards callers whose requests are forwarded.
+// HTTP/1.1 server for callers whose requests are forwarded.
 //
-// Unlike HttpServer (which serves pinford's own interface over libevhtp) it
-// hands over a request's head as it was sent, answers with another server's
-// head, and bounds what a caller may send and how long it may take. Requests
-// that follow on one connection are answered in order, one at a time.
+// HttpServer, built on libevhtp, serves pinford's own API. This server instead
+// exposes the request head as sent, lets the handler supply another server's
+// response head, and limits request size and duration. Pipelined requests on a
+// connection are answered in order, one at a time.
 //
-// A caller that closes its connection while its request is worked on has left:
-// the exchange says so at once, and the work is ended.
+// If a caller closes its connection while its request is in progress, the
+// exchange reports it immediately so that the work can be cancelled.
 
 #ifndef PINFORD_FORWARDING_ENTRY_SERVER_H_
 #define PINFORD_FORWARDING_ENTRY_SERVER_H_
@@ -29,7 +29,7 @@
 
 class CallerConnection;
 
-// One request and the answer to it.
+// One request and its response.
 class EntryExchange {
  public:
   EntryExchange(std::shared_ptr<CallerConnection> connection, HttpHead head,
@@ -40,32 +40,35 @@
 
   const HttpHead& head() const { return head_; }
   const std::string& body() const { return body_; }
-  // When the first byte of the request came.
+  // When the first byte of the request was received.
   Time begun() const { return started_; }
 
-  // Sends the whole answer, with its length. `headers` hold no length.
+  // Sends a complete response with a Content-Length, which `headers` must not
+  // contain.
   void Reply(int status, std::string_view reason, const HttpHeaders& headers,
              std::string_view body);
-  // An answer of unknown length, in chunks.
+  // Starts a response of unknown length, sent with chunked encoding.
   void StartStream(int status, std::string_view reason,
                    const HttpHeaders& headers);
   void Write(std::string_view bytes);
   void EndStream();
-  // Closes the connection so that the answer does not look complete.
+  // Closes the connection without terminating the response, so that the caller
+  // cannot take it for complete.
   void Abort();
-  // What the log calls this request once its exchange is over: its caller may
-  // lose the end of an answer that was written whole.
+  // Sets the id that identifies this request in the log after the exchange has
+  // ended: the end of a fully written response may still fail to reach the
+  // caller.
   void set_log_id(const std::string& id);
 
-  // False once the caller has gone or the answer was finished.
+  // False once the caller has disconnected or the response has ended.
   bool open() const { return connection_ != nullptr; }
   bool streaming() const { return streaming_; }
-  // Bytes of the answer that the caller's side has not yet taken.
+  // Bytes of the response that the kernel has not yet accepted.
   size_t unsent() const;
-  // How the caller's connection ended, if it did before the answer's end.
+  // How the caller's connection ended, if that was before the response ended.
   std::optional<TcpEnd> caller_end() const { return caller_end_; }
 
-  // Called once if the caller goes away before the answer is finished.
+  // Called once if the caller disconnects before the response has ended.
   void set_on_hang_up(std::function<void()> fn) {
     on_disconnect_ = std::move(fn);
   }
@@ -94,10 +97,11 @@
     size_t head_bytes = 16 << 10;
     size_t body_bytes = 4 << 20;
     Duration head_timeout = seconds(3);   // from a request's first byte
-    Duration idle_timeout = seconds(15);  // between requests, or in a body
-    size_t connections = 3500;            // beyond, new ones are closed
-    // A caller that takes nothing of its answer for so long is gone. Longer
-    // than requests may take: how long a pause it bears is for it to say.
+    Duration idle_timeout = seconds(15);  // between requests, or within a body
+    size_t connections = 3500;            // new ones beyond this are closed
+    // A caller that reads nothing of its response for this long counts as
+    // disconnected. Longer than requests may take, because it is up to the
+    // caller how long a pause it tolerates.
     Duration write_stall_timeout = seconds(30);
   };
   using Handler = std::function<void(EntryPtr)>;
@@ -107,28 +111,29 @@
   EntryServer(const EntryServer&) = delete;
   EntryServer& operator=(const EntryServer&) = delete;
 
-  // False, with errno set, when the address cannot be bound.
+  // Returns false, with errno set, if the address cannot be bound.
   bool Listen(const Address& address);
   void StopListening();
-  // From now on each answer closes its connection.
+  // If set, each response closes its connection.
   void set_close_after_reply(bool v) { close_after_reply_ = v; }
-  // Closes the connections on which no request is under way. One that has
-  // brought none yet is left for `first_request_grace` after it was opened: its
-  // caller has sent one, or is about to, and takes an end for its answer's.
+  // Closes the connections without a request in progress. A connection that has
+  // not carried a request yet is kept for `first_request_grace` after it was
+  // opened: its caller has sent a request or is about to, and would take the
+  // close for the response.
   void CloseIdle(Duration first_request_grace = Duration(0));
   void set_limits(const Limits& limits) { limits_ = limits; }
   const Limits& limits() const { return limits_; }
 
   size_t connections() const { return connections_.size(); }
-  // When a caller last connected, sent or was answered.
+  // When a caller last connected, sent bytes or was answered.
   Time last_activity() const { return last_activity_; }
-  // Requests that were refused before they reached the handler.
+  // Number of requests refused before they reached the handler.
   int64_t refused() const { return refused_; }
 
  private:
   friend class CallerConnection;
   void Accept(int fd);
-  // Ends connections that have been silent for too long.
+  // Closes idle connections and those whose request has timed out.
   void Sweep();
 
   EventLoop* loop_;
--- a/pinford/forwarding/http_reader.cc
+++ b/pinford/forwarding/http_reader.cc
@@ -20,7 +20,7 @@
       [name](const auto& h) { return SameHeaderName(h.first, name); }));
 }
 
-// What the parser has taken in of the present message.
+// What has been parsed of the current message.
 struct HttpReader::Message {
   HttpHead head;
   std::string body;
@@ -47,7 +47,7 @@
   }
   void on_field_impl(http::field, BeastView name, BeastView value,
                      beast::error_code&) override {
-    // Trailers carry nothing that is passed on.
+    // Trailers are not forwarded.
     if (message->head_done) return;
     message->head.headers.emplace_back(Text(name), Text(value));
   }
@@ -86,7 +86,7 @@
   auto parser = std::make_unique<P>();
   parser->message = message;
   parser->eager(true);
-  // The reader's own bounds come first, with answers of their own.
+  // The reader checks its own limits first and reports them as such.
   parser->body_limit(boost::none);
   parser->header_limit(std::numeric_limits<std::uint32_t>::max());
   return parser;
@@ -128,14 +128,14 @@
   if (!pending_.empty()) Parse();
 }
 
-// Whether a header line goes on in the next one. Some readers join such lines
-// and some do not, so they are refused.
+// Whether a header line is folded, that is, continued on the next line. Parsers
+// disagree on whether to join such lines, so they are refused.
 static bool HasFoldedLine(std::string_view head) {
   return head.find("\n ") != std::string_view::npos ||
          head.find("\n\t") != std::string_view::npos;
 }
 
-// A message must have one length that nobody can read otherwise.
+// A message must have exactly one length, which no parser reads differently.
 static bool HasUnambiguousLength(const HttpHead& head) {
   if (head.CountOf("Content-Length") > 1) return false;
   const std::string_view length = head.header("Content-Length");
--- a/pinford/forwarding/http_reader.h
+++ b/pinford/forwarding/http_reader.h
@@ -1,17 +1,17 @@
-// Reads one HTTP/1.1 message after the other off a connection, strictly.
+// Strict incremental reader of the HTTP/1.1 messages on a connection.
 //
-// evhtp and evhttp hide what forwarding must see: answers that begin before
-// the request was read whole, bodies that end with the connection, bytes that
-// follow a whole answer, bytes that are no answer at all. So the forwarding
-// path parses with Boost.Beast's parser, over its own connections, and adds
-// what keeps one message from being read as two: exactly one length, no
-// Transfer-Encoding but "chunked", no folded lines.
+// evhtp and evhttp hide what forwarding must see: responses that begin before
+// the request was read completely, bodies delimited by the end of the
+// connection, bytes after a complete response, and bytes that are not a
+// response. The forwarding path therefore uses Boost.Beast's parser on its own
+// connections, and adds checks against request smuggling: exactly one length,
+// no Transfer-Encoding but "chunked", no folded header lines.
 //
 //   HttpReader reader(HttpReader::Kind::kRequest, limits);
 //   reader.Feed(bytes);
 //   while (reader.state() == HttpReader::State::kDone) { ...; reader.Next(); }
 //
-// Bytes of a following message wait until Next().
+// Bytes of the following message are buffered until Next().
 
 #ifndef PINFORD_FORWARDING_HTTP_READER_H_
 #define PINFORD_FORWARDING_HTTP_READER_H_
@@ -27,15 +27,15 @@
 
 struct HttpHead {
   std::string method;  // of a request
-  std::string target;  // of a request: path and query, as sent
+  std::string target;  // of a request: path and query as sent
   int status = 0;      // of a response
   std::string reason;  // of a response
   HttpHeaders headers;
   bool keep_alive = true;
-  // A response whose body ends with the connection.
+  // A response whose body is delimited by the end of the connection.
   bool until_close = false;
 
-  // The first header of that name, in any case; "" without one.
+  // Value of the first header with that name, ignoring case; "" if absent.
   std::string_view header(std::string_view name) const;
   int CountOf(std::string_view name) const;
 };
@@ -60,25 +60,25 @@
   ~HttpReader();
 
   void Feed(std::string_view bytes);
-  // The other side has ended. Completes a body that runs until then.
+  // The peer has closed its side. Completes a body delimited by that.
   void FeedEof();
-  // Goes on to the next message with what is left over.
+  // Continues with the next message, starting with the buffered bytes.
   void Next();
 
   State state() const { return state_; }
   HttpReadError error() const { return error_; }
-  // Valid from kBody on.
+  // Complete from State::kBody on.
   const HttpHead& head() const;
-  // What of the body came since the last call.
+  // Returns the part of the body that arrived since the last call.
   std::string TakeBody();
-  // Bytes were fed that belong to no finished message.
+  // Whether bytes were fed that do not belong to a finished message.
   bool has_leftover() const { return !pending_.empty(); }
-  // Some bytes of the present message have arrived.
+  // Whether some bytes of the current message have arrived.
   bool begun() const { return state_ != State::kHead || !pending_.empty(); }
 
   void set_limits(const Limits& limits) { limits_ = limits; }
 
-  // Of the implementation.
+  // Implementation detail.
   struct Message;
 
  private:
--- a/pinford/forwarding/tcp_connection.cc
+++ b/pinford/forwarding/tcp_connection.cc
@@ -23,16 +23,16 @@
 
 std::string_view TcpEndName(TcpEnd end) { return NameIn(kTcpEndNames, end); }
 
-// Of connections that this process makes. Longer than a few retransmissions of
-// a lossy link (200, 400, 800 ms), shorter than the time after which a silent
-// peer would count as lost anyway.
+// For outgoing connections. Longer than a few retransmissions on a lossy link
+// (200, 400, 800 ms), and shorter than the time after which an unresponsive
+// peer counts as lost anyway.
 static constexpr milliseconds kOutgoingWriteStallTimeout{4000};
-// How long a closed connection waits for the peer's end once all is sent.
+// How long a closed connection waits for the peer's FIN once all is sent.
 static constexpr milliseconds kLingerTimeout{1000};
 static constexpr size_t kReadBufferBytes = 64 << 10;
 
 static void SetOption(int fd, int level, int name, int value) {
-  // An option that cannot be set leaves the kernel's default in force.
+  // If an option cannot be set, the kernel's default stays in force.
   (void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
@@ -174,7 +174,7 @@
       continue;
     }
     if (n < 0 && errno == EINTR) continue;
-    // The end is told by the read side, which first gives what had come.
+    // The read side reports the end, after delivering what was received.
     if (n < 0 && errno != EAGAIN) write_failed_ = true;
     break;
   }
@@ -230,7 +230,7 @@
   const size_t bytes = std::exchange(unsent_, "").size();
   if (bytes > 0 && handlers_->on_undelivered) handlers_->on_undelivered(bytes);
   if (auto fn = std::exchange(on_sent_, nullptr)) fn();
-  // Last: it may be the last that holds this.
+  // Must come last: this may be the last reference.
   const std::shared_ptr<TcpConnection> self = std::move(self_reference_);
 }
 
--- a/pinford/forwarding/tcp_connection.h
+++ b/pinford/forwarding/tcp_connection.h
@@ -1,14 +1,15 @@
-// A TCP connection on the event loop.
+// Non-blocking TCP connection on the event loop.
 //
-// Bytes are written at once, as far as the kernel takes them, rather than
-// with the next turn of the loop: so it is known at each moment whether a
-// byte of a request has left this process, and what was allowed to be sent
-// when it was checked has been sent then. Reading can be paused, which passes
-// back pressure on.
+// Write() passes bytes to the kernel immediately, as far as it accepts them,
+// rather than in the next loop iteration. It is therefore always known whether
+// a byte of a request has left this process, and a check made before Write()
+// still holds when the bytes are sent. Reading can be paused, which propagates
+// backpressure.
 //
-// A peer that lost power or sits behind a cut says nothing; bytes that it does
-// not take therefore end the connection after some time (TCP_USER_TIMEOUT).
-// The kernel counts a peer that lives and does not read as silent, too.
+// A peer that lost power or is behind a network partition sends nothing. Data
+// that stays unacknowledged therefore ends the connection after a timeout
+// (TCP_USER_TIMEOUT). The kernel applies the timeout also to a live peer that
+// does not read.
 //
 // Connections are held by shared pointers; handlers may drop the last one.
 
@@ -29,8 +30,8 @@
 
 // How a connection ended.
 enum class TcpEnd {
-  kRefused,   // it was never established
-  kClosed,    // the peer sent its end
+  kRefused,   // could not be established
+  kClosed,    // the peer closed it
   kReset,     // the peer or the network broke it
   kTimedOut,  // the peer acknowledged nothing for too long
 };
@@ -42,19 +43,20 @@
   struct Handlers {
     std::function<void()> on_connected;
     std::function<void(std::string_view)> on_bytes;
-    // Once, after the last byte; never after Close().
+    // Called once, after the last byte; never after Close().
     std::function<void(TcpEnd)> on_end;
-    // All that was written has been handed to the kernel.
+    // All written bytes have been passed to the kernel.
     std::function<void()> on_drained;
-    // It is closed, by either side, with so many bytes that were written and
-    // not handed to the kernel. Stays set through CloseGracefully().
+    // The connection was closed, by either side, with this many written bytes
+    // not passed to the kernel. Stays installed through CloseGracefully().
     std::function<void(size_t)> on_undelivered;
   };
 
-  // Begins to connect. `on_end` is called with kRefused if that fails.
+  // Starts connecting. `on_end` is called with kRefused if that fails.
   static std::shared_ptr<TcpConnection> Connect(EventLoop* loop,
                                                 const Address& to);
-  // Takes over an accepted socket, whose peer may take no bytes for so long.
+  // Takes ownership of an accepted socket. The connection ends if the peer
+  // accepts no bytes for `write_stall_timeout`.
   static std::shared_ptr<TcpConnection> Accept(EventLoop* loop, int fd,
                                                Duration write_stall_timeout);
   ~TcpConnection();
@@ -66,24 +68,25 @@
     handlers_ = std::make_shared<Handlers>(std::move(handlers));
   }
 
-  // Bytes written before the connection is there wait for it.
+  // Bytes written before the connection is established are buffered.
   void Write(std::string_view bytes);
   void PauseReading(bool paused);
-  // Closes at once. What was not yet handed to the kernel is lost.
+  // Closes immediately. Bytes not yet passed to the kernel are lost.
   void Close();
-  // Sends what is left and the end, however slowly the peer reads, then waits
-  // for the peer's end for a short time, so that unread bytes of the peer do
-  // not reset what it is to read. `on_sent` is called once, when nothing is
-  // left to be sent or nothing more can be; it may be at once.
+  // Sends all buffered bytes and then a FIN, however slowly the peer reads, and
+  // waits for the peer's FIN for a short time so that unread bytes from the
+  // peer do not cause a reset that destroys data in flight to it. `on_sent` is
+  // called once, when nothing is left to send or nothing more can be sent; it
+  // may be called immediately.
   void CloseGracefully(std::function<void()> on_sent = {});
-  // Breaks the connection so that the peer sees a reset.
+  // Closes the connection with a reset.
   void Reset();
 
   bool open() const { return fd_ >= 0; }
   bool connected() const { return connected_; }
-  // Bytes not yet handed to the kernel.
+  // Bytes not yet passed to the kernel.
   size_t unsent() const { return unsent_.size(); }
-  // Some byte has been handed to the kernel.
+  // Whether any byte has been passed to the kernel.
   bool sent_any() const { return sent_any_; }
 
  private:
@@ -105,15 +108,15 @@
   bool want_write_ = false;
   bool sent_any_ = false;
   bool closing_ = false;
-  bool write_failed_ = false;  // the kernel takes nothing more
-  // All is sent, and the peer's end is waited for.
+  bool write_failed_ = false;  // the kernel accepts nothing more
+  // Set while all bytes are sent and the peer's FIN is awaited.
   TimerId linger_timer_ = 0;
-  std::shared_ptr<TcpConnection> self_reference_;  // itself, while it closes
+  std::shared_ptr<TcpConnection> self_reference_;  // set while closing
   std::function<void()> on_sent_;
   event* read_ = nullptr;
   event* write_ = nullptr;
   std::string unsent_;
-  // Shared, so that a handler that replaces them runs to its end.
+  // Shared, so that a handler that replaces the handlers can return safely.
   std::shared_ptr<Handlers> handlers_ = std::make_shared<Handlers>();
 };
 
--- a/pinford/forwarding/upstream_client.cc
+++ b/pinford/forwarding/upstream_client.cc
@@ -57,7 +57,7 @@
   if (it == idle_.end()) return nullptr;
   const Time now = loop_->now();
   std::deque<IdleConnection>& pool = it->second;
-  // The one that rested least is the least likely to be closed by now.
+  // The most recently used connection is the least likely to be closed.
   while (!pool.empty()) {
     IdleConnection last = std::move(pool.back());
     if (now - last.idle_since > request.max_rest) {
@@ -92,7 +92,7 @@
 }
 
 void UpstreamClient::InstallHandlers(const std::shared_ptr<Exchange>& x) {
-  // The connection's handlers must not keep the connection alive.
+  // The handlers must not keep the connection alive.
   std::weak_ptr<Exchange> weak = x;
   TcpConnection::Handlers handlers;
   handlers.on_connected = [this, weak] {
@@ -141,7 +141,7 @@
     const HttpHead& head = x->reader.head();
     const bool done = state == HttpReader::State::kDone;
     const bool interim = head.status < 200;
-    // An answer to another request stands in the place of ours.
+    // A response to another request arrived in place of the expected one.
     const std::string_view id = head.header(options_.id_header);
     const bool mismatched = !interim && id != x->request.id && !id.empty();
     if (mismatched) x->reusable = false;
@@ -197,7 +197,7 @@
   if (x->handlers.on_end) x->handlers.on_end(end);
 }
 
-// The seconds of "timeout=N" in a Keep-Alive header, if it has them.
+// Returns the seconds of "timeout=N" in a Keep-Alive header, if present.
 static std::optional<seconds> ParseKeepAliveTimeout(std::string_view text) {
   constexpr std::string_view kName = "timeout=";
   const size_t at = text.find(kName);
@@ -214,7 +214,8 @@
     x->tcp->Close();
     return;
   }
-  // A quarter of what the endpoint allows is left for a request's way there.
+  // A quarter of the endpoint's timeout is reserved for the transit of a
+  // request.
   Duration idle_timeout = options_.idle_timeout;
   const HttpHead& head = x->reader.head();
   if (auto s = ParseKeepAliveTimeout(head.header("Keep-Alive"))) {
@@ -224,7 +225,7 @@
   pool.push_back({x->tcp, now, now + idle_timeout});
   TcpConnection::Handlers handlers;
   const TcpConnection* tcp = x->tcp.get();
-  // Whatever comes on a connection at rest was not asked for.
+  // Bytes received on an idle connection are unsolicited.
   handlers.on_bytes = [this, endpoint = x->request.endpoint,
                        tcp](std::string_view) { DropIdle(endpoint, tcp); };
   handlers.on_end = [this, endpoint = x->request.endpoint, tcp](TcpEnd) {
--- a/pinford/forwarding/upstream_client.h
+++ b/pinford/forwarding/upstream_client.h
@@ -1,17 +1,16 @@
-// Sends forwarded requests to endpoints and hands back what comes, as it
-// comes.
+// Sends forwarded requests to endpoints and streams their responses back.
 //
-// Unlike HttpClient (which makes pinford's own calls over evhttp) it tells
-// apart how an exchange ended, because that decides what may be said to the
-// caller and whether the request may be sent again (attempt_result.h):
-// whether a byte left this process, whether the answer was whole, cut or no
-// HTTP at all. It sends a request once.
+// HttpClient, built on evhttp, makes pinford's own calls. This client
+// additionally distinguishes how an exchange ended: whether any byte left this
+// process, and whether the response was complete, truncated or not HTTP. That
+// decides what the caller may be told and whether the request may be sent again
+// (attempt_result.h). The client sends each request once.
 //
-// A connection carries one request at a time. It is used again only if the
-// answer was whole, framed, asked for, and came after the whole request had
-// been written: a faulty endpoint may answer early, send more than one answer,
-// or send an old answer in the place of the one that is due. The request's id,
-// which answers repeat, tells those apart.
+// A connection carries one request at a time. It is reused only if the response
+// was complete, delimited by its own framing, expected, and arrived after the
+// whole request had been written: a faulty endpoint may respond early, send
+// more than one response, or send an old response in place of the current one.
+// Responses repeat the request's id, which tells these cases apart.
 
 #ifndef PINFORD_FORWARDING_UPSTREAM_CLIENT_H_
 #define PINFORD_FORWARDING_UPSTREAM_CLIENT_H_
@@ -33,47 +32,47 @@
 namespace pinford {
 
 enum class UpstreamEnd {
-  kComplete,   // the whole answer came
+  kComplete,   // the complete response was received
   kRefused,    // no connection could be made: nothing was sent
-  kWithdrawn,  // before_send said no: nothing was sent
-  kBroken,     // the connection ended after sending, without an answer
-  kCut,        // it ended within the answer
-  kGarbage,    // what came is no HTTP, or too large
+  kWithdrawn,  // before_send returned false: nothing was sent
+  kBroken,     // the connection ended after sending, without a response
+  kCut,        // the connection ended within the response
+  kGarbage,    // the response is not HTTP, or too large
 };
 
 std::string_view UpstreamEndName(UpstreamEnd e);
 
 struct UpstreamRequest {
-  std::string endpoint;  // whose connections may be used
+  std::string endpoint;  // whose idle connections may be reused
   Address to;
-  std::string bytes;       // the whole request as it goes on the wire
-  std::string id;          // what the answer's id header must hold
-  bool head_only = false;  // a HEAD request: its answer has no body
-  // Kept connections that rested for longer are not used for it.
+  std::string bytes;       // the whole request in wire format
+  std::string id;          // expected value of the response's id header
+  bool head_only = false;  // a HEAD request: its response has no body
+  // Connections that were idle for longer are not reused for this request.
   Duration max_rest = seconds(60);
   Duration connect_timeout = milliseconds(400);
 };
 
 struct UpstreamHandlers {
-  // Asked right before the first byte is written.
+  // Called right before the first byte is written; false withdraws the request.
   std::function<bool()> before_send;
   std::function<void(const HttpHead&)> on_head;
   std::function<void(std::string)> on_body;
-  // Once, last.
+  // Called once, last.
   std::function<void(UpstreamEnd)> on_end;
 };
 
-// Identifies an exchange under way. 0 is never given out.
+// Identifies an exchange in progress. 0 is never used.
 using UpstreamId = uint64_t;
 
 class UpstreamClient {
  public:
   struct Options {
-    std::string id_header;  // the name of the header with the request's id
+    std::string id_header;  // name of the header with the request's id
     size_t head_bytes = 64 << 10;
     size_t body_bytes = 64 << 20;
-    size_t max_idle = 64;  // connections kept, of one endpoint
-    // How long a connection is kept without word from the endpoint.
+    size_t max_idle = 64;  // idle connections kept per endpoint
+    // How long a connection is kept if the endpoint announces no timeout.
     Duration idle_timeout = seconds(4);
   };
 
@@ -82,14 +81,14 @@
   UpstreamClient(const UpstreamClient&) = delete;
   UpstreamClient& operator=(const UpstreamClient&) = delete;
 
-  // Handlers are called later, never from within Send.
+  // Handlers are called asynchronously, never from within Send.
   UpstreamId Send(UpstreamRequest request, UpstreamHandlers handlers);
-  // Closes the exchange's connection. No handler is called any more.
+  // Closes the exchange's connection. Its handlers are not called any more.
   void Cancel(UpstreamId id);
-  // Stops or goes on reading the answer.
+  // Pauses or resumes reading the response.
   void Pause(UpstreamId id, bool paused);
-  // Closes the kept connections of an endpoint that is gone or has started
-  // anew, and keeps none that is in use now.
+  // Closes the idle connections of an endpoint that was removed or restarted,
+  // and prevents reuse of those that are in use now.
   void Forget(const std::string& endpoint);
 
   int64_t connects() const { return connects_; }
--- a/pinford/testing/entry_server_test.cc
+++ b/pinford/testing/entry_server_test.cc
@@ -1,5 +1,6 @@
-// Callers that misbehave, over real sockets: requests in pieces, in a row, too
-// large, too slow, smuggled, and callers that leave.
+// EntryServer against misbehaving callers, over real sockets: requests in
+// pieces, pipelined, too large, too slow or smuggled, and callers that
+// disconnect.
 
 #include "pinford/forwarding/entry_server.h"
 
@@ -37,7 +38,7 @@
     }
   }
 
-  // Connects, writes `text`, and gives what came back within `d`.
+  // Connects, writes `text`, and returns what is received within `d`.
   std::string SendText(const std::string& text,
                        Duration d = milliseconds(200)) {
     last_connection = Open();
@@ -68,7 +69,7 @@
   std::vector<std::string> requests;
   std::vector<EntryPtr> deferred;
   std::shared_ptr<TcpConnection>
-      last_connection;  // the connection of the last Say
+      last_connection;  // the connection of the last SendText
   int disconnects = 0;
   bool defer_replies = false;
   std::string received;
@@ -95,7 +96,7 @@
       {"a large body",
        "POST / HTTP/1.1\r\nContent-Length: 21\r\n\r\n" + std::string(21, 'b'),
        "413"},
-      {"no HTTP", "nonsense\r\n\r\n", "400"},
+      {"not HTTP", "nonsense\r\n\r\n", "400"},
       {"two lengths",
        "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
        "400"},
@@ -103,7 +104,7 @@
        "POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n"
        "\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\n\r\n",
        "400"},
-      {"a head that does not end", "GET / HTTP/1.1\r\nHost: h", "408"},
+      {"an incomplete head", "GET / HTTP/1.1\r\nHost: h", "408"},
   };
   for (const auto& c : cases) {
     Fixture f;
@@ -147,7 +148,7 @@
   f.RunFor(milliseconds(50));
   EXPECT_EQ(f.disconnects, 1);
   EXPECT_FALSE(f.deferred[0]->open());
-  f.deferred[0]->Reply(200, "", {}, "nobody hears this");
+  f.deferred[0]->Reply(200, "", {}, "not delivered");
 }
 
 TEST(EntryServer, AnAnswerThatBreaksOffDoesNotLookComplete) {
@@ -196,7 +197,7 @@
   kept.SendText(request, milliseconds(50));
   kept.server.CloseIdle(milliseconds(500));
   kept.RunFor(milliseconds(50));
-  EXPECT_TRUE(kept.disconnected) << "it has brought a request";
+  EXPECT_TRUE(kept.disconnected) << "it has carried a request";
 
   Fixture fresh;
   auto tcp = fresh.Open();
@@ -215,7 +216,7 @@
   silent.RunFor(milliseconds(150));
   silent.server.CloseIdle(milliseconds(100));
   silent.RunFor(milliseconds(50));
-  EXPECT_TRUE(silent.disconnected) << "its time is over";
+  EXPECT_TRUE(silent.disconnected) << "its grace period is over";
 }
 
 TEST(EntryServer, KeepsToItsBoundOfConnections) {
@@ -230,19 +231,19 @@
   EXPECT_EQ(f.server.connections(), 2u);
 }
 
-// An answer was cut one second after it had been written, with most of it
-// unsent, where the caller's link or the caller was slow.
+// Guards against a response being truncated one second after it was written,
+// with most of it unsent, because the caller or its link was slow.
 TEST(EntryServer, AnAnswerIsDeliveredHoweverSlowlyItIsRead) {
   Fixture f;
   f.defer_replies = true;
   f.SendText("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   ASSERT_EQ(f.deferred.size(), 1);
-  const std::string body(16 << 20, 'x');  // more than kernels buffer
+  const std::string body(16 << 20, 'x');  // more than the kernel buffers
   f.last_connection->PauseReading(true);
   f.deferred[0]->Reply(200, "OK", {}, body);
   f.deferred.clear();
   f.RunFor(milliseconds(1500));
-  EXPECT_EQ(f.server.connections(), 1) << "a stop waits for it";
+  EXPECT_EQ(f.server.connections(), 1) << "a planned stop waits for it";
   f.last_connection->PauseReading(false);
   for (int i = 0; i < 50 && !f.disconnected; i++) f.RunFor(milliseconds(100));
   EXPECT_TRUE(f.disconnected);
@@ -250,14 +251,14 @@
   EXPECT_EQ(f.server.connections(), 0);
 }
 
-// A caller that reads nothing for some seconds is there, and acknowledges what
-// it is asked; its connection was ended after four.
+// Guards against closing the connection of a caller that reads nothing for more
+// than four seconds but is alive and acknowledges what it is sent.
 TEST(EntryServer, ACallerThatPausesIsNotTakenForGone) {
   Fixture f;
   f.defer_replies = true;
   f.SendText("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_EQ(f.deferred.size(), 1);
-  const std::string body(16 << 20, 'x');  // more than kernels buffer
+  const std::string body(16 << 20, 'x');  // more than the kernel buffers
   f.last_connection->PauseReading(true);
   f.deferred[0]->Reply(200, "OK", {}, body);
   f.deferred.clear();
--- a/pinford/testing/http_reader_test.cc
+++ b/pinford/testing/http_reader_test.cc
@@ -1,5 +1,5 @@
-// The strict reader of HTTP messages: a table of what is refused, and every
-// message cut at each byte against the same message read at once.
+// HttpReader: a table of messages that are refused, and every message split at
+// each byte compared with the same message read at once.
 
 #include "pinford/forwarding/http_reader.h"
 
@@ -70,15 +70,15 @@
       {"a bare line end", "GET / HTTP/1.1\nHost: h\r\n\r\n",
        HttpReadError::kMalformed},
       {"no version", "GET /\r\n\r\n", HttpReadError::kMalformed},
-      {"no HTTP", "hello there\r\n\r\n", HttpReadError::kMalformed},
-      {"no HTTP, and short", "\x02\r\n\r\n", HttpReadError::kMalformed},
-      {"a chunk's length that is none",
+      {"not HTTP", "hello there\r\n\r\n", HttpReadError::kMalformed},
+      {"not HTTP, and short", "\x02\r\n\r\n", HttpReadError::kMalformed},
+      {"an invalid chunk length",
        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n",
        HttpReadError::kMalformed},
       {"a large head",
        "GET / HTTP/1.1\r\nA: " + std::string(600, 'a') + "\r\n\r\n",
        HttpReadError::kHeadTooLarge},
-      {"a head without end", "GET / HTTP/1.1\r\nA: " + std::string(600, 'a'),
+      {"an unterminated head", "GET / HTTP/1.1\r\nA: " + std::string(600, 'a'),
        HttpReadError::kHeadTooLarge},
       {"a large body",
        "POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n" + std::string(65, 'b'),
@@ -101,22 +101,22 @@
   const struct {
     const char* name;
     std::string text;
-    State before, after;  // the connection's end
+    State before, after;  // the end of the connection
     std::string body;
   } cases[] = {
       {"a length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
        State::kDone, State::kDone, "ab"},
-      {"cut", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", State::kBody,
-       State::kFailed, "ab"},
-      {"until the end", "HTTP/1.1 200 OK\r\n\r\nab", State::kBody, State::kDone,
+      {"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
+       State::kBody, State::kFailed, "ab"},
+      {"until close", "HTTP/1.1 200 OK\r\n\r\nab", State::kBody, State::kDone,
        "ab"},
-      {"chunks cut",
+      {"truncated chunks",
        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
        State::kBody, State::kFailed, "ab"},
       {"no body", "HTTP/1.1 204 No Content\r\n\r\n", State::kDone, State::kDone,
        ""},
-      {"head cut", "HTTP/1.1 200 OK\r\nConte", State::kHead, State::kFailed,
-       ""},
+      {"truncated head", "HTTP/1.1 200 OK\r\nConte", State::kHead,
+       State::kFailed, ""},
       {"nothing", "", State::kHead, State::kHead, ""},
   };
   for (const auto& c : cases) {
@@ -129,14 +129,14 @@
   }
 }
 
-// What one message was read as.
+// One message as parsed.
 struct ParsedMessage {
   std::string method, target, body;
   HttpHeaders headers;
   bool operator==(const ParsedMessage&) const = default;
 };
 
-// Reads `text` in pieces that end at `cuts`.
+// Feeds `text` in pieces that end at `cuts`.
 std::vector<ParsedMessage> ReadInPieces(const std::string& text,
                                         const std::vector<size_t>& cuts) {
   HttpReader reader = Reader(HttpReader::Kind::kRequest);
@@ -168,7 +168,7 @@
   ASSERT_EQ(whole.size(), 4u);
   EXPECT_EQ(whole[0].body, "hello");
   EXPECT_EQ(whole[2].body, "abcde");
-  EXPECT_EQ(whole[2].headers.size(), 1u) << "a trailer is no header";
+  EXPECT_EQ(whole[2].headers.size(), 1u) << "a trailer is not a header";
   for (size_t cut = 1; cut < text.size(); cut++) {
     EXPECT_EQ(ReadInPieces(text, {cut, text.size()}), whole) << cut;
   }
@@ -197,7 +197,7 @@
     reader.Feed(text);
     reader.FeedEof();
     if (reader.state() != State::kDone) continue;
-    // Whatever passed has one length, and the body has it.
+    // Whatever is accepted has one length, which the body matches.
     EXPECT_LE(reader.head().CountOf("Content-Length"), 1) << seed;
     const std::string_view length = reader.head().header("Content-Length");
     if (!length.empty()) {
--- a/pinford/testing/raw_endpoint.h
+++ b/pinford/testing/raw_endpoint.h
@@ -1,5 +1,5 @@
-// An endpoint of raw sockets on the test's own event loop: it answers what the
-// test tells it to, byte for byte.
+// Endpoint on raw sockets on the test's own event loop, with responses scripted
+// byte for byte.
 
 #ifndef PINFORD_TESTING_RAW_ENDPOINT_H_
 #define PINFORD_TESTING_RAW_ENDPOINT_H_
@@ -17,7 +17,7 @@
 
 class RawEndpoint {
  public:
-  // What to do once a request's head has come on a connection.
+  // What to do once a request's head has been received on a connection.
   struct Step {
     std::string answer;
     enum class Then { kKeep, kClose, kReset } then = Then::kKeep;
@@ -27,7 +27,7 @@
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    at.sin_port = 0;  // any that is free
+    at.sin_port = 0;  // any free port
     listener_ = evconnlistener_new_bind(
         loop->base(),
         [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
@@ -46,13 +46,13 @@
 
   Address address() const { return {"127.0.0.1", port_}; }
 
-  // More of an answer, on the newest connection.
+  // Continues a response, on the newest connection.
   void WriteMore(const std::string& bytes) { accepted_.back()->Write(bytes); }
 
-  std::vector<Step> steps;            // for the requests in turn
-  std::vector<std::string> requests;  // as they came
+  std::vector<Step> steps;            // for the requests in order
+  std::vector<std::string> requests;  // as received
   int connections = 0;
-  int ended = 0;  // connections that the other side ended
+  int ended = 0;  // connections closed by the peer
 
  private:
   void Accept(int fd) {
--- a/pinford/testing/tcp_connection_test.cc
+++ b/pinford/testing/tcp_connection_test.cc
@@ -7,8 +7,9 @@
 namespace pinford {
 namespace {
 
-// Closed while it was being made, a connection ended twice: a timer of the
-// first end found its memory freed. Found with the address sanitizer.
+// Guards against a connection that is closed while it is being established
+// ending twice, where a timer of the first end uses freed memory. Found by
+// AddressSanitizer.
 TEST(TcpConnection, EndsOnceWhenClosedWhileConnecting) {
   for (const bool writes : {true, false}) {
     EventLoop loop;
@@ -25,7 +26,7 @@
       EXPECT_EQ(sent, 1) << writes;
       EXPECT_EQ(endpoint.requests.size(), writes ? 1 : 0);
     });
-    // Longer than it waits for the peer's end.
+    // Longer than the wait for the peer's FIN.
     loop.After(milliseconds(1300), [&] { loop.Stop(); });
     loop.Run();
     EXPECT_TRUE(weak.expired()) << writes;
--- a/pinford/testing/upstream_client_test.cc
+++ b/pinford/testing/upstream_client_test.cc
@@ -1,5 +1,5 @@
-// How exchanges with endpoints end, over real sockets: a table of what an
-// endpoint may do, and whether its connection is used again.
+// UpstreamClient over real sockets: a table of endpoint behaviours, how each
+// exchange ends, and whether the connection is reused.
 
 #include "pinford/forwarding/upstream_client.h"
 
@@ -81,25 +81,25 @@
     RawEndpoint::Step step;
     UpstreamEnd end;
     std::string body;
-    bool reused;  // the connection serves the next request too
+    bool reused;  // the connection also serves the next request
   } cases[] = {
-      {"whole", {Answer("1", "ab")}, UpstreamEnd::kComplete, "ab", true},
-      {"says close",
+      {"complete", {Answer("1", "ab")}, UpstreamEnd::kComplete, "ab", true},
+      {"asks to close",
        {Answer("1", "ab", "Connection: close\r\n")},
        UpstreamEnd::kComplete,
        "ab",
        false},
-      {"interim first",
+      {"interim response first",
        {"HTTP/1.1 100 Continue\r\n\r\n" + Answer("1", "ab")},
        UpstreamEnd::kComplete,
        "ab",
        true},
-      {"an old answer first",
+      {"an old response first",
        {Answer("0", "old") + Answer("1", "ab")},
        UpstreamEnd::kComplete,
        "ab",
        false},
-      {"a second answer",
+      {"a second response",
        {Answer("1", "ab") + Answer("1", "cd")},
        UpstreamEnd::kComplete,
        "ab",
@@ -114,24 +114,28 @@
        UpstreamEnd::kCut,
        "ab",
        false},
-      {"cut short",
+      {"truncated",
        {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nab",
         Then::kClose},
        UpstreamEnd::kCut,
        "ab",
        false},
-      {"closed without a word",
+      {"closed without a response",
        {"", Then::kClose},
        UpstreamEnd::kBroken,
        "",
        false},
-      {"reset without a word",
+      {"reset without a response",
        {"", Then::kReset},
        UpstreamEnd::kBroken,
        "",
        false},
-      {"no HTTP", {"\x01\x02 hello\r\n\r\n"}, UpstreamEnd::kGarbage, "", false},
-      {"garbage in the chunks",
+      {"not HTTP",
+       {"\x01\x02 hello\r\n\r\n"},
+       UpstreamEnd::kGarbage,
+       "",
+       false},
+      {"malformed chunks",
        {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\nxx\r\n"},
        UpstreamEnd::kGarbage,
        "",
@@ -144,7 +148,7 @@
     EXPECT_TRUE(first.finished) << c.name;
     EXPECT_EQ(first.end, c.end) << c.name;
     EXPECT_EQ(first.body, c.body) << c.name;
-    // Surplus bytes have time to come.
+    // Leaves time for surplus bytes to arrive.
     f.RunFor(milliseconds(30));
     const Result second = f.Get("2");
     EXPECT_EQ(second.end, UpstreamEnd::kComplete) << c.name;
@@ -153,8 +157,8 @@
   }
 }
 
-// A whole answer cut after each of its bytes is never taken for whole, and is
-// never said not to have been sent.
+// A response truncated after any of its bytes is never taken for complete, and
+// its request is never reported as not sent.
 TEST(UpstreamClient, AnAnswerTruncatedAnywhereIsNotComplete) {
   const std::string whole = Answer("1", "hello");
   for (size_t n = 0; n < whole.size(); n++) {
@@ -205,7 +209,7 @@
   }
 }
 
-// An endpoint that started anew, or is gone, while an answer was under way.
+// The endpoint restarts or is removed while a response is in progress.
 TEST(UpstreamClient, AForgottenEndpointsConnectionsAreNotUsedAgain) {
   for (const bool in_use : {false, true}) {
     Fixture f;
