--- a/pinford/forwarding/forward_head.cc
+++ b/pinford/forwarding/forward_head.cc
@@ -22,7 +22,7 @@
 }
 
 // Whether a Connection header of `head` names `name`.
-static bool NamedInConnection(const HttpHead& head, std::string_view name) {
+static bool ListedInConnection(const HttpHead& head, std::string_view name) {
   for (const auto& [key, value] : head.headers) {
     if (!SameHeaderName(key, "Connection")) continue;
     std::string_view rest = value;
@@ -39,11 +39,11 @@
   const bool fixed = std::any_of(
       std::begin(kConnectionHeaders), std::end(kConnectionHeaders),
       [name](std::string_view h) { return SameHeaderName(h, name); });
-  return fixed || NamedInConnection(head, name);
+  return fixed || ListedInConnection(head, name);
 }
 
-static void AddLine(std::string_view name, std::string_view value,
-                    std::string* out) {
+static void AppendHeader(std::string_view name, std::string_view value,
+                         std::string* out) {
   out->append(name);
   out->append(": ");
   out->append(value);
@@ -54,37 +54,39 @@
                                   const ForwardProtocol& protocol,
                                   const ForwardNotes& notes) {
   const ForwardHeaders& names = protocol.headers;
-  const std::string_view own[] = {names.key,      names.time_left,
-                                  names.customer, names.instance,
-                                  names.chain,    names.urgency};
+  const std::string_view pinford_headers[] = {names.key,      names.time_left,
+                                              names.customer, names.instance,
+                                              names.chain,    names.urgency};
   std::string out = head.method + " " + head.target + " HTTP/1.1\r\n";
-  const auto is_own = [&own](std::string_view name) {
+  const auto is_pinford_header = [&pinford_headers](std::string_view name) {
     return std::any_of(
-        std::begin(own), std::end(own),
+        std::begin(pinford_headers), std::end(pinford_headers),
         [name](std::string_view h) { return SameHeaderName(h, name); });
   };
   for (const auto& [name, value] : head.headers) {
-    if (IsConnectionHeader(head, name) || is_own(name)) continue;
-    const bool resumes =
+    if (IsConnectionHeader(head, name) || is_pinford_header(name)) continue;
+    const bool replaces_last_event =
         !notes.last_event.empty() && SameHeaderName(name, names.last_event);
-    if (!resumes) AddLine(name, value, &out);
+    if (!replaces_last_event) AppendHeader(name, value, &out);
   }
-  const int64_t left = std::max<int64_t>(1, ToMillis(notes.time_left));
-  AddLine(names.time_left, std::to_string(left), &out);
-  AddLine(names.instance, notes.instance, &out);
-  if (!notes.customer.empty()) AddLine(names.customer, notes.customer, &out);
+  const int64_t time_left_ms = std::max<int64_t>(1, ToMillis(notes.time_left));
+  AppendHeader(names.time_left, std::to_string(time_left_ms), &out);
+  AppendHeader(names.instance, notes.instance, &out);
+  if (!notes.customer.empty())
+    AppendHeader(names.customer, notes.customer, &out);
   if (!notes.chain.empty()) {
-    AddLine(names.chain, protocol.write_chain(notes.chain), &out);
+    AppendHeader(names.chain, protocol.write_chain(notes.chain), &out);
   }
   if (notes.urgency >= 0) {
-    AddLine(names.urgency, std::to_string(notes.urgency), &out);
+    AppendHeader(names.urgency, std::to_string(notes.urgency), &out);
   }
   if (!notes.last_event.empty()) {
-    AddLine(names.last_event, notes.last_event, &out);
+    AppendHeader(names.last_event, notes.last_event, &out);
   }
   const bool had_body = head.CountOf("Content-Length") > 0 ||
                         head.CountOf("Transfer-Encoding") > 0;
-  if (had_body) AddLine("Content-Length", std::to_string(body.size()), &out);
+  if (had_body)
+    AppendHeader("Content-Length", std::to_string(body.size()), &out);
   out += "\r\n";
   out += body;
   return out;
--- a/pinford/forwarding/forward_order.cc
+++ b/pinford/forwarding/forward_order.cc
@@ -8,13 +8,13 @@
 
 // Parts of the latency objective after which an answer that has not begun is
 // looked for elsewhere, so that another attempt can still be in time.
-static constexpr double kFirstEventShare = 0.45, kAnswerShare = 0.5;
+static constexpr double kFirstEventFraction = 0.45, kAnswerFraction = 0.5;
 // The same of the longest pause between events: a new run reads the prompt
 // before it goes on, which takes most of the rest.
-static constexpr double kGapShare = 0.55;
+static constexpr double kGapFraction = 0.55;
 // ... but no sooner than this many times what is usual: where all are slow,
 // none stands still.
-static constexpr int kUsualTimes = 3;
+static constexpr int kTypicalMultiple = 3;
 
 RequestFacts FactsOf(const ForwardOrder& order) {
   RequestFacts facts;
@@ -43,24 +43,26 @@
       order.exchange->head().header(parts.protocol.headers.tokens));
   if (!tokens) return options;
   // The most that an answer may have is rarely reached.
-  const int usual = spec->engine->usual_answer;
+  const int typical = spec->engine->usual_answer;
   const int answer =
-      usual > 0 ? std::min(tokens->answer, usual) : tokens->answer;
+      typical > 0 ? std::min(tokens->answer, typical) : tokens->answer;
   options.prompt = tokens->prompt;
   options.layer_work = (tokens->prompt + answer) / 1000.0;
   return options;
 }
 
-Duration SilenceLimitOf(const Route& route, bool begun, Duration usual) {
-  const auto part = [](double share, Duration of) {
-    return FromSeconds(share * ToSeconds(of));
+Duration SilenceLimitOf(const Route& route, bool stream_started,
+                        Duration typical) {
+  const auto fraction_of = [](double fraction, Duration duration) {
+    return FromSeconds(fraction * ToSeconds(duration));
   };
   if (route.kind != RequestKind::kStream) {
-    return part(kAnswerShare, route.target_latency);
+    return fraction_of(kAnswerFraction, route.target_latency);
   }
-  const Duration limit = begun ? part(kGapShare, route.target_gap)
-                               : part(kFirstEventShare, route.target_latency);
-  return std::max(limit, kUsualTimes * usual);
+  const Duration limit =
+      stream_started ? fraction_of(kGapFraction, route.target_gap)
+                     : fraction_of(kFirstEventFraction, route.target_latency);
+  return std::max(limit, kTypicalMultiple * typical);
 }
 
 int UrgencyOf(Tier tier) { return 2 * static_cast<int>(tier); }
--- a/pinford/forwarding/forward_order.h
+++ b/pinford/forwarding/forward_order.h
@@ -39,7 +39,8 @@
 // How long a request may be silent before it is looked after: until its answer
 // begins, or between events if those have `begun`. `usual` is what that takes
 // of late, over all requests.
-Duration SilenceLimitOf(const Route& route, bool begun, Duration usual);
+Duration SilenceLimitOf(const Route& route, bool stream_started,
+                        Duration typical);
 
 // What engines are told, from 0 (most urgent) to 9, of the policy's tiers.
 int UrgencyOf(Tier tier);
--- a/pinford/forwarding/forward_policy.cc
+++ b/pinford/forwarding/forward_policy.cc
@@ -34,9 +34,9 @@
 }
 
 RequestClass ForwardPolicy::Classify(const RequestFacts& facts) {
-  RequestFacts seen = facts;
-  seen.hour = HourOfDay(utc_offset_minutes_);
-  RequestClass treatment = policy_->Classify(seen);
+  RequestFacts facts_with_hour = facts;
+  facts_with_hour.hour = HourOfDay(utc_offset_minutes_);
+  RequestClass treatment = policy_->Classify(facts_with_hour);
   if (policy_->errors() == errors_) return treatment;
   errors_ = policy_->errors();
   metrics_->Count("policy_errors_total");
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -39,10 +39,10 @@
       random_(SeededRandom()),
       policy_(&metrics_, settings.utc_offset_minutes),
       http_(loop, HttpClient::Options()),
-      upstream_(loop, UpstreamOptions(protocol)),
+      upstream_(loop, UpstreamClientOptions(protocol)),
       table_(settings.hall, TableOptions(settings), SeededRandom()),
       directory_(&table_, EndpointDirectory::Options(), DirectoryEvents()),
-      retries_(loop->now(), RetryOptions(settings, settings.off)),
+      retries_(loop->now(), RetryShareOptions(settings, settings.off)),
       loans_(&retries_, RetryLoans::Options(), SeededRandom()),
       news_(FailureNews::Options()),
       parts_{
@@ -69,14 +69,14 @@
           settings.off},
       forwarder_(&parts_),
       membership_(SelfRow(settings, WallMillis()), settings.seeds,
-                  PeerOptions(settings), SeededRandom()),
+                  MembershipOptions(settings), SeededRandom()),
       gossip_(loop, &membership_, settings.peer_key, PeerHandlers()),
       roster_(&membership_, SourceRoster::Options()),
       duty_(loop->now(), IsSeed(), StoreDuty::Options(), SeededRandom()),
       source_(loop, &membership_, &roster_, membership_.other_seeds(),
               gossip_.link(), SeededRandom(), PeerSourceOptions(),
               SourceEvents()),
-      callers_(loop, EntryLimits(settings),
+      callers_(loop, CallerServerLimits(settings),
                [this](EntryPtr e) { forwarder_.Handle(std::move(e)); }),
       operators_(loop, HttpServer::Options(),
                  [this](const ExchangePtr& e) { ServeOperators(e); }),
@@ -189,7 +189,7 @@
   settings_.key_proof = settings.key_proof;
   settings_.stop_at_latest = settings.stop_at_latest;
   settings_.stop_listening_after = settings.stop_listening_after;
-  retries_.set_options(RetryOptions(settings, settings_.off));
+  retries_.set_options(RetryShareOptions(settings, settings_.off));
   const bool same_places = settings.callers == settings_.callers &&
                            settings.store == settings_.store;
   LogEvent(LogPart::kBox, LogLevel::kInfo, "settings_reloaded",
@@ -215,7 +215,7 @@
   }
   configuration_hash_ = hash;
   configuration_packed_ = Deflate(text);
-  EntryServer::Limits limits = EntryLimits(settings_);
+  EntryServer::Limits limits = CallerServerLimits(settings_);
   limits.head_bytes = c.limits.head_bytes;
   limits.body_bytes = c.limits.body_bytes;
   limits.head_timeout = c.limits.head_timeout;
--- a/pinford/forwarding/forwarding_options.cc
+++ b/pinford/forwarding/forwarding_options.cc
@@ -6,13 +6,13 @@
 
 // What boxes have on runners matters in all halls alike, since a runner's
 // memory is shared by all.
-Membership::Options PeerOptions(const Settings& s) {
+Membership::Options MembershipOptions(const Settings& s) {
   Membership::Options options = GossipOptions(s);
   options.other_hall_every = 2;
   return options;
 }
 
-EntryServer::Limits EntryLimits(const Settings& s) {
+EntryServer::Limits CallerServerLimits(const Settings& s) {
   EntryServer::Limits limits;
   limits.head_bytes = s.max_header_bytes;
   limits.body_bytes = s.max_body_bytes;
@@ -21,7 +21,7 @@
   return limits;
 }
 
-UpstreamClient::Options UpstreamOptions(const ForwardProtocol& p) {
+UpstreamClient::Options UpstreamClientOptions(const ForwardProtocol& p) {
   UpstreamClient::Options options;
   options.id_header = p.headers.request_id;
   return options;
@@ -40,7 +40,8 @@
   return options;
 }
 
-RetryShare::Options RetryOptions(const Settings& s, const MechanismsOff& off) {
+RetryShare::Options RetryShareOptions(const Settings& s,
+                                      const MechanismsOff& off) {
   RetryShare::Options options;
   options.ratio = s.retry_ratio;
   options.extra = s.retry_extra;
--- a/pinford/forwarding/forwarding_options.h
+++ b/pinford/forwarding/forwarding_options.h
@@ -14,12 +14,13 @@
 
 namespace pinford {
 
-Membership::Options PeerOptions(const Settings& s);
-EntryServer::Limits EntryLimits(const Settings& s);
-UpstreamClient::Options UpstreamOptions(const ForwardProtocol& p);
+Membership::Options MembershipOptions(const Settings& s);
+EntryServer::Limits CallerServerLimits(const Settings& s);
+UpstreamClient::Options UpstreamClientOptions(const ForwardProtocol& p);
 EndpointTable::Options TableOptions(const Settings& s);
 // `off`: the mechanisms that are off, which stay as they were at the start.
-RetryShare::Options RetryOptions(const Settings& s, const MechanismsOff& off);
+RetryShare::Options RetryShareOptions(const Settings& s,
+                                      const MechanismsOff& off);
 
 }  // namespace pinford
 
--- a/pinford/forwarding/route_table.cc
+++ b/pinford/forwarding/route_table.cc
@@ -26,15 +26,15 @@
 
 const Route* RouteTable::Find(std::string_view host,
                               std::string_view target) const {
-  auto at = hosts_.find(HostName(host));
-  if (at == hosts_.end()) return nullptr;
+  auto prefixes = hosts_.find(HostName(host));
+  if (prefixes == hosts_.end()) return nullptr;
   std::string path(target.substr(0, target.find('?')));
   while (!path.empty()) {
     const size_t slash = path.rfind('/');
     if (slash == std::string::npos) return nullptr;
     path.resize(slash + 1);
-    auto it = at->second.find(path);
-    if (it != at->second.end()) return it->second;
+    auto it = prefixes->second.find(path);
+    if (it != prefixes->second.end()) return it->second;
     path.pop_back();
   }
   return nullptr;
@@ -46,16 +46,16 @@
 }
 
 const std::string& DrawService(const Route& route, double draw) {
-  static const std::string kNone;
+  static const std::string kNoService;
   double sum = 0;
   for (const ServiceShare& s : route.services) sum += s.weight;
-  double left = draw * sum;
-  const std::string* last = &kNone;
+  double remaining = draw * sum;
+  const std::string* last = &kNoService;
   for (const ServiceShare& s : route.services) {
     if (s.weight <= 0) continue;
     last = &s.service;
-    left -= s.weight;
-    if (left < 0) break;
+    remaining -= s.weight;
+    if (remaining < 0) break;
   }
   return *last;
 }
--- a/pinford/forwarding/service_configuration.cc
+++ b/pinford/forwarding/service_configuration.cc
@@ -17,18 +17,18 @@
 }
 
 template <typename T>
-static const T* Named(const std::vector<T>& list, std::string_view name) {
+static const T* FindByName(const std::vector<T>& list, std::string_view name) {
   auto it = std::find_if(list.begin(), list.end(),
                          [name](const T& t) { return t.name == name; });
   return it == list.end() ? nullptr : &*it;
 }
 
 const AcceleratorKind* EnginePool::Kind(std::string_view name) const {
-  return Named(kinds, name);
+  return FindByName(kinds, name);
 }
 
 const ServiceSpec* ServiceConfiguration::Service(std::string_view name) const {
-  return Named(services, name);
+  return FindByName(services, name);
 }
 
 bool ServiceConfiguration::RoutesTo(std::string_view service) const {
