--- a/pinford/forwarding/forward_head.cc
+++ b/pinford/forwarding/forward_head.cc
@@ -5,8 +5,7 @@
 
 namespace pinford {
 
-// Headers that concern one connection (RFC 9110, 7.6.1), and the lengths,
-// which are written anew.
+// Hop-by-hop headers (RFC 9110, 7.6.1), and the length, which is written anew.
 static constexpr std::string_view kConnectionHeaders[] = {
     "Connection",        "Keep-Alive", "Proxy-Connection", "TE",     "Trailer",
     "Transfer-Encoding", "Upgrade",    "Content-Length",   "Expect",
@@ -21,7 +20,7 @@
   return s;
 }
 
-// Whether a Connection header of `head` names `name`.
+// Whether a Connection header of `head` lists `name`.
 static bool ListedInConnection(const HttpHead& head, std::string_view name) {
   for (const auto& [key, value] : head.headers) {
     if (!SameHeaderName(key, "Connection")) continue;
--- a/pinford/forwarding/forward_head.h
+++ b/pinford/forwarding/forward_head.h
@@ -1,8 +1,8 @@
-// Writes the head of a request for an endpoint, and chooses the headers of an
-// endpoint's answer that a caller gets.
+// Serializes requests for endpoints and filters the headers of their responses
+// for callers.
 //
-// Everything passes unchanged but what concerns a single connection, what
-// names the caller's key, and what pinford says itself.
+// All headers pass unchanged except hop-by-hop headers, the caller's key, and
+// the headers that pinford sets itself.
 
 #ifndef PINFORD_FORWARDING_FORWARD_HEAD_H_
 #define PINFORD_FORWARDING_FORWARD_HEAD_H_
@@ -16,22 +16,23 @@
 
 namespace pinford {
 
-// What pinford says to an endpoint about one attempt.
+// Values of the headers that pinford sets on one attempt.
 struct ForwardNotes {
-  std::string customer;  // "" for none
+  std::string customer;  // "" if there is none
   std::string instance;
   Duration time_left{};
-  std::vector<AddressedStage> chain;  // of a request to a pool of runners
-  int urgency = -1;                   // -1 says nothing
-  std::string last_event;             // "" keeps the caller's
+  std::vector<AddressedStage>
+      chain;               // if the request runs on a chain of runners
+  int urgency = -1;        // -1 omits the header
+  std::string last_event;  // "" keeps the caller's
 };
 
-// The whole request as bytes: head and body.
+// Returns the whole request, head and body, in wire format.
 std::string WriteForwardedRequest(const HttpHead& head, const std::string& body,
                                   const ForwardProtocol& protocol,
                                   const ForwardNotes& notes);
 
-// The headers of an answer that are passed on.
+// Returns the response headers that are forwarded to the caller.
 HttpHeaders PassedHeaders(const HttpHead& answer,
                           const ForwardProtocol& protocol);
 
--- a/pinford/forwarding/forward_order.cc
+++ b/pinford/forwarding/forward_order.cc
@@ -6,14 +6,14 @@
 
 namespace pinford {
 
-// Parts of the latency objective after which an answer that has not begun is
-// looked for elsewhere, so that another attempt can still be in time.
+// Fractions of the latency objective after which a response that has not begun
+// is requested elsewhere, so that another attempt can still be in time.
 static constexpr double kFirstEventFraction = 0.45, kAnswerFraction = 0.5;
-// The same of the longest pause between events: a new run reads the prompt
-// before it goes on, which takes most of the rest.
+// The same for the longest gap between events. A new run must prefill the
+// prompt before it continues, which takes most of the remaining time.
 static constexpr double kGapFraction = 0.55;
-// ... but no sooner than this many times what is usual: where all are slow,
-// none stands still.
+// Lower bound, as a multiple of the typical time: if all endpoints are slow,
+// none is stalled.
 static constexpr int kTypicalMultiple = 3;
 
 RequestFacts FactsOf(const ForwardOrder& order) {
@@ -42,7 +42,7 @@
   const auto tokens = parts.protocol.read_tokens(
       order.exchange->head().header(parts.protocol.headers.tokens));
   if (!tokens) return options;
-  // The most that an answer may have is rarely reached.
+  // Responses rarely reach their maximum length.
   const int typical = spec->engine->usual_answer;
   const int answer =
       typical > 0 ? std::min(tokens->answer, typical) : tokens->answer;
--- a/pinford/forwarding/forward_order.h
+++ b/pinford/forwarding/forward_order.h
@@ -1,5 +1,4 @@
-// What is known of a request when it has been let in, and what follows from
-// it for the policy and for where it may run.
+// An admitted request, and what the policy and target selection derive from it.
 
 #ifndef PINFORD_FORWARDING_FORWARD_ORDER_H_
 #define PINFORD_FORWARDING_FORWARD_ORDER_H_
@@ -20,29 +19,30 @@
   EntryPtr exchange;
   std::shared_ptr<const RouteTable> routes;
   const Route* route = nullptr;
-  std::string customer;    // "" for none
-  bool keyed = false;      // let in by a key, which may be taken away
-  int priority = 5;        // of the customer or the route; 0 is most urgent
-  RequestClass treatment;  // by the policy
+  std::string customer;    // "" if there is none
+  bool keyed = false;      // admitted by a customer's key, which may be revoked
+  int priority = 5;        // of the customer or the route; 0 is the most urgent
+  RequestClass treatment;  // assigned by the policy
   std::string service;
   std::string id;
-  Time limit{};  // when the caller, or the route, waits no longer
+  Time limit{};  // deadline: the earlier of the caller's and the route's
 };
 
-// What the policy sees of a request.
+// Returns what the policy sees of a request.
 RequestFacts FactsOf(const ForwardOrder& order);
 
-// What its target depends on.
+// Returns the options for choosing the request's target.
 ForwardTarget::Options TargetOptions(const ForwardParts& parts,
                                      const ForwardOrder& order);
 
-// How long a request may be silent before it is looked after: until its answer
-// begins, or between events if those have `begun`. `usual` is what that takes
-// of late, over all requests.
+// How long a request may receive nothing before recovery starts: until the
+// response begins or, if `stream_started`, between two events. `typical` is how
+// long that recently took over all requests.
 Duration SilenceLimitOf(const Route& route, bool stream_started,
                         Duration typical);
 
-// What engines are told, from 0 (most urgent) to 9, of the policy's tiers.
+// The urgency sent to engines, from 0 (most urgent) to 9, for a tier of the
+// policy.
 int UrgencyOf(Tier tier);
 
 }  // namespace pinford
--- a/pinford/forwarding/forward_policy.cc
+++ b/pinford/forwarding/forward_policy.cc
@@ -17,7 +17,7 @@
   if (!file.empty()) {
     std::ifstream in(file, std::ios::binary);
     if (!in) {
-      *error = "cannot read the policy " + file + ": " + strerror(errno);
+      *error = "cannot read the policy file " + file + ": " + strerror(errno);
       return false;
     }
     files.push_back({file, {std::istreambuf_iterator<char>(in), {}}});
--- a/pinford/forwarding/forward_policy.h
+++ b/pinford/forwarding/forward_policy.h
@@ -1,9 +1,9 @@
 // The operators' policy as forwarding boxes use it: how a request is treated,
-// and how much each hall draws for a service.
+// and which weight each hall has for a service.
 //
-// The weights of halls are asked for at intervals rather than for each request,
-// since they follow the halls' demand, which changes over seconds. A policy
-// call that fails gives the defaults of policy.h, is counted and logged.
+// Hall weights are evaluated at intervals rather than for each request, since
+// they follow the halls' demand, which changes over seconds. A policy call that
+// fails yields the defaults of policy.h, is counted and logged.
 
 #ifndef PINFORD_FORWARDING_FORWARD_POLICY_H_
 #define PINFORD_FORWARDING_FORWARD_POLICY_H_
@@ -25,15 +25,15 @@
   ForwardPolicy(Metrics* metrics, int utc_offset_minutes)
       : metrics_(metrics), utc_offset_minutes_(utc_offset_minutes) {}
 
-  // Takes the policy in `file` over, or the defaults if it is "". False, with
-  // `error` set, if it cannot be used; the one before stays.
+  // Loads the policy in `file`, or the defaults if `file` is "". If it cannot
+  // be used, returns false with `error` set and keeps the previous policy.
   bool Load(const std::string& file, std::string* error);
 
-  // Load has succeeded before.
+  // Requires that Load has succeeded.
   RequestClass Classify(const RequestFacts& facts);
-  // Asks the policy for the halls' weights. Call it every kUpdateEvery.
+  // Evaluates the halls' weights. To be called every kUpdateEvery.
   void UpdateHallWeights(Time now, const EndpointTable& table);
-  // As of the last update; 1 where the policy says nothing.
+  // The weight as of the last update; 1 if the policy gives none.
   double HallWeight(const std::string& service, const std::string& hall) const;
 
   static constexpr seconds kUpdateEvery{1};
--- a/pinford/forwarding/forward_protocol.h
+++ b/pinford/forwarding/forward_protocol.h
@@ -1,9 +1,8 @@
-// The headers by which forwarded requests are told more than HTTP says, and
-// how some of their values are written.
+// Headers that extend HTTP on forwarded requests and their responses, and the
+// encoding of some of their values.
 //
-// Which names they have is a matter of the deployment; the values below are
-// pinford's own names. Nothing but this is known of a deployment's protocol
-// on the forwarding path.
+// A deployment defines the header names; the defaults below are pinford's own.
+// The forwarding path knows nothing else of a deployment's protocol.
 
 #ifndef PINFORD_FORWARDING_FORWARD_PROTOCOL_H_
 #define PINFORD_FORWARDING_FORWARD_PROTOCOL_H_
@@ -20,27 +19,27 @@
 namespace pinford {
 
 struct ForwardHeaders {
-  // From the caller.
+  // Set by the caller.
   std::string request_id = "X-Pinford-Request";
-  std::string key = "X-Key";              // which customer it is
-  std::string time_left = "X-Time-Left";  // ms; set anew for the endpoint
+  std::string key = "X-Key";              // identifies the customer
+  std::string time_left = "X-Time-Left";  // ms; rewritten for the endpoint
   std::string last_event = "Last-Event-ID";
-  std::string tokens = "X-Tokens";  // of the prompt, and at most of the answer
-  // To the endpoint; a caller's own are dropped.
+  std::string tokens = "X-Tokens";  // of the prompt, and maximum response
+  // Set by pinford for the endpoint; values from the caller are dropped.
   std::string customer = "X-Customer";
-  std::string instance = "X-Instance";  // the life that is meant
+  std::string instance = "X-Instance";  // the incarnation that is addressed
   std::string chain = "X-Chain";
   std::string urgency = "X-Priority";  // 0 is the most urgent
-  // From the endpoint.
+  // Set by the endpoint.
   std::string not_run = "X-Not-Run";
-  std::string seal = "X-Seal";          // marks an answer as the endpoint's own
-  std::string load = "X-Load";          // not passed on
-  std::string at_fault = "X-At-Fault";  // the stage that refused
-  std::string retry_after = "Retry-After";  // seconds, of who turns away
-  std::string leaving = "X-Leaving";        // 1: it leaves
+  std::string seal = "X-Seal";  // marks a response as produced by the endpoint
+  std::string load = "X-Load";  // not forwarded
+  std::string at_fault = "X-At-Fault";      // the stage that refused
+  std::string retry_after = "Retry-After";  // seconds, set by whoever refuses
+  std::string leaving = "X-Leaving";        // 1: the endpoint is leaving
 };
 
-// One stage of a chain as the endpoints know it.
+// One stage of a chain, with the address by which endpoints know it.
 struct AddressedStage {
   Address at;
   LayerRange range;
@@ -48,7 +47,7 @@
 
 struct TokenCounts {
   int prompt = 0;
-  int answer = 0;  // at most
+  int answer = 0;  // maximum
 };
 
 struct ForwardProtocol {
--- a/pinford/forwarding/forwarding_options.cc
+++ b/pinford/forwarding/forwarding_options.cc
@@ -4,8 +4,8 @@
 
 namespace pinford {
 
-// What boxes have on runners matters in all halls alike, since a runner's
-// memory is shared by all.
+// The load that boxes put on runners matters equally in all halls, since all of
+// them share a runner's memory.
 Membership::Options MembershipOptions(const Settings& s) {
   Membership::Options options = GossipOptions(s);
   options.other_hall_every = 2;
@@ -30,12 +30,12 @@
 EndpointTable::Options TableOptions(const Settings& s) {
   EndpointTable::Options options;
   options.off = s.off;
-  // The list is mirrored: an entry holds until it changes.
+  // The list is mirrored, so a report holds until it changes.
   options.report_valid = hours(24 * 365);
   options.hand_over_directly = true;
-  // A token crosses in 0.75 ms, and its part of the prompt's activations takes
-  // about 0.1 ms; the rest keeps the links between halls free for the halls
-  // that need them. Seconds a token, as the price of a layer.
+  // Seconds per token, on the scale of the cost of a layer. A token takes 0.75
+  // ms to another hall, and its share of the prompt's activations about 0.1 ms;
+  // the rest keeps the links between halls free for the halls that need them.
   options.other_hall_seconds = 0.003;
   return options;
 }
--- a/pinford/forwarding/forwarding_options.h
+++ b/pinford/forwarding/forwarding_options.h
@@ -1,5 +1,5 @@
-// How a forwarding box's settings become the options of its parts, and what is
-// chosen for all forwarding boxes alike.
+// Derives the options of a forwarding box's components from its settings.
+// Options that are the same for all forwarding boxes are set here too.
 
 #ifndef PINFORD_FORWARDING_FORWARDING_OPTIONS_H_
 #define PINFORD_FORWARDING_FORWARDING_OPTIONS_H_
@@ -18,7 +18,7 @@
 EntryServer::Limits CallerServerLimits(const Settings& s);
 UpstreamClient::Options UpstreamClientOptions(const ForwardProtocol& p);
 EndpointTable::Options TableOptions(const Settings& s);
-// `off`: the mechanisms that are off, which stay as they were at the start.
+// `off` lists the disabled mechanisms, which do not change while running.
 RetryShare::Options RetryShareOptions(const Settings& s,
                                       const MechanismsOff& off);
 
--- a/pinford/forwarding/route_table.cc
+++ b/pinford/forwarding/route_table.cc
@@ -5,7 +5,7 @@
 
 namespace pinford {
 
-// The host without its port, in lower case.
+// Returns the host without its port, in lower case.
 static std::string HostName(std::string_view host) {
   std::string name(host.substr(0, host.find(':')));
   std::transform(name.begin(), name.end(), name.begin(),
--- a/pinford/forwarding/route_table.h
+++ b/pinford/forwarding/route_table.h
@@ -1,9 +1,9 @@
-// Finds the route and the customer of a request.
+// Looks up the route and the customer of a request.
 //
-// Built once for each configuration and replaced whole. A route is found by
-// host and the longest prefix of the path: prefixes end with a slash, so only
-// the slashes of the path are tried, longest first, and a look-up costs the
-// same however many routes there are.
+// Built once for each configuration and replaced as a whole. A route is found
+// by host and longest path prefix. Prefixes end with a slash, so only the
+// slashes of the path are tried, longest first, and the cost of a lookup does
+// not depend on the number of routes.
 
 #ifndef PINFORD_FORWARDING_ROUTE_TABLE_H_
 #define PINFORD_FORWARDING_ROUTE_TABLE_H_
@@ -24,9 +24,10 @@
   const ServiceConfiguration& configuration() const { return *config_; }
   uint64_t version() const { return config_->version; }
 
-  // `host` may carry a port, `target` a query. Null without a route.
+  // `host` may include a port, and `target` a query. Returns null if there is
+  // no route.
   const Route* Find(std::string_view host, std::string_view target) const;
-  // Null for a key that no customer has.
+  // Returns null for an unknown key.
   const Customer* CustomerOf(std::string_view key) const;
   // Whether requests on `route` must carry a customer's key.
   bool NeedsKey(const Route& route) const {
@@ -37,12 +38,12 @@
   using Prefixes = std::unordered_map<std::string, const Route*>;
 
   std::shared_ptr<const ServiceConfiguration> config_;
-  std::unordered_map<std::string, Prefixes> hosts_;  // in lower case
+  std::unordered_map<std::string, Prefixes> hosts_;  // by host in lower case
   std::unordered_map<std::string, const Customer*> keys_;
 };
 
-// The service for a request, drawn by weight with `draw` from [0, 1). "" if
-// no service has any weight.
+// Chooses a service at random by weight, with `draw` from [0, 1). Returns "" if
+// no service has a positive weight.
 const std::string& DrawService(const Route& route, double draw);
 
 }  // namespace pinford
--- a/pinford/forwarding/service_configuration.h
+++ b/pinford/forwarding/service_configuration.h
@@ -1,9 +1,9 @@
-// What the operator of a deployment has configured: which request goes to
-// which service, whose key is whose, and what callers may send.
+// The operator's configuration of a deployment: which requests go to which
+// service, which keys belong to which customer, and limits for callers.
 //
-// It is one document, replaced whole by one of a higher version. This is the
-// product's own form of it; whatever an operator's store holds is decoded into
-// it at the edge.
+// It is one document, replaced as a whole by one of a higher version. This is
+// pinford's own representation; the format in the operator's store is decoded
+// into it at the edge.
 
 #ifndef PINFORD_FORWARDING_SERVICE_CONFIGURATION_H_
 #define PINFORD_FORWARDING_SERVICE_CONFIGURATION_H_
@@ -18,11 +18,11 @@
 
 namespace pinford {
 
-// What may be done with a request whose fate is unknown.
+// How a request may be handled when it is unknown whether it ran.
 enum class RequestKind {
   kRepeatable,  // may run more than once
   kOnce,        // runs at most once
-  kStream,      // answered by a series of events
+  kStream,      // answered by a stream of events
 };
 
 std::string_view RequestKindName(RequestKind k);
@@ -37,28 +37,28 @@
   std::string host;
   std::string prefix;  // of the path; begins and ends with '/'
   RequestKind kind = RequestKind::kOnce;
-  bool resumable = false;  // a stream may be taken up after its last event
-  bool anonymous = false;  // needs no key
-  Duration timeout = seconds(30);        // a request is held no longer
-  Duration target_latency = seconds(1);  // of an answer, or a first event
+  bool resumable = false;  // a stream may be resumed after its last event
+  bool anonymous = false;  // requires no key
+  Duration timeout = seconds(30);        // upper bound for the whole request
+  Duration target_latency = seconds(1);  // to the response or first event
   Duration target_gap = seconds(1);      // between two events
   int priority = 5;                      // 0 is the most urgent
-  int max_attempts = 1;  // endpoints that one request may be sent to
+  int max_attempts = 1;  // endpoints to which one request may be sent
   std::vector<ServiceShare> services;
 
-  // Whether a request that may have run may be sent again.
+  // Whether a request may be sent again after it may have run.
   bool may_repeat() const {
     return kind == RequestKind::kRepeatable ||
            (kind == RequestKind::kStream && resumable);
   }
 };
 
-// A kind of accelerator that a pool of runners has.
+// A kind of accelerator in a pool of runners.
 struct AcceleratorKind {
   std::string name;
   double memory_mb = 0;
-  double step_factor = 1;     // of the time for a step, 1 is the reference
-  double prefill_factor = 1;  // of the time to read a prompt
+  double step_factor = 1;     // time of a decode step; 1 is the reference
+  double prefill_factor = 1;  // time to prefill a prompt; 1 is the reference
 };
 
 // A pool of runners that share one model.
@@ -66,17 +66,17 @@
   std::string model;
   int layers = 1;
   double layer_mb = 0;
-  double token_bytes = 0;       // memory that one token takes in all layers
-  double crossing_seconds = 0;  // one token, the links between halls
-  double step_seconds = 0;      // one token, all layers, the reference kind
-  double prefill_per_s = 0;     // prompt tokens, all layers, the reference kind
-  // A pass of an engine plays so many steps of the streams that it has begun,
-  // and reads at most so many tokens of prompts.
+  double token_bytes = 0;       // memory that a token occupies in all layers
+  double crossing_seconds = 0;  // per token, over the links between halls
+  double step_seconds = 0;      // per token, all layers, reference accelerator
+  double prefill_per_s = 0;  // prompt tokens, all layers, reference accelerator
+  // One engine pass runs up to this many decode steps of the streams in
+  // progress, and prefills up to this many prompt tokens.
   int steps_a_pass = 1;
   int read_a_pass = 1;
-  double load_seconds = 0;  // to load all layers
-  int loads_at_once = 1;    // more at a time slow each other down
-  int usual_prompt = 0;     // tokens, on the mean
+  double load_seconds = 0;  // time to load all layers
+  int loads_at_once = 1;    // further concurrent loads slow each other down
+  int usual_prompt = 0;     // tokens, mean
   int usual_answer = 0;
   std::vector<AcceleratorKind> kinds;
 
@@ -85,14 +85,14 @@
 
 struct ServiceSpec {
   std::string name;
-  int max_connections = 0;  // that one endpoint accepts, from all boxes
-  std::optional<EnginePool> engine;  // of a pool of runners
+  int max_connections = 0;           // accepted by one endpoint, from all boxes
+  std::optional<EnginePool> engine;  // set if a pool of runners serves it
 };
 
 struct Customer {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<int> priority;  // goes before the route's
+  std::optional<int> priority;  // overrides the route's
 };
 
 struct CallerLimits {
@@ -106,12 +106,12 @@
   uint64_t version = 0;  // 0: none is known
   std::vector<Route> routes;
   std::vector<ServiceSpec> services;
-  // Nothing: no request needs a key.
+  // If not set, no request needs a key.
   std::optional<std::vector<Customer>> customers;
   CallerLimits limits;
 
   const ServiceSpec* Service(std::string_view name) const;
-  // Whether some route sends requests to it.
+  // Whether any route sends requests to `service`.
   bool RoutesTo(std::string_view service) const;
 };
 
