--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -145,8 +145,8 @@
     core_.set_store_fails(Mirrors(task) && configuration_.failing());
     if (Mirrors(task)) {
       const bool first = task == StoreTask::kMirror;
-      configuration_.set_most_retry(first ? ConfigurationOptions().most_retry
-                                          : kStandInRetry);
+      configuration_.set_most_retry(
+          first ? ConfigurationOptions().max_retry_delay : kStandInRetry);
       configuration_.Start();
       endpoints_.Start();
       return;
@@ -183,13 +183,13 @@
     PrefixMirrorOptions options;
     // A change ends the wait at once. It only bounds how long a silent store
     // goes unnoticed here; the configuration's mirror notices sooner.
-    options.wait = milliseconds(5000);
+    options.watch_timeout = milliseconds(5000);
     // Endpoints join and load one after the other; each change alone would
     // cost a call. A leaving endpoint may get work for two seconds.
-    options.least_pause = milliseconds(200);
+    options.min_watch_interval = milliseconds(200);
     // The configuration's mirror hears first that the store is back, and has
     // this one try at once.
-    options.most_retry = milliseconds(2000);
+    options.max_retry_delay = milliseconds(2000);
     return options;
   }
 
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -270,7 +270,7 @@
                .Add("task", StoreTaskName(task_)));
   directory_.OnStoreRestored(loop_->now());
   // Peers refuse one of the era before.
-  whole_list_ = WholeList();
+  whole_list_ = FullListCache();
 }
 
 void ForwardingCore::OnCallerWaiting() {
@@ -296,7 +296,7 @@
 
 StoreTask ForwardingCore::StoreTaskNow(bool plans) {
   const Time now = loop_->now();
-  duty_.set_plans(plans);
+  duty_.set_is_planner(plans);
   const StoreTask before = task_;
   task_ =
       duty_.Now(now, proofs_[IndexOf(DocumentKind::kConfiguration)], &roster_);
@@ -306,7 +306,7 @@
                  .Add("task", StoreTaskName(task_))
                  .Add("before", StoreTaskName(before))
                  .Add("rank", roster_.rank(now))
-                 .Add("first_fails", roster_.first_fails(now))
+                 .Add("first_fails", roster_.primary_failing(now))
                  .Add("hall_boxes", roster_.hall_boxes(now))
                  .Add("proof_age_ms", ToMillis(ProofAge())));
   }
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -133,7 +133,7 @@
   DocumentState StateOf(DocumentKind kind) const;
   DocumentState ListState(const FetchRequest& request);
   // The whole list, of a version above that.
-  const WholeList& ListAbove(uint64_t above);
+  const FullListCache& ListAbove(uint64_t above);
   bool OnPeerBody(DocumentKind kind, const DocumentState& state,
                   const std::string& peer);
   bool IsSeed() const;
@@ -183,7 +183,7 @@
   StoreEra era_;
   StoreRevision list_version_;
   Time proofs_[kDocumentKinds] = {};
-  WholeList whole_list_;
+  FullListCache whole_list_;
   SendBudget list_budget_;
   bool endpoint_went_ = false;  // since the list's version was last told
   bool peers_told_ = false;     // a digest came since the last tick
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -172,30 +172,30 @@
   const uint64_t above =
       request.above_versions[IndexOf(DocumentKind::kEndpoints)];
   if (changes || state.version <= above) return state;
-  const WholeList& list = ListAbove(above);
+  const FullListCache& list = ListAbove(above);
   // Its version without its body: the peer asks another that has it.
   if (!list_budget_.Take(loop_->now(), list.body().size())) {
     metrics_.Count("lists_withheld_total");
     return state;
   }
-  state.version = list.moment().version;
-  state.list.at = list.moment().at;
-  state.proof_age_ms = ProofAgeMs(list.moment().proof);
+  state.version = list.snapshot().version;
+  state.list.at = list.snapshot().at;
+  state.proof_age_ms = ProofAgeMs(list.snapshot().proof);
   state.body = list.body();
   return state;
 }
 
-const WholeList& ForwardingCore::ListAbove(uint64_t above) {
+const FullListCache& ForwardingCore::ListAbove(uint64_t above) {
   const Time begun = loop_->now();
   // What is left of a lapsed entry's time changes as it passes.
-  const bool serves = whole_list_.Serves(begun, directory_.state(), above) &&
+  const bool serves = whole_list_.IsUsable(begun, directory_.state(), above) &&
                       !directory_.unsettled();
   if (serves) return whole_list_;
-  const WholeList::Moment moment = {VersionOf(DocumentKind::kEndpoints),
-                                    directory_.at(), directory_.state(),
-                                    proofs_[IndexOf(DocumentKind::kEndpoints)]};
+  const FullListCache::Snapshot snapshot = {
+      VersionOf(DocumentKind::kEndpoints), directory_.at(), directory_.state(),
+      proofs_[IndexOf(DocumentKind::kEndpoints)]};
   std::string body = Deflate(WriteDirectory(directory_.Copy(begun)));
-  whole_list_.Set(begun, loop_->now(), moment, std::move(body));
+  whole_list_.Set(begun, loop_->now(), snapshot, std::move(body));
   return whole_list_;
 }
 
--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -54,22 +54,22 @@
   Duration interval = milliseconds(400);
   // A mirror's proof is no older than twice its wait (1 s) and a call while
   // the store answers it. If it is, another peer may know better.
-  Duration usual_age = milliseconds(2200);
+  Duration max_normal_age = milliseconds(2200);
   // A peer that has not answered by then is silent, and the next is asked; its
   // answer still counts. Inside a region an answer takes milliseconds.
-  Duration silent_after = milliseconds(600);
+  Duration answer_timeout = milliseconds(600);
   // The same while this box has nothing: where all boxes start together some of
   // the seeds are not there yet, and callers are refused meanwhile. With 600 ms
   // boxes that came back from a loss of power were ready after 0.60 s, each of
   // 21 whose logs were read.
-  Duration silent_at_start = milliseconds(150);
+  Duration answer_timeout_at_start = milliseconds(150);
   // The next source is asked so soon once one begins to fail: what leaves
   // meanwhile must be known within two seconds.
-  Duration next_source = milliseconds(100);
+  Duration failover_delay = milliseconds(100);
   // Questions to seeds while this box has nothing: the first pause, doubled
   // each time.
-  Duration seed_pause = milliseconds(100);
-  Duration most_seed_pause = milliseconds(800);
+  Duration min_seed_pause = milliseconds(100);
+  Duration max_seed_pause = milliseconds(800);
 };
 
 struct PeerSourceEvents {
@@ -107,59 +107,61 @@
   void OnDigest(const std::string& address, uint64_t version, uint64_t list,
                 Time proof) {
     const uint64_t own = events_.version(DocumentKind::kConfiguration);
-    if (version > own) maybe_ahead_ = true;
-    if (list > events_.version(DocumentKind::kEndpoints)) newer_list_ = address;
+    if (version > own) newer_configuration_seen_ = true;
+    if (list > events_.version(DocumentKind::kEndpoints))
+      newer_list_peer_ = address;
     const Time now = clock_->now();
-    const Time held = events_.proof(DocumentKind::kConfiguration);
-    const bool lacks = now - held > options_.usual_age;
-    if (lacks && version >= own && now - proof < options_.usual_age) {
-      fresher_ = address;
+    const Time own_fresh_as_of = events_.proof(DocumentKind::kConfiguration);
+    const bool stale = now - own_fresh_as_of > options_.max_normal_age;
+    if (stale && version >= own && now - proof < options_.max_normal_age) {
+      fresher_peer_ = address;
     }
   }
 
   // Asks what is due. `wanted`: this box has no source of its own now.
   void Tick(bool wanted) {
     const Time now = clock_->now();
-    const Duration patience =
-        HasAll() ? options_.silent_after : options_.silent_at_start;
-    const bool waits = asking_ && now - asked_ < patience;
+    const Duration timeout = HasAllDocuments()
+                                 ? options_.answer_timeout
+                                 : options_.answer_timeout_at_start;
+    const bool still_waiting = waiting_ && now - asked_at_ < timeout;
     // Who is asked may be gone; its answer counts all the same.
-    if (waits && (!wanted || newer_list_.empty())) return;
-    const bool silent = std::exchange(asking_, false) && !waits;
-    if (silent) Note(whom_, SourceAnswer::kSilent);
-    std::string to;
-    if (std::exchange(maybe_ahead_, false)) {
-      to = SomeAhead(now, DocumentKind::kConfiguration);
+    if (still_waiting && (!wanted || newer_list_peer_.empty())) return;
+    const bool timed_out = std::exchange(waiting_, false) && !still_waiting;
+    if (timed_out) RecordAnswer(asked_peer_, SourceAnswer::kNoAnswer);
+    std::string peer;
+    if (std::exchange(newer_configuration_seen_, false)) {
+      peer = PickNewer(now, DocumentKind::kConfiguration);
     }
-    if (to.empty() && wanted) to = std::exchange(newer_list_, "");
-    if (to.empty() && wanted) to = std::exchange(fresher_, "");
-    if (to.empty() && wanted && now >= next_) to = Whom(now);
-    if (!to.empty()) Ask(now, to);
+    if (peer.empty() && wanted) peer = std::exchange(newer_list_peer_, "");
+    if (peer.empty() && wanted) peer = std::exchange(fresher_peer_, "");
+    if (peer.empty() && wanted && now >= next_at_) peer = ChooseSource(now);
+    if (!peer.empty()) SendRequest(now, peer);
   }
 
  private:
-  bool HasAll() const {
+  bool HasAllDocuments() const {
     return events_.version(DocumentKind::kConfiguration) != 0 &&
            events_.version(DocumentKind::kEndpoints) != 0;
   }
 
   // The address to ask when there is no special reason.
-  std::string Whom(Time now) {
-    if (std::exchange(withheld_, false)) {
-      std::string holder = SomeAhead(now, DocumentKind::kEndpoints);
-      next_ = now + options_.interval;
+  std::string ChooseSource(Time now) {
+    if (std::exchange(list_withheld_, false)) {
+      std::string holder = PickNewer(now, DocumentKind::kEndpoints);
+      next_at_ = now + options_.interval;
       if (!holder.empty()) return holder;
     }
     std::string source = roster_->Next(now);
-    if (seeds_.empty() || (!source.empty() && HasAll())) {
-      next_ = now + options_.interval;
-      seed_pause_ = options_.seed_pause;
+    if (seeds_.empty() || (!source.empty() && HasAllDocuments())) {
+      next_at_ = now + options_.interval;
+      seed_pause_ = options_.min_seed_pause;
       return source;
     }
     // Equal boxes that started together must not ask at the same moments.
-    std::uniform_real_distribution<double> part(0.5, 1.5);
-    next_ = now + FromSeconds(ToSeconds(seed_pause_) * part(random_));
-    seed_pause_ = std::min(seed_pause_ * 2, options_.most_seed_pause);
+    std::uniform_real_distribution<double> jitter(0.5, 1.5);
+    next_at_ = now + FromSeconds(ToSeconds(seed_pause_) * jitter(random_));
+    seed_pause_ = std::min(seed_pause_ * 2, options_.max_seed_pause);
     // In turn with the roster's: the seeds may be gone.
     const size_t n = seeds_.size() + (source.empty() ? 0 : 1);
     const size_t i = random_() % n;
@@ -169,102 +171,104 @@
   // A member that has a higher version of that document, if one is known; of
   // the own hall rather than of another, and any of those, so that those who
   // have it share the work of handing it on.
-  std::string SomeAhead(Time now, DocumentKind kind) {
+  std::string PickNewer(Time now, DocumentKind kind) {
     const uint64_t own = events_.version(kind);
-    std::vector<const Membership::Member*> near;
-    std::vector<const Membership::Member*> far;
+    std::vector<const Membership::Member*> local;
+    std::vector<const Membership::Member*> remote;
     for (const auto& [name, m] : membership_->members()) {
-      const bool ahead = m.row.versions[IndexOf(kind)] > own;
-      if (!ahead || membership_->Suspected(now, m)) continue;
+      const bool newer = m.row.versions[IndexOf(kind)] > own;
+      if (!newer || membership_->Suspected(now, m)) continue;
       const bool same_hall = m.row.hall == membership_->self().hall;
-      (same_hall ? near : far).push_back(&m);
+      (same_hall ? local : remote).push_back(&m);
     }
-    const auto& from = near.empty() ? far : near;
+    const auto& from = local.empty() ? remote : local;
     return from.empty() ? "" : from[random_() % from.size()]->row.address;
   }
 
-  void Ask(Time now, const std::string& to) {
-    asking_ = true;
-    asked_ = now;
-    whom_ = to;
+  void SendRequest(Time now, const std::string& peer) {
+    waiting_ = true;
+    asked_at_ = now;
+    asked_peer_ = peer;
     FetchRequest request;
     request.kind = FetchKind::kShared;
     for (int k = 0; k < kDocumentKinds; k++) {
       request.above_versions[k] = events_.version(static_cast<DocumentKind>(k));
     }
-    if (to == list_from_) request.list = list_;
-    const uint64_t question = ++question_;
-    link_->Fetch(to, request,
-                 [this, question, asked = now,
-                  to](const std::optional<FetchReply>& reply) {
-                   if (question == question_) asking_ = false;
-                   OnReply(to, asked, reply);
-                 });
+    if (peer == list_source_) request.list = list_cursor_;
+    const uint64_t id = ++request_id_;
+    link_->Fetch(
+        peer, request,
+        [this, id, asked = now, peer](const std::optional<FetchReply>& reply) {
+          if (id == request_id_) waiting_ = false;
+          OnReply(peer, asked, reply);
+        });
   }
 
   // What came of a question. Whoever begins to fail is not waited for.
-  void Note(const std::string& source, SourceAnswer answer) {
+  void RecordAnswer(const std::string& source, SourceAnswer answer) {
     const Time now = clock_->now();
-    const bool news = roster_->OnAnswer(now, source, answer);
-    if (news) next_ = std::min(next_, now + options_.next_source);
+    const bool newly_failing = roster_->OnAnswer(now, source, answer);
+    if (newly_failing)
+      next_at_ = std::min(next_at_, now + options_.failover_delay);
   }
 
   // Not all at the same moment: many are told so at once.
-  void AskSoon() {
-    std::uniform_real_distribution<double> part(0.5, 1.5);
-    const double pause = ToSeconds(options_.next_source) * part(random_);
-    next_ = std::min(next_, clock_->now() + FromSeconds(pause));
+  void RequestSoon() {
+    std::uniform_real_distribution<double> jitter(0.5, 1.5);
+    const double pause = ToSeconds(options_.failover_delay) * jitter(random_);
+    next_at_ = std::min(next_at_, clock_->now() + FromSeconds(pause));
   }
 
   void OnReply(const std::string& from, Time asked,
                const std::optional<FetchReply>& reply) {
     if (!reply) {
-      Note(from, SourceAnswer::kSilent);
+      RecordAnswer(from, SourceAnswer::kNoAnswer);
       return;
     }
     const DocumentState& configuration =
         reply->documents[IndexOf(DocumentKind::kConfiguration)];
-    const bool old =
-        milliseconds(configuration.proof_age_ms) > options_.usual_age;
-    const bool fails = old || reply->store_fails;
-    Note(from, fails ? SourceAnswer::kFails : SourceAnswer::kWell);
+    const bool stale =
+        milliseconds(configuration.proof_age_ms) > options_.max_normal_age;
+    const bool failing = stale || reply->store_fails;
+    RecordAnswer(from, failing ? SourceAnswer::kFailing : SourceAnswer::kOk);
     for (int k = 0; k < kDocumentKinds; k++) {
-      Take(static_cast<DocumentKind>(k), reply->documents[k], from, asked);
+      ApplyDocument(static_cast<DocumentKind>(k), reply->documents[k], from,
+                    asked);
     }
-    if (withheld_) AskSoon();
+    if (list_withheld_) RequestSoon();
     if (events_.on_answer) events_.on_answer();
   }
 
   // False if the peer has what this box has not, and did not send it.
-  bool TakeBody(DocumentKind kind, const DocumentState& state,
-                const std::string& from) {
+  bool ApplyBody(DocumentKind kind, const DocumentState& state,
+                 const std::string& from) {
     const uint64_t own = events_.version(kind);
     if (state.version < own) {
       // Its changes would take back what came from elsewhere.
-      if (state.changes) list_from_.clear();
+      if (state.changes) list_source_.clear();
       return true;
     }
     const bool whole = !state.changes && state.version > own;
     if (whole && state.body.empty()) {
-      withheld_ = withheld_ || kind == DocumentKind::kEndpoints;
+      list_withheld_ = list_withheld_ || kind == DocumentKind::kEndpoints;
       return false;
     }
     if (!whole && !state.changes) return true;
     if (!events_.on_body(kind, state, from)) return false;
     if (kind == DocumentKind::kEndpoints) {
-      list_from_ = from;
-      list_ = state.list;
+      list_source_ = from;
+      list_cursor_ = state.list;
     }
     return true;
   }
 
-  void Take(DocumentKind kind, const DocumentState& state,
-            const std::string& from, Time asked) {
-    if (!TakeBody(kind, state, from)) return;
+  void ApplyDocument(DocumentKind kind, const DocumentState& state,
+                     const std::string& from, Time asked) {
+    if (!ApplyBody(kind, state, from)) return;
     // An older version proves nothing of the one that this box has.
     if (state.version < events_.version(kind)) return;
-    constexpr uint64_t kNoProof = 3600 * 1000;
-    if (state.proof_age_ms >= kNoProof) return;
+    constexpr uint64_t kUnknownAgeMs = 3600 * 1000;
+    if (state.proof_age_ms >= kUnknownAgeMs) return;
     const Time proof = asked - milliseconds(state.proof_age_ms);
     if (proof > events_.proof(kind)) events_.on_proof(kind, proof);
   }
@@ -277,18 +281,19 @@
   Random random_;
   PeerSourceOptions options_;
   PeerSourceEvents events_;
-  bool asking_ = false;
-  uint64_t question_ = 0;
-  std::string whom_;  // the last that was asked
-  Time asked_{};
-  Time next_{};
-  Duration seed_pause_ = options_.seed_pause;
-  bool maybe_ahead_ = false;
-  bool withheld_ = false;   // a peer has a newer list, and did not send it
-  std::string newer_list_;  // a box that has one
-  std::string list_from_;   // who this box has its list from
-  ListCursor list_;         // ... as of that box's moment
-  std::string fresher_;     // a box with a fresh proof, while this one lacks it
+  bool waiting_ = false;
+  uint64_t request_id_ = 0;
+  std::string asked_peer_;  // the last that was asked
+  Time asked_at_{};
+  Time next_at_{};
+  Duration seed_pause_ = options_.min_seed_pause;
+  bool newer_configuration_seen_ = false;
+  bool list_withheld_ = false;   // a peer has a newer list, and did not send it
+  std::string newer_list_peer_;  // a box that has one
+  std::string list_source_;      // who this box has its list from
+  ListCursor list_cursor_;       // ... as of that box's moment
+  std::string
+      fresher_peer_;  // a box with a fresh proof, while this one lacks it
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/peers_first.h
+++ b/pinford/forwarding/peers_first.h
@@ -19,19 +19,19 @@
  public:
   // A seed that is there answers the first question within 30 ms of the start;
   // callers wait for 100 ms (StartQueueOptions::longest).
-  static constexpr Duration kPatience = milliseconds(60);
+  static constexpr Duration kMaxWait = milliseconds(60);
 
   // `has_peers`: this box knows whom to ask.
   PeersFirst(Time started, bool has_peers)
-      : started_(started), over_(!has_peers) {}
+      : started_(started), done_(!has_peers) {}
 
   // A peer has told what it has, if only that it has nothing.
-  void OnAnswer() { over_ = true; }
-  bool Over(Time now) const { return over_ || now - started_ >= kPatience; }
+  void OnAnswer() { done_ = true; }
+  bool Over(Time now) const { return done_ || now - started_ >= kMaxWait; }
 
  private:
   Time started_;
-  bool over_;
+  bool done_;
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/prefix_mirror.h
+++ b/pinford/forwarding/prefix_mirror.h
@@ -28,7 +28,7 @@
 struct PrefixMirrorOptions {
   // How long a watch waits. A proof is this old by the time of the answer, and
   // twice by the next; a waiting watch counts as one call to the store.
-  Duration wait = milliseconds(1000);
+  Duration watch_timeout = milliseconds(1000);
   // After the wait, how long an answer may take.
   Duration answer_limit = milliseconds(700);
   // The same of a list once the store has fallen silent. Another is then sent
@@ -37,10 +37,10 @@
   Duration silent_limit = milliseconds(700);
   // Between calls to a store that does not answer or refuses: doubled with
   // each failure in a row, up to the latter.
-  Duration retry = milliseconds(250);
-  Duration most_retry = milliseconds(250);
+  Duration retry_delay = milliseconds(250);
+  Duration max_retry_delay = milliseconds(250);
   // A watch that brings changes all the time is asked again no sooner.
-  Duration least_pause = milliseconds(20);
+  Duration min_watch_interval = milliseconds(20);
 };
 
 struct PrefixMirrorEvents {
@@ -66,17 +66,17 @@
 
   // Mirrors from now on, beginning with a list.
   void Start() {
-    if (std::exchange(active_, true) || looking_) return;
+    if (std::exchange(active_, true) || reading_once_) return;
     failures_ = 0;
     List();
   }
   // Leaves the store alone. The copy and its proof grow old.
   void Stop() {
     if (!std::exchange(active_, false)) return;
-    call_++;
-    lists_++;
-    clock_->Cancel(guard_);
-    looking_ = false;
+    current_call_++;
+    list_epoch_++;
+    clock_->Cancel(timer_);
+    reading_once_ = false;
   }
   // Somebody else hears from the store again.
   void RetryNow() {
@@ -89,7 +89,7 @@
   }
   // Lists the prefix once, unless it is mirrored or being listed already.
   void Look() {
-    if (active_ || std::exchange(looking_, true)) return;
+    if (active_ || std::exchange(reading_once_, true)) return;
     List();
   }
 
@@ -98,115 +98,117 @@
   // Whether the last call failed. False while none has ended yet.
   bool failing() const { return failures_ > 0; }
   // From now on retries come at the latest after so long.
-  void set_most_retry(Duration d) { options_.most_retry = d; }
+  void set_most_retry(Duration d) { options_.max_retry_delay = d; }
   StoreRevision at() const { return at_; }
   // Time{} before the first.
-  Time proof() const { return proof_; }
+  Time proof() const { return fresh_as_of_; }
 
  private:
   void List() {
-    const Time sent = clock_->now();
-    const uint64_t lists = lists_;
-    const bool silent = active_ && !reachable_;
-    Guard(++call_, silent ? options_.silent_limit : options_.answer_limit);
-    store_->List(prefix_, [this, sent, lists](const PrefixResult& r) {
-      if (lists != lists_) return;
-      lists_++;
-      call_++;
+    const Time sent_at = clock_->now();
+    const uint64_t epoch = list_epoch_;
+    const bool unreachable = active_ && !reachable_;
+    StartTimeout(++current_call_,
+                 unreachable ? options_.silent_limit : options_.answer_limit);
+    store_->List(prefix_, [this, sent_at, epoch](const PrefixResult& r) {
+      if (epoch != list_epoch_) return;
+      list_epoch_++;
+      current_call_++;
       if (r.status != StoreStatus::kOk) {
-        Failed(r.status);
+        OnFailure(r.status);
         return;
       }
-      Reached(sent);
+      OnSuccess(sent_at);
       at_ = r.at;
       events_.on_list(r);
-      looking_ = false;
+      reading_once_ = false;
       if (active_) {
         Watch();
       } else {
-        clock_->Cancel(guard_);
+        clock_->Cancel(timer_);
       }
     });
   }
 
   void Watch() {
-    const Time sent = clock_->now();
-    const uint64_t call = ++call_;
-    Guard(call, options_.wait + options_.answer_limit);
-    store_->WatchPrefix(prefix_, at_, options_.wait,
-                        [this, sent, call](const PrefixResult& r) {
-                          if (call != call_) return;
-                          OnWatch(sent, r);
+    const Time sent_at = clock_->now();
+    const uint64_t call = ++current_call_;
+    StartTimeout(call, options_.watch_timeout + options_.answer_limit);
+    store_->WatchPrefix(prefix_, at_, options_.watch_timeout,
+                        [this, sent_at, call](const PrefixResult& r) {
+                          if (call != current_call_) return;
+                          OnWatch(sent_at, r);
                         });
   }
 
-  void OnWatch(Time sent, const PrefixResult& r) {
+  void OnWatch(Time sent_at, const PrefixResult& r) {
     switch (r.status) {
       case StoreStatus::kOk:
         at_ = r.at;
         events_.on_changes(r);
         // Changes prove only what came with them, not that no more follow.
-        Reached(sent);
-        Later(options_.least_pause, [this] { Watch(); });
+        OnSuccess(sent_at);
+        Schedule(options_.min_watch_interval, [this] { Watch(); });
         return;
       case StoreStatus::kTimeout:
         at_ = r.at;
-        Reached(sent);
+        OnSuccess(sent_at);
         Watch();
         return;
       case StoreStatus::kForgotten:
         List();
         return;
       default:
-        Failed(r.status);
+        OnFailure(r.status);
         return;
     }
   }
 
   // Gives an answer up that does not come. A later one of the same call is
   // passed over.
-  void Guard(uint64_t call, Duration limit) {
-    clock_->Cancel(guard_);
-    guard_ = clock_->After(limit, [this, call] {
-      if (call != call_) return;
-      call_++;
-      Failed(StoreStatus::kUnknown);
+  void StartTimeout(uint64_t call, Duration limit) {
+    clock_->Cancel(timer_);
+    timer_ = clock_->After(limit, [this, call] {
+      if (call != current_call_) return;
+      current_call_++;
+      OnFailure(StoreStatus::kUnknown);
     });
   }
 
-  void Later(Duration d, std::function<void()> fn) {
-    clock_->Cancel(guard_);
-    const uint64_t call = ++call_;
-    guard_ = clock_->After(d, [this, call, fn = std::move(fn)] {
-      if (call == call_) fn();
+  void Schedule(Duration d, std::function<void()> fn) {
+    clock_->Cancel(timer_);
+    const uint64_t call = ++current_call_;
+    timer_ = clock_->After(d, [this, call, fn = std::move(fn)] {
+      if (call == current_call_) fn();
     });
   }
 
-  void Reached(Time sent) {
+  void OnSuccess(Time sent_at) {
     failures_ = 0;
     if (!reachable_) {
       reachable_ = true;
       events_.on_reachable(true, StoreStatus::kOk);
     }
-    proof_ = std::max(proof_, sent);
-    events_.on_proof(proof_);
+    fresh_as_of_ = std::max(fresh_as_of_, sent_at);
+    events_.on_proof(fresh_as_of_);
   }
 
-  void Failed(StoreStatus why) {
+  void OnFailure(StoreStatus why) {
     if (reachable_) {
       reachable_ = false;
       events_.on_reachable(false, why);
     }
-    looking_ = false;
+    reading_once_ = false;
     if (active_) {
-      constexpr int kMostDoublings = 10;
-      const Duration retry =
-          options_.retry * (1 << std::min(failures_++, kMostDoublings));
-      Later(std::min(retry, options_.most_retry), [this] { List(); });
+      constexpr int kMaxDoublings = 10;
+      const Duration retry_delay =
+          options_.retry_delay * (1 << std::min(failures_++, kMaxDoublings));
+      Schedule(std::min(retry_delay, options_.max_retry_delay),
+               [this] { List(); });
       return;
     }
-    call_++;
-    clock_->Cancel(guard_);
+    current_call_++;
+    clock_->Cancel(timer_);
   }
 
   S* store_;
@@ -215,14 +217,14 @@
   PrefixMirrorOptions options_;
   PrefixMirrorEvents events_;
   StoreRevision at_;
-  uint64_t call_ = 0;   // the call whose answer is waited for
-  int failures_ = 0;    // of calls of a mirror, in a row
-  uint64_t lists_ = 0;  // grows when lists under way no longer count
-  TimerId guard_ = 0;
+  uint64_t current_call_ = 0;  // the call whose answer is waited for
+  int failures_ = 0;           // of calls of a mirror, in a row
+  uint64_t list_epoch_ = 0;    // grows when lists under way no longer count
+  TimerId timer_ = 0;
   bool active_ = false;
-  bool looking_ = false;  // a list is under way that no watch may follow
+  bool reading_once_ = false;  // a list is under way that no watch may follow
   bool reachable_ = false;
-  Time proof_{};
+  Time fresh_as_of_{};
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/send_budget.h
+++ b/pinford/forwarding/send_budget.h
@@ -26,17 +26,17 @@
   // Whether so much may be sent now; it then counts. What is larger than the
   // burst goes too, and what comes after it waits for longer.
   bool Take(Time now, size_t bytes) {
-    const double gained = ToSeconds(now - at_) * kBytesPerSecond;
-    left_ = std::min(kBurst, left_ + gained);
-    at_ = now;
-    if (left_ <= 0) return false;
-    left_ -= static_cast<double>(bytes);
+    const double refill = ToSeconds(now - updated_at_) * kBytesPerSecond;
+    available_ = std::min(kBurst, available_ + refill);
+    updated_at_ = now;
+    if (available_ <= 0) return false;
+    available_ -= static_cast<double>(bytes);
     return true;
   }
 
  private:
-  double left_ = kBurst;
-  Time at_{};
+  double available_ = kBurst;
+  Time updated_at_{};
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/source_roster.cc
+++ b/pinford/forwarding/source_roster.cc
@@ -6,65 +6,67 @@
 
 namespace pinford {
 
-bool SourceRoster::LeftOut(Time now, const std::string& address) const {
+bool SourceRoster::IsExcluded(Time now, const std::string& address) const {
   const auto it = states_.find(address);
-  return it != states_.end() && now < it->second.left_out_until;
+  return it != states_.end() && now < it->second.excluded_until;
 }
 
-bool SourceRoster::Failed(Time now, const std::string& address) const {
+bool SourceRoster::HasFailed(Time now, const std::string& address) const {
   const auto it = states_.find(address);
-  return it != states_.end() && it->second.failed != Time::min() &&
-         now - it->second.failed < options_.fails_for;
+  return it != states_.end() && it->second.failed_at != Time::min() &&
+         now - it->second.failed_at < options_.failing_period;
 }
 
 void SourceRoster::Refresh(Time now) {
-  if (refreshed_ != Time::min() && now - refreshed_ < options_.refresh) return;
-  refreshed_ = now;
+  if (refreshed_at_ != Time::min() && now - refreshed_at_ < options_.refresh)
+    return;
+  refreshed_at_ = now;
   const MemberRow& self = membership_->self();
-  const uint64_t own = RendezvousWeight(self.name, kMirrorDuty);
-  const size_t mirrors = options_.mirrors;
+  const uint64_t own_weight = RendezvousWeight(self.name, kMirrorRole);
+  const size_t max_mirrors = options_.max_mirrors;
   std::map<std::string_view, RankedBoxes> halls;
   hall_boxes_ = 1;
   rank_ = 0;
   for (const auto& [name, m] : membership_->members()) {
-    const bool able = m.row.state == MemberState::kLive &&
-                      !membership_->Suspected(now, m) &&
-                      !LeftOut(now, m.row.address);
-    if (!able) continue;
-    const uint64_t weight = RendezvousWeight(name, kMirrorDuty);
+    const bool eligible = m.row.state == MemberState::kLive &&
+                          !membership_->Suspected(now, m) &&
+                          !IsExcluded(now, m.row.address);
+    if (!eligible) continue;
+    const uint64_t weight = RendezvousWeight(name, kMirrorRole);
     if (m.row.hall == self.hall) {
       hall_boxes_++;
-      rank_ += weight > own;
+      rank_ += weight > own_weight;
     }
     RankedBoxes& top = halls[m.row.hall];
     top.emplace_back(weight, &m.row);
     std::sort(top.begin(), top.end(), std::greater<>());
-    if (top.size() > mirrors) top.pop_back();
+    if (top.size() > max_mirrors) top.pop_back();
   }
-  Order(halls);
+  RankSources(halls);
 }
 
-void SourceRoster::Order(const std::map<std::string_view, RankedBoxes>& halls) {
+void SourceRoster::RankSources(
+    const std::map<std::string_view, RankedBoxes>& halls) {
   const MemberRow& self = membership_->self();
-  const size_t mirrors = options_.mirrors;
+  const size_t max_mirrors = options_.max_mirrors;
   sources_.clear();
   const auto add = [this](const RankedBoxes& boxes, size_t begin, size_t end) {
     for (size_t i = begin; i < std::min(end, boxes.size()); i++) {
       sources_.push_back(boxes[i].second->address);
     }
   };
-  const auto near = halls.find(self.hall);
-  if (near != halls.end()) add(near->second, 0, mirrors);
+  const auto local = halls.find(self.hall);
+  if (local != halls.end()) add(local->second, 0, max_mirrors);
   // Boxes of one hall spread over the others, the first of each before any
   // stand-in.
-  std::vector<std::pair<uint64_t, const RankedBoxes*>> far;
+  std::vector<std::pair<uint64_t, const RankedBoxes*>> remote;
   for (const auto& [hall, boxes] : halls) {
     if (hall == self.hall) continue;
-    far.emplace_back(RendezvousWeight(self.name, hall), &boxes);
+    remote.emplace_back(RendezvousWeight(self.name, hall), &boxes);
   }
-  std::sort(far.begin(), far.end());
-  for (const auto& [weight, boxes] : far) add(*boxes, 0, 1);
-  for (const auto& [weight, boxes] : far) add(*boxes, 1, mirrors);
+  std::sort(remote.begin(), remote.end());
+  for (const auto& [weight, boxes] : remote) add(*boxes, 0, 1);
+  for (const auto& [weight, boxes] : remote) add(*boxes, 1, max_mirrors);
 }
 
 int SourceRoster::rank(Time now) {
@@ -72,29 +74,29 @@
   return rank_;
 }
 
-bool SourceRoster::stands_in(Time now) {
-  return first_fails(now) && rank_ < options_.mirrors;
+bool SourceRoster::is_active_standby(Time now) {
+  return primary_failing(now) && rank_ < options_.max_mirrors;
 }
 
 int SourceRoster::hall_boxes(Time now) {
   Refresh(now);
-  return unanswered_ >= options_.alone_after ? 1 : hall_boxes_;
+  return consecutive_timeouts_ >= options_.isolated_after ? 1 : hall_boxes_;
 }
 
-bool SourceRoster::first_fails(Time now) {
+bool SourceRoster::primary_failing(Time now) {
   Refresh(now);
-  return rank_ > 0 && Failed(now, sources_.front());
+  return rank_ > 0 && HasFailed(now, sources_.front());
 }
 
 std::string SourceRoster::Next(Time now) {
   Refresh(now);
   if (sources_.empty()) return "";
   const std::string& first = sources_.front();
-  if (!Failed(now, first) || sources_.size() == 1) return first;
+  if (!HasFailed(now, first) || sources_.size() == 1) return first;
   turn_++;
   if (turn_ % 2 == 0) return first;
   for (const std::string& source : sources_) {
-    if (!Failed(now, source)) return source;
+    if (!HasFailed(now, source)) return source;
   }
   // All fail: one after the other.
   return sources_[1 + turn_ / 2 % (sources_.size() - 1)];
@@ -102,27 +104,29 @@
 
 bool SourceRoster::OnAnswer(Time now, const std::string& address,
                             SourceAnswer answer) {
-  unanswered_ = answer == SourceAnswer::kSilent ? unanswered_ + 1 : 0;
-  if (answer == SourceAnswer::kWell) {
+  consecutive_timeouts_ =
+      answer == SourceAnswer::kNoAnswer ? consecutive_timeouts_ + 1 : 0;
+  if (answer == SourceAnswer::kOk) {
     states_.erase(address);
     return false;
   }
   State& s = states_[address];
-  const bool news = !Failed(now, address);
-  s.failed = now;
-  if (answer == SourceAnswer::kFails) {
-    s.silences = 0;
-    return news;
+  const bool newly_failing = !HasFailed(now, address);
+  s.failed_at = now;
+  if (answer == SourceAnswer::kFailing) {
+    s.timeouts = 0;
+    return newly_failing;
   }
-  constexpr int kLeaveOutAfter = 2;
-  constexpr int kMostDoublings = 10;
-  s.silences++;
-  if (s.silences < kLeaveOutAfter) return news;
-  const int doublings = std::min(s.silences - kLeaveOutAfter, kMostDoublings);
-  s.left_out_until = now + std::min(options_.silent_for * (1 << doublings),
-                                    options_.most_silent);
-  refreshed_ = Time::min();
-  return news;
+  constexpr int kExcludeAfterTimeouts = 2;
+  constexpr int kMaxDoublings = 10;
+  s.timeouts++;
+  if (s.timeouts < kExcludeAfterTimeouts) return newly_failing;
+  const int doublings =
+      std::min(s.timeouts - kExcludeAfterTimeouts, kMaxDoublings);
+  s.excluded_until = now + std::min(options_.exclusion_time * (1 << doublings),
+                                    options_.max_exclusion_time);
+  refreshed_at_ = Time::min();
+  return newly_failing;
 }
 
 }  // namespace pinford
--- a/pinford/forwarding/source_roster.h
+++ b/pinford/forwarding/source_roster.h
@@ -32,12 +32,12 @@
 namespace pinford {
 
 // The duty of mirroring the store, as boxes of a hall are ranked for it.
-inline constexpr char kMirrorDuty[] = "mirror";
+inline constexpr char kMirrorRole[] = "mirror";
 
 enum class SourceAnswer {
-  kWell,
-  kFails,   // it says that the store fails it, or its proof is old
-  kSilent,  // it gave no answer in time
+  kOk,
+  kFailing,   // it says that the store fails it, or its proof is old
+  kNoAnswer,  // it gave no answer in time
 };
 
 // The first boxes of a hall, by their weight for the duty.
@@ -49,17 +49,17 @@
     // Boxes of a hall that may mirror the store: one, and its stand-ins. With
     // two of them the store must turn away three boxes of a hall before that
     // hall depends on another.
-    int mirrors = 3;
+    int max_mirrors = 3;
     // A source that fails is asked each other time; it counts as failing for
     // longer than that takes.
-    Duration fails_for = milliseconds(2000);
+    Duration failing_period = milliseconds(2000);
     // A source that gave no answer twice is left out for so long, doubled each
     // time it happens again.
-    Duration silent_for = seconds(4);
-    Duration most_silent = seconds(32);
+    Duration exclusion_time = seconds(4);
+    Duration max_exclusion_time = seconds(32);
     // So many questions in a row without an answer, to whomever: this box is
     // alone.
-    int alone_after = 2;
+    int isolated_after = 2;
     // How often the ranks are made anew. The work grows with the members: 28 us
     // at 300 of them, 69 us at 730 (BM_SourceRoster).
     Duration refresh = milliseconds(500);
@@ -71,11 +71,11 @@
   // Its rank in its hall, from 0, among the boxes that answer it.
   int rank(Time now);
   // Whether it may mirror the store while the first of its hall fails.
-  bool stands_in(Time now);
+  bool is_active_standby(Time now);
   // Live boxes of its hall, this one among them; 1 while nobody answers it.
   int hall_boxes(Time now);
   // Whether the first of its hall failed of late; false for the first itself.
-  bool first_fails(Time now);
+  bool primary_failing(Time now);
   // The address to ask now, "" if there is nobody. Call it once a question.
   std::string Next(Time now);
   // What came of a question to `address`. True if it begins to fail.
@@ -83,15 +83,15 @@
 
  private:
   struct State {
-    Time failed = Time::min();
-    int silences = 0;  // in a row
-    Time left_out_until = Time::min();
+    Time failed_at = Time::min();
+    int timeouts = 0;  // in a row
+    Time excluded_until = Time::min();
   };
 
   void Refresh(Time now);
-  void Order(const std::map<std::string_view, RankedBoxes>& halls);
-  bool LeftOut(Time now, const std::string& address) const;
-  bool Failed(Time now, const std::string& address) const;
+  void RankSources(const std::map<std::string_view, RankedBoxes>& halls);
+  bool IsExcluded(Time now, const std::string& address) const;
+  bool HasFailed(Time now, const std::string& address) const;
 
   const Membership* membership_;
   Options options_;
@@ -101,8 +101,8 @@
   std::vector<std::string> sources_;
   int rank_ = 0;
   int hall_boxes_ = 1;
-  int unanswered_ = 0;  // questions in a row
-  Time refreshed_ = Time::min();
+  int consecutive_timeouts_ = 0;  // questions in a row
+  Time refreshed_at_ = Time::min();
   uint64_t turn_ = 0;
 };
 
--- a/pinford/forwarding/store_duty.cc
+++ b/pinford/forwarding/store_duty.cc
@@ -9,7 +9,7 @@
 
 static constexpr EnumName<StoreTask> kStoreTaskNames[] = {
     {StoreTask::kNone, "none"},        {StoreTask::kMirror, "mirror"},
-    {StoreTask::kStandIn, "stand_in"}, {StoreTask::kPlan, "plan"},
+    {StoreTask::kStandby, "stand_in"}, {StoreTask::kPlan, "plan"},
     {StoreTask::kLook, "look"},
 };
 
@@ -17,40 +17,42 @@
   return NameIn(kStoreTaskNames, t);
 }
 
-bool StoreDuty::Lacks(Time now, Time proof) const {
-  if (proof == Time{}) return now - started_ >= options_.first_look;
-  return now - proof > options_.look_after;
+bool StoreDuty::IsStale(Time now, Time proof) const {
+  if (proof == Time{}) return now - started_ >= options_.first_read_after;
+  return now - proof > options_.read_after_age;
 }
 
-Duration StoreDuty::Pause(double least, double most, int hall_boxes) {
-  const double boxes = static_cast<double>(hall_boxes) / options_.looks_of_hall;
-  std::uniform_real_distribution<double> part(least, most);
-  return FromSeconds(ToSeconds(options_.look_pause) * std::max(1.0, boxes) *
-                     part(random_));
+Duration StoreDuty::RandomPause(double min_factor, double max_factor,
+                                int hall_boxes) {
+  const double boxes =
+      static_cast<double>(hall_boxes) / options_.hall_reads_per_interval;
+  std::uniform_real_distribution<double> factor(min_factor, max_factor);
+  return FromSeconds(ToSeconds(options_.read_interval) * std::max(1.0, boxes) *
+                     factor(random_));
 }
 
 StoreTask StoreDuty::Now(Time now, Time proof, SourceRoster* roster) {
   const bool joined = seed_ || now - started_ >= options_.join;
   if (joined && roster->rank(now) == 0) return StoreTask::kMirror;
-  if (joined && roster->stands_in(now)) return StoreTask::kStandIn;
-  if (plans_) return StoreTask::kPlan;
-  const bool may_look = now - started_ >= options_.look_for_caller;
-  if (proof == Time{} && may_look && std::exchange(caller_waits_, false)) {
+  if (joined && roster->is_active_standby(now)) return StoreTask::kStandby;
+  if (is_planner_) return StoreTask::kPlan;
+  const bool may_read = now - started_ >= options_.read_for_caller_after;
+  if (proof == Time{} && may_read && std::exchange(caller_waiting_, false)) {
     return StoreTask::kLook;
   }
-  if (!Lacks(now, proof)) {
-    next_look_ = Time::max();
+  if (!IsStale(now, proof)) {
+    next_read_ = Time::max();
     return StoreTask::kNone;
   }
   const int boxes = roster->hall_boxes(now);
   // One that finds itself alone has no more reason to wait for the others.
-  if (next_look_ == Time::max() || boxes < drawn_for_) {
-    next_look_ = now + Pause(0, 1, boxes);
-    drawn_for_ = boxes;
+  if (next_read_ == Time::max() || boxes < hall_boxes_at_draw_) {
+    next_read_ = now + RandomPause(0, 1, boxes);
+    hall_boxes_at_draw_ = boxes;
   }
-  if (now < next_look_) return StoreTask::kNone;
-  next_look_ = now + Pause(0.5, 1.5, boxes);
-  drawn_for_ = boxes;
+  if (now < next_read_) return StoreTask::kNone;
+  next_read_ = now + RandomPause(0.5, 1.5, boxes);
+  hall_boxes_at_draw_ = boxes;
   return StoreTask::kLook;
 }
 
--- a/pinford/forwarding/store_duty.h
+++ b/pinford/forwarding/store_duty.h
@@ -34,7 +34,7 @@
 enum class StoreTask {
   kNone,
   kMirror,   // the first of its hall
-  kStandIn,  // the first of its hall fails
+  kStandby,  // the first of its hall fails
   kPlan,     // it plans the pools, whatever its rank
   kLook,     // nobody has had a fresh proof for long: one look now
 };
@@ -43,7 +43,7 @@
 
 // Whether a box with this task keeps a copy of what the store holds.
 inline bool Mirrors(StoreTask t) {
-  return t == StoreTask::kMirror || t == StoreTask::kStandIn ||
+  return t == StoreTask::kMirror || t == StoreTask::kStandby ||
          t == StoreTask::kPlan;
 }
 
@@ -55,19 +55,19 @@
     Duration join = milliseconds(2500);
     // ... and looks at the store itself from here on, if nobody told it
     // anything: a question to a seed and a second one take less.
-    Duration first_look = milliseconds(1000);
+    Duration first_read_after = milliseconds(1000);
     // ... or from here on, once, if a caller waits. A seed that is there
     // answers the first question within 30 ms of the start.
-    Duration look_for_caller = milliseconds(60);
+    Duration read_for_caller_after = milliseconds(60);
     // A box whose proof is older looks at the store itself. A mirror's proof is
     // between one and two of its waits (1 s) old, a question to it comes each
     // 0.4 s, and one more may be lost. The list that follows takes some ms, or
     // ends 0.4 s later without an answer; both is within the 4.7 s after which
     // keys of customers are refused.
-    Duration look_after = milliseconds(3200);
+    Duration read_after_age = milliseconds(3200);
     // Looks of one hall: so many in so long, on the mean.
-    Duration look_pause = milliseconds(1000);
-    int looks_of_hall = 2;
+    Duration read_interval = milliseconds(1000);
+    int hall_reads_per_interval = 2;
   };
 
   StoreDuty(Time started, bool seed, const Options& options, Random random)
@@ -75,7 +75,7 @@
 
   // Whether this box plans the pools. Who does goes by the store's own list:
   // its peers may be busy sending theirs to others, and orders wait for it.
-  void set_plans(bool plans) { plans_ = plans; }
+  void set_is_planner(bool is_planner) { is_planner_ = is_planner; }
 
   // What falls on this box now. `proof` is when what it has was the newest for
   // sure, Time{} if it has nothing.
@@ -83,23 +83,23 @@
   // A caller waits for this box, which has nothing yet. Returns when Now may
   // therefore name a look.
   Time OnCallerWaiting() {
-    caller_waits_ = true;
-    return started_ + options_.look_for_caller;
+    caller_waiting_ = true;
+    return started_ + options_.read_for_caller_after;
   }
 
  private:
   // Whether nobody has had a proof for this box for too long.
-  bool Lacks(Time now, Time proof) const;
-  Duration Pause(double least, double most, int hall_boxes);
+  bool IsStale(Time now, Time proof) const;
+  Duration RandomPause(double min_factor, double max_factor, int hall_boxes);
 
   Time started_;
   bool seed_;
   Options options_;
   Random random_;
-  bool plans_ = false;
-  bool caller_waits_ = false;     // and no look was named for it yet
-  Time next_look_ = Time::max();  // while it lacks a proof
-  int drawn_for_ = 1;             // boxes of the hall when that was drawn
+  bool is_planner_ = false;
+  bool caller_waiting_ = false;   // and no look was named for it yet
+  Time next_read_ = Time::max();  // while it lacks a proof
+  int hall_boxes_at_draw_ = 1;    // boxes of the hall when that was drawn
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/whole_list.h
+++ b/pinford/forwarding/whole_list.h
@@ -19,10 +19,10 @@
 
 namespace pinford {
 
-class WholeList {
+class FullListCache {
  public:
   // What the directory was when the list was made.
-  struct Moment {
+  struct Snapshot {
     uint64_t version = 0;  // of the store's list
     uint64_t at = 0;       // by the box's own count of changes
     uint64_t state = 0;    // grows with each entry that is taken or dropped
@@ -30,31 +30,34 @@
   };
   // One is made anew after so many times the time that it took to make: a fifth
   // of the box's time goes to it at most.
-  static constexpr int kPauses = 4;
+  static constexpr int kBuildTimeMultiple = 4;
   // ... but no later. Who has an older one asks for changes within 0.4 s, so
   // that it knows within a second who leaves, which may take three.
-  static constexpr Duration kLongestPause = milliseconds(500);
+  static constexpr Duration kMaxInterval = milliseconds(500);
 
   // Whether the one that was made serves a peer that wants a version above
   // `above`, while the directory is in `state`.
-  bool Serves(Time now, uint64_t state, uint64_t above) const {
-    if (body_.empty() || moment_.version <= above) return false;
-    return moment_.state == state || now < next_;
+  bool IsUsable(Time now, uint64_t state, uint64_t above) const {
+    if (body_.empty() || snapshot_.version <= above) return false;
+    return snapshot_.state == state || now < rebuild_after_;
   }
   // It was made from `begun` to `ended`.
-  void Set(Time begun, Time ended, const Moment& moment, std::string body) {
-    moment_ = moment;
+  void Set(Time build_start, Time build_end, const Snapshot& snapshot,
+           std::string body) {
+    snapshot_ = snapshot;
     body_ = std::move(body);
-    next_ = ended + std::min((ended - begun) * kPauses, kLongestPause);
+    rebuild_after_ =
+        build_end +
+        std::min((build_end - build_start) * kBuildTimeMultiple, kMaxInterval);
   }
 
-  const Moment& moment() const { return moment_; }
+  const Snapshot& snapshot() const { return snapshot_; }
   const std::string& body() const { return body_; }
 
  private:
-  Moment moment_;
+  Snapshot snapshot_;
   std::string body_;
-  Time next_{};  // when it may be made anew
+  Time rebuild_after_{};  // when it may be made anew
 };
 
 }  // namespace pinford
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -69,8 +69,8 @@
       membership_.OnRows(loop_.now(), {peers_[i]->row});
     }
     // The first of the hall is one of the two, not this box.
-    const bool zero_first = RendezvousWeight("peer-0", kMirrorDuty) >
-                            RendezvousWeight("peer-1", kMirrorDuty);
+    const bool zero_first = RendezvousWeight("peer-0", kMirrorRole) >
+                            RendezvousWeight("peer-1", kMirrorRole);
     mirror = peers_[zero_first ? 0 : 1].get();
     other = peers_[zero_first ? 1 : 0].get();
     EXPECT_GT(roster_.rank(loop_.now()), 0);
@@ -81,8 +81,8 @@
     loop_.After(d, [this] { loop_.Stop(); });
     loop_.Run();
   }
-  Duration ProofAge() const { return loop_.now() - proof_; }
-  bool MirrorFails() { return roster_.first_fails(loop_.now()); }
+  Duration FreshnessAge() const { return loop_.now() - fresh_as_of_; }
+  bool MirrorFailing() { return roster_.primary_failing(loop_.now()); }
 
   Peer* mirror;
   Peer* other;
@@ -103,7 +103,7 @@
   }
   static SourceRoster::Options RosterOptions() {
     SourceRoster::Options options;
-    options.fails_for = milliseconds(200);
+    options.failing_period = milliseconds(200);
     return options;
   }
   PeerSourceEvents Events() {
@@ -111,14 +111,16 @@
     events.version = [this](DocumentKind kind) {
       return kind == DocumentKind::kEndpoints ? list_version : 7;
     };
-    events.proof = [this](DocumentKind) { return proof_; };
+    events.proof = [this](DocumentKind) { return fresh_as_of_; };
     events.on_body = [this](DocumentKind, const DocumentState& state,
                             const std::string&) {
       bodies.push_back(state.body);
       list_version = state.version;
       return true;
     };
-    events.on_proof = [this](DocumentKind, Time proof) { proof_ = proof; };
+    events.on_proof = [this](DocumentKind, Time proof) {
+      fresh_as_of_ = proof;
+    };
     return events;
   }
 
@@ -126,7 +128,7 @@
   std::vector<int> ports_;
   Membership membership_;
   PeerLink link_;
-  Time proof_{};
+  Time fresh_as_of_{};
   SourceRoster roster_;
   PeerSource<PeerLink, EventLoop> source_;
   std::unique_ptr<Peer> peers_[2];
@@ -134,7 +136,7 @@
 
 // The mirror's proof stands still between two answers of the store; that is
 // no reason to ask somebody who has it second hand.
-TEST(PeerSource, AsksTheMirrorWhileItsProofIsAsOldAsUsual) {
+TEST(PeerSource, AsksOnlyTheMirrorWhileItsFreshnessAgeIsNormal) {
   Fixture f;
   for (f.mirror->age_ms = 0; f.mirror->age_ms <= 2000;) {
     f.RunFor(milliseconds(50));
@@ -142,35 +144,35 @@
   }
   EXPECT_GT(f.mirror->asked, 10);
   EXPECT_EQ(f.other->asked, 0);
-  EXPECT_FALSE(f.MirrorFails());
+  EXPECT_FALSE(f.MirrorFailing());
 }
 
 // The others must know at once: what leaves meanwhile is in no proof's age.
 TEST(PeerSource, AMirrorThatTheStoreDoesNotAnswerSaysSo) {
   Fixture f;
   f.RunFor(milliseconds(100));
-  EXPECT_FALSE(f.MirrorFails());
+  EXPECT_FALSE(f.MirrorFailing());
   f.mirror->store_fails = true;
   f.RunFor(milliseconds(100));
-  EXPECT_TRUE(f.MirrorFails());
+  EXPECT_TRUE(f.MirrorFailing());
   // It is asked on, in turn with the others, so that its recovery shows.
   const int asked = f.mirror->asked;
   f.RunFor(milliseconds(400));
-  EXPECT_TRUE(f.MirrorFails());
+  EXPECT_TRUE(f.MirrorFailing());
   EXPECT_GT(f.mirror->asked, asked + 3);
   EXPECT_GT(f.other->asked, 3);
   f.mirror->store_fails = false;
   f.RunFor(milliseconds(400));
-  EXPECT_FALSE(f.MirrorFails());
+  EXPECT_FALSE(f.MirrorFailing());
 }
 
-TEST(PeerSource, AsksOthersWhileTheMirrorsProofIsOld) {
+TEST(PeerSource, AsksOthersWhileTheMirrorIsStale) {
   Fixture f;
   f.mirror->age_ms = 4000;
   f.other->age_ms = 500;
   f.RunFor(milliseconds(400));
   EXPECT_GT(f.other->asked, 0);
-  EXPECT_LT(f.ProofAge(), milliseconds(1000));
+  EXPECT_LT(f.FreshnessAge(), milliseconds(1000));
 }
 
 // A box that does not answer is passed over within a question, and soon ranks
@@ -182,7 +184,7 @@
   f.other->asked = 0;
   f.RunFor(milliseconds(300));
   EXPECT_GT(f.other->asked, 3);
-  EXPECT_LT(f.ProofAge(), milliseconds(200));
+  EXPECT_LT(f.FreshnessAge(), milliseconds(200));
 }
 
 // Who has the list from the peer that it asks is told what changed since: from
@@ -218,12 +220,12 @@
   EXPECT_EQ(f.other->asked_from, none);
 }
 
-TEST(PeersFirst, IsOverWithAnAnswerOrAfterAWhile) {
+TEST(PeersFirst, EndsWithAnAnswerOrAfterATimeout) {
   const Time now = Time{} + seconds(1);
   EXPECT_TRUE(PeersFirst(now, false).Over(now));
   PeersFirst asks(now, true);
-  EXPECT_FALSE(asks.Over(now + PeersFirst::kPatience - milliseconds(1)));
-  EXPECT_TRUE(asks.Over(now + PeersFirst::kPatience));
+  EXPECT_FALSE(asks.Over(now + PeersFirst::kMaxWait - milliseconds(1)));
+  EXPECT_TRUE(asks.Over(now + PeersFirst::kMaxWait));
   asks.OnAnswer();
   EXPECT_TRUE(asks.Over(now));
 }
--- a/pinford/testing/prefix_mirror_test.cc
+++ b/pinford/testing/prefix_mirror_test.cc
@@ -25,9 +25,9 @@
   FakePrefixStore(PausedClock* clock, uint64_t seed)
       : clock_(clock), random_(seed) {}
 
-  double lose = 0;    // share of answers that never come
-  double late = 0;    // share that come 0.5 to 3 s late
-  double refuse = 0;  // share of calls that are refused
+  double lost_share = 0;     // share of answers that never come
+  double late_share = 0;     // share that come 0.5 to 3 s late
+  double refused_share = 0;  // share of calls that are refused
   int64_t calls = 0;
 
   void Put(const std::string& key, const std::string& value) {
@@ -40,16 +40,16 @@
     log_.push_back({key, "", Next(), true});
     copies_.push_back({items_, revision_.number()});
   }
-  void ForgetHistory() {
+  void CompactHistory() {
     log_.clear();
-    forgotten_ = Next();
-    deaf_ = false;
+    compacted_ = Next();
+    watches_stalled_ = false;
   }
-  void GoDeaf(Duration d) {
-    if (std::exchange(deaf_, true)) return;
-    clock_->After(d, [this] { ForgetHistory(); });
+  void StallWatches(Duration d) {
+    if (std::exchange(watches_stalled_, true)) return;
+    clock_->After(d, [this] { CompactHistory(); });
   }
-  bool deaf() const { return deaf_; }
+  bool watches_stalled() const { return watches_stalled_; }
   // Goes back to what it held `n` changes ago.
   void Restore(size_t n) {
     const Copy copy = copies_[copies_.size() - 1 - n];
@@ -59,8 +59,8 @@
     std::erase_if(log_, [&copy](const StoreItem& item) {
       return item.revision.number() > copy.number;
     });
-    forgotten_ = StoreRevision();
-    deaf_ = false;
+    compacted_ = StoreRevision();
+    watches_stalled_ = false;
   }
   size_t copies() const { return copies_.size(); }
   StoreEra era;  // that the mirror's box knows of
@@ -91,7 +91,7 @@
  private:
   void Wait(StoreRevision since, Time until, PrefixCallback fn) {
     const bool other = since.era() < revision_.era();
-    if (other || since < forgotten_) {
+    if (other || since < compacted_) {
       Answer(Duration(0), fn, [] {
         PrefixResult r;
         r.status = StoreStatus::kForgotten;
@@ -99,23 +99,23 @@
       });
       return;
     }
-    const bool news = revision_ > since && !deaf_;
-    if (!news && clock_->now() < until) {
+    const bool has_changes = revision_ > since && !watches_stalled_;
+    if (!has_changes && clock_->now() < until) {
       clock_->After(milliseconds(50),
                     [this, since, until, fn] { Wait(since, until, fn); });
       return;
     }
-    Answer(Duration(0), fn, [this, since, news] {
+    Answer(Duration(0), fn, [this, since, has_changes] {
       PrefixResult r;
       // Since it was looked at, 2 ms ago.
-      if (since.era() < revision_.era() || since < forgotten_) {
+      if (since.era() < revision_.era() || since < compacted_) {
         r.status = StoreStatus::kForgotten;
         return r;
       }
-      r.status = news ? StoreStatus::kOk : StoreStatus::kTimeout;
-      r.at = news ? revision_ : since;
+      r.status = has_changes ? StoreStatus::kOk : StoreStatus::kTimeout;
+      r.at = has_changes ? revision_ : since;
       for (const StoreItem& item : log_) {
-        if (news && item.revision > since) r.items.push_back(item);
+        if (has_changes && item.revision > since) r.items.push_back(item);
       }
       return r;
     });
@@ -138,7 +138,7 @@
 
   void Answer(Duration, PrefixCallback fn,
               std::function<PrefixResult()> effect) {
-    if (Chance(refuse)) {
+    if (Chance(refused_share)) {
       clock_->After(milliseconds(4), [fn] {
         PrefixResult r;
         r.status = StoreStatus::kRefused;
@@ -146,16 +146,16 @@
       });
       return;
     }
-    const bool lost = Chance(lose);
-    const bool is_late = Chance(late);
+    const bool lost = Chance(lost_share);
+    const bool is_late = Chance(late_share);
     // What is answered is as of the call's arrival, however late it comes.
     clock_->After(milliseconds(2), [=, this] {
       const PrefixResult r = effect();
       if (lost) return;
       const Duration back =
           is_late ? milliseconds(500 + random_() % 2500) : milliseconds(2);
-      clock_->After(back, [this, fn, r, told = revision_.era()] {
-        fn(era.Saw(told) ? r : PrefixResult());
+      clock_->After(back, [this, fn, r, answer_era = revision_.era()] {
+        fn(era.Saw(answer_era) ? r : PrefixResult());
       });
     });
   }
@@ -163,8 +163,8 @@
   PausedClock* clock_;
   Random random_;
   StoreRevision revision_ = StoreRevision::Make(0, 1).value();
-  StoreRevision forgotten_;
-  bool deaf_ = false;
+  StoreRevision compacted_;
+  bool watches_stalled_ = false;
   std::map<std::string, StoreItem> items_;
   std::vector<StoreItem> log_;
   std::vector<Copy> copies_ = {{}};
@@ -173,9 +173,9 @@
 static_assert(PrefixStore<FakePrefixStore>);
 
 // A mirror and its copy.
-struct Mirrored {
-  Mirrored(FakePrefixStore* store, PausedClock* clock,
-           const PrefixMirrorOptions& options = {})
+struct MirroredCopy {
+  MirroredCopy(FakePrefixStore* store, PausedClock* clock,
+               const PrefixMirrorOptions& options = {})
       : mirror(store, clock, "p/", options, Events()) {
     store->era.set_on_rise([this](uint64_t, uint64_t) { mirror.ListAgain(); });
   }
@@ -184,18 +184,18 @@
     PrefixMirrorEvents events;
     events.on_list = [this](const PrefixResult& r) {
       copy.clear();
-      Take(r);
+      Apply(r);
       lists++;
     };
-    events.on_changes = [this](const PrefixResult& r) { Take(r); };
+    events.on_changes = [this](const PrefixResult& r) { Apply(r); };
     events.on_proof = [](Time) {};
     events.on_reachable = [this](bool r, StoreStatus) {
       reachable = r;
-      changes_of_reach++;
+      reachability_changes++;
     };
     return events;
   }
-  void Take(const PrefixResult& r) {
+  void Apply(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
       if (item.gone) {
         copy.erase(item.key);
@@ -208,15 +208,15 @@
   std::map<std::string, std::string> copy;
   int lists = 0;
   bool reachable = false;
-  int changes_of_reach = 0;
+  int reachability_changes = 0;
   PrefixMirror<FakePrefixStore, PausedClock> mirror;
 };
 
-TEST(PrefixMirror, HearsOfChangesAtOnceAndCostsOneCallAWait) {
+TEST(PrefixMirror, ReceivesChangesAtOnceWithOneCallPerWatchTimeout) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(milliseconds(100));
   EXPECT_EQ(m.copy, store.Values());
@@ -229,17 +229,17 @@
   clock.Advance(seconds(30));
   EXPECT_LE(store.calls - before, 30);
   EXPECT_EQ(m.lists, 1);
-  EXPECT_EQ(m.changes_of_reach, 1);
+  EXPECT_EQ(m.reachability_changes, 1);
 }
 
-TEST(PrefixMirror, ListsAgainWhenHistoryIsForgotten) {
+TEST(PrefixMirror, RelistsAfterHistoryIsCompacted) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(milliseconds(100));
-  store.GoDeaf(milliseconds(900));
+  store.StallWatches(milliseconds(900));
   store.Remove("p/a");
   store.Put("p/c", "3");
   clock.Advance(milliseconds(2400));
@@ -247,20 +247,20 @@
   EXPECT_EQ(m.lists, 2);
 }
 
-TEST(PrefixMirror, SaysOnceThatTheStoreIsAwayAndAsksItSparingly) {
+TEST(PrefixMirror, ReportsAnUnreachableStoreOnceAndRetriesSparingly) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(seconds(1));
-  store.lose = 1;
+  store.lost_share = 1;
   clock.Advance(seconds(4));
   EXPECT_FALSE(m.reachable);
-  EXPECT_EQ(m.changes_of_reach, 2);
+  EXPECT_EQ(m.reachability_changes, 2);
   const int64_t before = store.calls;
   clock.Advance(seconds(10));
   EXPECT_LE(store.calls - before, 12);
-  store.lose = 0;
+  store.lost_share = 0;
   clock.Advance(milliseconds(1100));
   EXPECT_TRUE(m.reachable);
 }
@@ -273,16 +273,16 @@
     FakePrefixStore store(&clock, 1);
     PrefixMirrorOptions options;
     options.silent_limit = milliseconds(20);
-    Mirrored m(&store, &clock, options);
+    MirroredCopy m(&store, &clock, options);
     m.mirror.Start();
     clock.Advance(seconds(1));
-    store.lose = 1;
+    store.lost_share = 1;
     clock.Advance(seconds(4) + milliseconds(after));
     EXPECT_FALSE(m.reachable);
     const int64_t before = store.calls;
     clock.Advance(seconds(1));
     EXPECT_LE(store.calls - before, 4);
-    store.lose = 0;
+    store.lost_share = 0;
     clock.Advance(milliseconds(300));
     EXPECT_TRUE(m.reachable) << after;
   }
@@ -290,22 +290,22 @@
   FakePrefixStore store(&clock, 1);
   PrefixMirrorOptions options;
   options.silent_limit = milliseconds(20);
-  Mirrored m(&store, &clock, options);
+  MirroredCopy m(&store, &clock, options);
   m.mirror.Start();
   clock.Advance(seconds(1));
-  store.lose = 1;
+  store.lost_share = 1;
   clock.Advance(seconds(4));
   // Answers come back 0.5 to 3 s late: one of several counts.
-  store.lose = 0;
-  store.late = 1;
+  store.lost_share = 0;
+  store.late_share = 1;
   clock.Advance(milliseconds(3300));
   EXPECT_TRUE(m.reachable);
 }
 
-TEST(PrefixMirror, LeavesTheStoreAloneWhileStopped) {
+TEST(PrefixMirror, MakesNoCallsWhileStopped) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(seconds(1));
   m.mirror.Stop();
@@ -318,11 +318,11 @@
   EXPECT_EQ(m.copy, store.Values());
 }
 
-TEST(PrefixMirror, LooksOnceWithoutAWatch) {
+TEST(PrefixMirror, ReadOnceListsWithoutAWatch) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Look();
   m.mirror.Look();
   clock.Advance(seconds(5));
@@ -331,12 +331,12 @@
   EXPECT_TRUE(m.reachable);
 
   // One that gets no answer ends, and the next may begin.
-  store.lose = 1;
+  store.lost_share = 1;
   m.mirror.Look();
   clock.Advance(seconds(5));
   EXPECT_EQ(store.calls, 2);
   EXPECT_FALSE(m.reachable);
-  store.lose = 0;
+  store.lost_share = 0;
   store.Put("p/b", "2");
   m.mirror.Look();
   clock.Advance(milliseconds(100));
@@ -355,45 +355,46 @@
 // Random schedules: at each moment the copy must hold whatever had been
 // written by the proof, or something newer. The store is deaf for at most
 // a second, as the platform says.
-TEST(PrefixMirror, AProofNeverClaimsMoreThanIsTrue) {
+TEST(PrefixMirror, FreshnessIsNeverOverstated) {
   for (int seed = 0; seed < 300; seed++) {
     PausedClock clock;
     Random random(seed);
     FakePrefixStore store(&clock, seed + 1000);
-    Mirrored m(&store, &clock);
+    MirroredCopy m(&store, &clock);
     m.mirror.Start();
     // The number that was the newest from a time on.
-    std::map<Time, int> truth = {{Time{}, 0}};
+    std::map<Time, int> newest = {{Time{}, 0}};
     int written = 0;
     for (int step = 0; step < 600; step++) {
       clock.Advance(milliseconds(20 + random() % 60));
       switch (random() % 24) {
         case 0:
           store.Put("p/n", std::to_string(++written));
-          truth[clock.now()] = written;
+          newest[clock.now()] = written;
           break;
         case 1:
-          store.lose = random() % 3 * 0.4;
-          store.late = random() % 3 * 0.3;
-          store.refuse = random() % 4 == 0 ? 0.5 : 0;
+          store.lost_share = random() % 3 * 0.4;
+          store.late_share = random() % 3 * 0.3;
+          store.refused_share = random() % 4 == 0 ? 0.5 : 0;
           break;
         case 2:
-          if (random() % 4 == 0) store.GoDeaf(milliseconds(900));
+          if (random() % 4 == 0) store.StallWatches(milliseconds(900));
           break;
         case 3:
-          if (!store.deaf()) store.ForgetHistory();
+          if (!store.watches_stalled()) store.CompactHistory();
           break;
         default:
           break;
       }
       if (m.mirror.proof() == Time{}) continue;
-      const int then = std::prev(truth.upper_bound(m.mirror.proof()))->second;
+      const int expected =
+          std::prev(newest.upper_bound(m.mirror.proof()))->second;
       const auto it = m.copy.find("p/n");
-      const int have = it == m.copy.end() ? 0 : std::stoi(it->second);
-      ASSERT_GE(have, then) << seed << " at step " << step;
+      const int copied = it == m.copy.end() ? 0 : std::stoi(it->second);
+      ASSERT_GE(copied, expected) << seed << " at step " << step;
     }
     // Whatever went wrong, it ends up right.
-    store.lose = store.late = store.refuse = 0;
+    store.lost_share = store.late_share = store.refused_share = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
     EXPECT_LE(clock.now() - m.mirror.proof(), seconds(3)) << seed;
@@ -403,13 +404,13 @@
 // The store comes back from a copy, and the revisions of what was lost are
 // given out again: what lies between is not missed, and the mirror is soon
 // right.
-TEST(PrefixMirror, AfterARestoreTheCopyIsTheStoresAgain) {
+TEST(PrefixMirror, TheCopyFollowsARestoredStore) {
   for (size_t lost = 0; lost < 4; lost++) {
     for (size_t written = 0; written < 6; written++) {
       PausedClock clock;
       FakePrefixStore store(&clock, 1);
       for (int i = 0; i < 4; i++) store.Put("p/" + std::to_string(i), "old");
-      Mirrored m(&store, &clock);
+      MirroredCopy m(&store, &clock);
       m.mirror.Start();
       clock.Advance(milliseconds(100));
       store.Restore(lost);
@@ -427,22 +428,22 @@
 
 // As above, with restores, two in a row among them. Contents come again after
 // one: what the copy holds must have been there at the proof, or later.
-TEST(PrefixMirror, AProofNeverClaimsMoreThanIsTrueOverRestores) {
+TEST(PrefixMirror, FreshnessIsNeverOverstatedAcrossRestores) {
   int restores = 0;
   for (int seed = 0; seed < 300; seed++) {
     PausedClock clock;
     Random random(seed + 5000);
     FakePrefixStore store(&clock, seed + 6000);
-    Mirrored m(&store, &clock);
+    MirroredCopy m(&store, &clock);
     m.mirror.Start();
     using Content = std::map<std::string, std::string>;
     // When each content was there last.
-    std::map<Content, Time> there = {{{}, clock.now()}};
+    std::map<Content, Time> last_present = {{{}, clock.now()}};
     int written = 0;
     for (int step = 0; step < 600; step++) {
       // What is there until now.
       clock.Advance(milliseconds(20 + random() % 60));
-      there[store.Values()] = clock.now();
+      last_present[store.Values()] = clock.now();
       switch (random() % 24) {
         case 0:
         case 1:
@@ -453,12 +454,12 @@
           store.Remove("p/" + std::to_string(random() % 3));
           break;
         case 3:
-          store.lose = random() % 3 * 0.4;
-          store.late = random() % 3 * 0.3;
-          store.refuse = random() % 4 == 0 ? 0.5 : 0;
+          store.lost_share = random() % 3 * 0.4;
+          store.late_share = random() % 3 * 0.3;
+          store.refused_share = random() % 4 == 0 ? 0.5 : 0;
           break;
         case 4:
-          if (!store.deaf()) store.ForgetHistory();
+          if (!store.watches_stalled()) store.CompactHistory();
           break;
         case 5:
           store.Restore(random() % std::min<size_t>(store.copies(), 6));
@@ -468,12 +469,13 @@
         default:
           break;
       }
-      there[store.Values()] = clock.now();
+      last_present[store.Values()] = clock.now();
       if (m.mirror.proof() == Time{}) continue;
-      ASSERT_TRUE(there.contains(m.copy)) << seed << " at step " << step;
-      ASSERT_GE(there[m.copy], m.mirror.proof()) << seed << " at step " << step;
+      ASSERT_TRUE(last_present.contains(m.copy)) << seed << " at step " << step;
+      ASSERT_GE(last_present[m.copy], m.mirror.proof())
+          << seed << " at step " << step;
     }
-    store.lose = store.late = store.refuse = 0;
+    store.lost_share = store.late_share = store.refused_share = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
     EXPECT_LE(clock.now() - m.mirror.proof(), seconds(3)) << seed;
--- a/pinford/testing/send_budget_test.cc
+++ b/pinford/testing/send_budget_test.cc
@@ -11,7 +11,7 @@
 
 const Time kStart = Time{} + seconds(100);
 
-TEST(SendBudget, ABurstAtOnceThenByTheRate) {
+TEST(SendBudget, AllowsABurstThenTheRate) {
   SendBudget budget;
   for (int i = 0; i < 3; i++) EXPECT_TRUE(budget.Take(kStart, 100'000));
   EXPECT_FALSE(budget.Take(kStart, 100'000));
@@ -22,7 +22,7 @@
   EXPECT_TRUE(budget.Take(kStart + milliseconds(85), 100'000));
 }
 
-TEST(SendBudget, WhatIsLargerThanTheBurstGoesToo) {
+TEST(SendBudget, SendsMessagesLargerThanTheBurst) {
   SendBudget budget;
   EXPECT_TRUE(budget.Take(kStart, 2'000'000));
   EXPECT_FALSE(budget.Take(kStart + seconds(1), 1));
@@ -30,7 +30,7 @@
 }
 
 // In any span: the burst, the rate, and one that was begun.
-TEST(SendBudget, KeepsToTheRateInAnySpan) {
+TEST(SendBudget, KeepsToTheRateInAnyInterval) {
   std::minstd_rand random(1);
   SendBudget budget;
   std::vector<std::pair<Time, double>> sent;
--- a/pinford/testing/store_duty_test.cc
+++ b/pinford/testing/store_duty_test.cc
@@ -70,7 +70,7 @@
 
 // A box that the store does not answer, and one that reaches no other box but
 // those of its hall: the earlier era's list convinces nobody.
-TEST_P(StoreCalls, WhoCannotReachTheRestoredStoreFollowsItsPeers) {
+TEST_P(StoreCalls, BoxesCutOffFromTheRestoredStoreFollowTheirPeers) {
   fleet_.Run(seconds(10));
   const int cut = fleet_.MirrorBoxes()[0];
   fleet_.store.serves = [cut](int box) {
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_P(StoreCalls, OfAStart) {
+TEST_P(StoreCalls, AtStartup) {
   const int64_t calls = fleet_.Run(seconds(10));
   EXPECT_LE(calls, 15 * halls() + 15 * kSeeds);
   for (int i = 0; i < fleet_.size(); i++) {
@@ -116,7 +116,7 @@
   EXPECT_EQ(fleet_.MirrorBoxes().size(), halls());
 }
 
-TEST_P(StoreCalls, WhileAllIsWell) {
+TEST_P(StoreCalls, InSteadyState) {
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
   EXPECT_LE(fleet_.Run(seconds(20)), 22 * halls());
@@ -133,16 +133,16 @@
   EXPECT_EQ(fleet_.Lacking(All), 0);
 }
 
-TEST_P(StoreCalls, WhenTheStoreTurnsMirrorsAway) {
+TEST_P(StoreCalls, WhenTheStoreRefusesMirrors) {
   using Serves = FleetStore::Serves;
   for (const Serves how : {Serves::kRefuses, Serves::kSilent}) {
     fleet_.Run(seconds(10));
     fleet_.Lacking(All);
-    const std::vector<int> away = fleet_.MirrorBoxes();
-    fleet_.store.serves = [&away, how](int box) {
-      const bool is_away =
-          std::find(away.begin(), away.end(), box) != away.end();
-      return is_away ? how : Serves::kAnswers;
+    const std::vector<int> rejected = fleet_.MirrorBoxes();
+    fleet_.store.serves = [&rejected, how](int box) {
+      const bool is_rejected =
+          std::find(rejected.begin(), rejected.end(), box) != rejected.end();
+      return is_rejected ? how : Serves::kAnswers;
     };
     EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
     EXPECT_EQ(fleet_.Lacking(All), 0);
@@ -151,15 +151,15 @@
 }
 
 // Half of all boxes, drawn: somebody near a mirror is served.
-TEST_P(StoreCalls, WhenTheStoreTurnsHalfAway) {
+TEST_P(StoreCalls, WhenTheStoreIgnoresHalfTheBoxes) {
   using Serves = FleetStore::Serves;
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
   Random random(5);
-  std::vector<bool> away(fleet_.size());
-  for (int i = 0; i < fleet_.size(); i++) away[i] = random() % 2 == 0;
-  fleet_.store.serves = [&away](int box) {
-    return away[box] ? Serves::kSilent : Serves::kAnswers;
+  std::vector<bool> rejected(fleet_.size());
+  for (int i = 0; i < fleet_.size(); i++) rejected[i] = random() % 2 == 0;
+  fleet_.store.serves = [&rejected](int box) {
+    return rejected[box] ? Serves::kSilent : Serves::kAnswers;
   };
   EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
   EXPECT_EQ(fleet_.Lacking(All), 0);
@@ -241,7 +241,7 @@
   fleet_.Run(seconds(10));
   for (int i = 0; i < fleet_.size(); i++) fleet_.Start(i);
   int planner = fleet_.size() - 1;
-  fleet_.at(planner).duty.set_plans(true);
+  fleet_.at(planner).duty.set_is_planner(true);
   fleet_.Run(seconds(1));
   for (int change = 0; change < 10; change++) {
     fleet_.store.Change();
@@ -252,7 +252,7 @@
 }
 
 // A hall that reaches the store but no other hall.
-TEST_P(StoreCalls, WhenAHallIsAlone) {
+TEST_P(StoreCalls, WhenAHallIsIsolated) {
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
   fleet_.reaches = [this](int a, int b) {
@@ -263,11 +263,13 @@
 }
 
 // Single boxes that reach the store but nobody else.
-TEST_P(StoreCalls, OfABoxAlone) {
+TEST_P(StoreCalls, WhenABoxIsIsolated) {
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
-  const int alone = fleet_.size() - 1;
-  fleet_.reaches = [alone](int a, int b) { return a != alone && b != alone; };
+  const int isolated = fleet_.size() - 1;
+  fleet_.reaches = [isolated](int a, int b) {
+    return a != isolated && b != isolated;
+  };
   EXPECT_LE(fleet_.Run(seconds(20)), 80 * (halls() + 1));
   EXPECT_EQ(fleet_.Lacking(All), 0);
 }
--- a/pinford/testing/whole_list_test.cc
+++ b/pinford/testing/whole_list_test.cc
@@ -9,22 +9,22 @@
 namespace pinford {
 namespace {
 
-const Time kMade = Time{} + seconds(100);
+const Time kBuiltAt = Time{} + seconds(100);
 
-WholeList Made(Duration took) {
-  WholeList list;
-  list.Set(kMade - took, kMade, {8, 30, 40, kMade}, "body");
+FullListCache BuiltList(Duration build_time) {
+  FullListCache list;
+  list.Set(kBuiltAt - build_time, kBuiltAt, {8, 30, 40, kBuiltAt}, "body");
   return list;
 }
 
-TEST(WholeList, ServesWhileItIsOfNowOrTooDearToMakeAnew) {
+TEST(FullListCache, IsUsableWhileCurrentOrRecentlyBuilt) {
   const struct {
     const char* name;
-    Duration took;
+    Duration build_time;
     Duration later;
     uint64_t state;
     uint64_t above;
-    bool serves;
+    bool usable;
   } cases[] = {
       {"of the same state, however old", milliseconds(1), seconds(60), 40, 7,
        true},
@@ -41,33 +41,35 @@
        41, 7, false},
   };
   for (const auto& c : cases) {
-    EXPECT_EQ(Made(c.took).Serves(kMade + c.later, c.state, c.above), c.serves)
+    EXPECT_EQ(
+        BuiltList(c.build_time).IsUsable(kBuiltAt + c.later, c.state, c.above),
+        c.usable)
         << c.name;
   }
-  EXPECT_FALSE(WholeList().Serves(kMade, 0, 0)) << "none was made";
+  EXPECT_FALSE(FullListCache().IsUsable(kBuiltAt, 0, 0)) << "none was made";
 }
 
 // A hundred boxes that start together ask a box on which 3,000 entries change
 // within three seconds, and for which making the list takes 250 ms. They were
 // served one by one, 25 s in all, each with a list of its own.
-TEST(WholeList, ManyAskersWhileItChangesCostAThirdOfTheTime) {
-  constexpr int kAskers = 100;
-  const Duration took = milliseconds(250);
+TEST(FullListCache, RebuildsForManyPeersTakeAThirdOfTheTime) {
+  constexpr int kPeers = 100;
+  const Duration build_time = milliseconds(250);
   std::minstd_rand random(1);
-  WholeList list;
-  Time now = kMade;
+  FullListCache list;
+  Time now = kBuiltAt;
   uint64_t state = 1;
   int made = 0;
-  for (int i = 0; i < kAskers; i++) {
+  for (int i = 0; i < kPeers; i++) {
     now += milliseconds(random() % 60);
     state += 1 + random() % 30;
-    if (list.Serves(now, state, 0)) continue;
-    list.Set(now, now + took, {8, state, state, now}, "body");
-    now += took;
+    if (list.IsUsable(now, state, 0)) continue;
+    list.Set(now, now + build_time, {8, state, state, now}, "body");
+    now += build_time;
     made++;
   }
-  const Duration all = now - kMade;
-  EXPECT_LE(made * took, all / 3 + took) << made;
+  const Duration all = now - kBuiltAt;
+  EXPECT_LE(made * build_time, all / 3 + build_time) << made;
   EXPECT_LT(all, seconds(6));
 }
 
