--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -1,25 +1,27 @@
-// Gets the configuration and the list of endpoints from peers, with the age
-// of their proof.
+// Fetches the configuration and the endpoint list from peers, together with
+// their freshness age.
 //
-// A peer answers with the versions it has and how long ago it knew each to be
-// the newest; a body follows only if its version is higher than the asker's.
-// Of the list, whoever has it from the peer that it asks gets only the entries
-// that changed since: a hall of 60 boxes before 3,000 runners would be sent
-// 100 KB each for every change.
+// A peer answers with its versions and, for each, how long ago it knew that
+// version to be the newest. A body follows only if its version is higher than
+// the requester's. A box that got its list from the peer it asks receives only
+// the entries that changed since. Otherwise a hall of 60 boxes with 3,000
+// runners would be sent 100 KB per box for every change.
 //
-// The asker counts that age back from the moment before it asked, so neither
-// a slow network nor a pause of either side makes a proof look younger than it
-// is.
+// The requester counts that age back from the time before it sent the request,
+// so neither a slow network nor a pause of either process makes a copy look
+// fresher than it is.
 //
-// Whom to ask is the roster's choice; a box that knows no member yet, or has
-// nothing yet, asks a seed, less and less often, since all boxes of a fleet may
-// have started together. A box that hears of a higher version of the
-// configuration in a digest asks one of those that have it at once, and one
-// that hears of a newer list asks who told of it: whoever mirrors the store
-// announces that an endpoint went. A peer that sends much already answers
-// without the list (send_budget.h); then any other that has it is asked.
+// SourceSelector chooses the peer. A box that knows no member yet, or has no
+// documents yet, asks a seed with exponential backoff, since all boxes of a
+// fleet may have started together. A box that learns of a newer configuration
+// from a digest immediately asks one of the boxes that have it. A box that
+// learns of a newer list asks the sender of that digest, because the box that
+// mirrors the store announces the removal of an endpoint. A peer whose send
+// budget is used up answers without the list (send_budget.h); another peer that
+// has it is asked then.
 //
-// No I/O of its own: `Link` asks. Time is `Clk`'s.
+// Does no I/O of its own: `Link` sends the requests, and `Clk` provides the
+// time.
 
 #ifndef PINFORD_FORWARDING_PEER_SOURCE_H_
 #define PINFORD_FORWARDING_PEER_SOURCE_H_
@@ -40,7 +42,8 @@
 
 namespace pinford {
 
-// Asks a peer; `fn` gets nothing if no whole answer came in time.
+// Sends a request to a peer; `fn` gets nullopt if no complete answer arrived in
+// time.
 template <typename L>
 concept FetchLink =
     requires(L link, const std::string& address, const FetchRequest& request,
@@ -49,40 +52,42 @@
 };
 
 struct PeerSourceOptions {
-  // Between questions. With the age of the peer's own proof this is what a
-  // box's proof lags behind; a question costs a connection inside the hall.
+  // Between requests. The freshness of a box lags by this and by the peer's own
+  // age; a request costs a connection within the hall.
   Duration interval = milliseconds(400);
-  // A mirror's proof is no older than twice its wait (1 s) and a call while
-  // the store answers it. If it is, another peer may know better.
+  // While the store answers it, a mirror's freshness age is at most twice its
+  // watch timeout (1 s) plus a call. Beyond this, another peer may be fresher.
   Duration max_normal_age = milliseconds(2200);
-  // A peer that has not answered by then is silent, and the next is asked; its
-  // answer still counts. Inside a region an answer takes milliseconds.
+  // A peer that has not answered by then counts as unresponsive, and the next
+  // is asked; its answer is still accepted. Within a region an answer takes
+  // milliseconds.
   Duration answer_timeout = milliseconds(600);
-  // The same while this box has nothing: where all boxes start together some of
-  // the seeds are not there yet, and callers are refused meanwhile. With 600 ms
-  // boxes that came back from a loss of power were ready after 0.60 s, each of
-  // 21 whose logs were read.
+  // The same while this box has no documents: if all boxes start together, some
+  // of the seeds are not up yet, and callers are refused meanwhile. With 600
+  // ms, boxes that came back from a power loss were ready after 0.60 s, in all
+  // 21 logs that were examined.
   Duration answer_timeout_at_start = milliseconds(150);
-  // The next source is asked so soon once one begins to fail: what leaves
-  // meanwhile must be known within two seconds.
+  // Delay until the next source is asked after one begins to fail: endpoints
+  // that leave meanwhile must be known within two seconds.
   Duration failover_delay = milliseconds(100);
-  // Questions to seeds while this box has nothing: the first pause, doubled
-  // each time.
+  // Between requests to seeds while this box has no documents: the first delay,
+  // doubled each time.
   Duration min_seed_pause = milliseconds(100);
   Duration max_seed_pause = milliseconds(800);
 };
 
 struct PeerSourceEvents {
-  // The version that this box has.
+  // The version held by this box.
   std::function<uint64_t(DocumentKind)> version;
   std::function<Time(DocumentKind)> proof;
-  // A peer's body of a higher version. False if it cannot be used.
+  // A document body with a higher version from a peer. Returns false if it
+  // cannot be used.
   std::function<bool(DocumentKind, const DocumentState&,
                      const std::string& peer)>
       on_body;
-  // What this box has was the newest at `proof`.
+  // The version held by this box was the newest at that time.
   std::function<void(DocumentKind, Time proof)> on_proof;
-  // A peer has told what it has; what of that is news has been taken.
+  // A peer has answered, and the documents it sent have been applied.
   std::function<void()> on_answer;
 };
 
@@ -101,9 +106,8 @@
         options_(options),
         events_(std::move(events)) {}
 
-  // What a digest from `address` shows: the sender's versions of the
-  // configuration and of the list, and when it knew the former to be the
-  // newest.
+  // Handles a digest from `address`: the sender's versions of the configuration
+  // and of the list, and when it knew the configuration to be the newest.
   void OnDigest(const std::string& address, uint64_t version, uint64_t list,
                 Time proof) {
     const uint64_t own = events_.version(DocumentKind::kConfiguration);
@@ -118,14 +122,14 @@
     }
   }
 
-  // Asks what is due. `wanted`: this box has no source of its own now.
+  // Sends the request that is due. `wanted`: this box has no other source now.
   void Tick(bool wanted) {
     const Time now = clock_->now();
     const Duration timeout = HasAllDocuments()
                                  ? options_.answer_timeout
                                  : options_.answer_timeout_at_start;
     const bool still_waiting = waiting_ && now - asked_at_ < timeout;
-    // Who is asked may be gone; its answer counts all the same.
+    // The asked peer may be down; its answer is accepted all the same.
     if (still_waiting && (!wanted || newer_list_peer_.empty())) return;
     const bool timed_out = std::exchange(waiting_, false) && !still_waiting;
     if (timed_out) RecordAnswer(asked_peer_, SourceAnswer::kNoAnswer);
@@ -145,7 +149,7 @@
            events_.version(DocumentKind::kEndpoints) != 0;
   }
 
-  // The address to ask when there is no special reason.
+  // The address to ask by default.
   std::string ChooseSource(Time now) {
     if (std::exchange(list_withheld_, false)) {
       std::string holder = PickNewer(now, DocumentKind::kEndpoints);
@@ -158,19 +162,20 @@
       seed_pause_ = options_.min_seed_pause;
       return source;
     }
-    // Equal boxes that started together must not ask at the same moments.
+    // Jitter, because identical boxes that started together must not send at
+    // the same moments.
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     next_at_ = now + FromSeconds(ToSeconds(seed_pause_) * jitter(random_));
     seed_pause_ = std::min(seed_pause_ * 2, options_.max_seed_pause);
-    // In turn with the roster's: the seeds may be gone.
+    // Includes the selector's choice, since the seeds may be down.
     const size_t n = seeds_.size() + (source.empty() ? 0 : 1);
     const size_t i = random_() % n;
     return i < seeds_.size() ? seeds_[i] : source;
   }
 
-  // A member that has a higher version of that document, if one is known; of
-  // the own hall rather than of another, and any of those, so that those who
-  // have it share the work of handing it on.
+  // A random member with a higher version of that document, "" if none is
+  // known. Members of the local hall are preferred; choosing at random spreads
+  // the load of distribution over all that have it.
   std::string PickNewer(Time now, DocumentKind kind) {
     const uint64_t own = events_.version(kind);
     std::vector<const Membership::Member*> local;
@@ -204,7 +209,8 @@
         });
   }
 
-  // What came of a question. Whoever begins to fail is not waited for.
+  // Records the outcome of a request. A source that begins to fail is not
+  // waited for.
   void RecordAnswer(const std::string& source, SourceAnswer answer) {
     const Time now = clock_->now();
     const bool newly_failing = roster_->OnAnswer(now, source, answer);
@@ -212,7 +218,7 @@
       next_at_ = std::min(next_at_, now + options_.failover_delay);
   }
 
-  // Not all at the same moment: many are told so at once.
+  // Jitter, because many boxes get such an answer at once.
   void RequestSoon() {
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     const double pause = ToSeconds(options_.failover_delay) * jitter(random_);
@@ -239,12 +245,12 @@
     if (events_.on_answer) events_.on_answer();
   }
 
-  // False if the peer has what this box has not, and did not send it.
+  // Returns false if the peer has a newer version but did not send it.
   bool ApplyBody(DocumentKind kind, const DocumentState& state,
                  const std::string& from) {
     const uint64_t own = events_.version(kind);
     if (state.version < own) {
-      // Its changes would take back what came from elsewhere.
+      // Its changes would revert entries that came from elsewhere.
       if (state.changes) list_source_.clear();
       return true;
     }
@@ -265,7 +271,7 @@
   void ApplyDocument(DocumentKind kind, const DocumentState& state,
                      const std::string& from, Time asked) {
     if (!ApplyBody(kind, state, from)) return;
-    // An older version proves nothing of the one that this box has.
+    // An older version says nothing about the freshness of the one held.
     if (state.version < events_.version(kind)) return;
     constexpr uint64_t kUnknownAgeMs = 3600 * 1000;
     if (state.proof_age_ms >= kUnknownAgeMs) return;
@@ -276,24 +282,23 @@
   Clk* clock_;
   const Membership* membership_;
   SourceRoster* roster_;
-  std::vector<std::string> seeds_;  // addresses, without this box's
+  std::vector<std::string> seeds_;  // addresses, without this box
   Link* link_;
   Random random_;
   PeerSourceOptions options_;
   PeerSourceEvents events_;
   bool waiting_ = false;
   uint64_t request_id_ = 0;
-  std::string asked_peer_;  // the last that was asked
+  std::string asked_peer_;  // the last peer that was asked
   Time asked_at_{};
   Time next_at_{};
   Duration seed_pause_ = options_.min_seed_pause;
   bool newer_configuration_seen_ = false;
-  bool list_withheld_ = false;   // a peer has a newer list, and did not send it
-  std::string newer_list_peer_;  // a box that has one
-  std::string list_source_;      // who this box has its list from
-  ListCursor list_cursor_;       // ... as of that box's moment
-  std::string
-      fresher_peer_;  // a box with a fresh proof, while this one lacks it
+  bool list_withheld_ = false;   // a peer has a newer list, but did not send it
+  std::string newer_list_peer_;  // address of a box with a newer list
+  std::string list_source_;      // the peer from which the list was fetched
+  ListCursor list_cursor_;       // position in that peer's list of changes
+  std::string fresher_peer_;     // a fresh box, while this one is stale
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/peers_first.h
+++ b/pinford/forwarding/peers_first.h
@@ -1,12 +1,12 @@
-// Whether a box that has just started may go by the store's configuration
-// alone.
+// Delays a starting box's use of the store's configuration until a peer has
+// been asked.
 //
-// A store that has come back from a copy holds an older configuration than the
-// one in force until the operator has written that again, and a box that has
-// just started cannot tell. Boxes that run can: they keep to the higher
-// version. So the first configuration is taken from the store once some peer
-// has answered, which then has told of a higher one if it has it, or once none
-// has for a while: where all boxes start together nobody is there to ask.
+// A store that was restored from a backup holds an older configuration than the
+// one in force until the operator writes that again, and a box that has just
+// started cannot tell. Running boxes can, because they keep the higher version.
+// A starting box therefore accepts the store's configuration once any peer has
+// answered, reporting a higher version if it has one, or after a timeout: if
+// all boxes start together, nobody is there to ask.
 
 #ifndef PINFORD_FORWARDING_PEERS_FIRST_H_
 #define PINFORD_FORWARDING_PEERS_FIRST_H_
@@ -17,15 +17,15 @@
 
 class PeersFirst {
  public:
-  // A seed that is there answers the first question within 30 ms of the start;
-  // callers wait for 100 ms (StartQueueOptions::longest).
+  // A running seed answers the first request within 30 ms of the start; callers
+  // wait for 100 ms (StartQueueOptions::longest).
   static constexpr Duration kMaxWait = milliseconds(60);
 
-  // `has_peers`: this box knows whom to ask.
+  // `has_peers`: this box knows an address to ask.
   PeersFirst(Time started, bool has_peers)
       : started_(started), done_(!has_peers) {}
 
-  // A peer has told what it has, if only that it has nothing.
+  // A peer has answered, even if it has no documents.
   void OnAnswer() { done_ = true; }
   bool Over(Time now) const { return done_ || now - started_ >= kMaxWait; }
 
--- a/pinford/forwarding/prefix_mirror.h
+++ b/pinford/forwarding/prefix_mirror.h
@@ -1,16 +1,15 @@
-// Keeps a copy of all keys under one prefix of the store, and knows how old
-// the proof is that the copy is the newest.
+// Mirrors all keys under one prefix of the store, and knows when the copy was
+// last known to be current.
 //
-// A copy that only has to begin is read once, without a watch (Look).
+// The mirror lists the prefix, then watches for changes from there on. If the
+// store has compacted the history, or a watch fails, it lists again: a list and
+// the changes after it cannot miss a change, but a broken watch may have. A
+// copy can also be read once, without a watch (ReadOnce).
 //
-// It lists the prefix, then watches for changes from there on. When the store
-// has forgotten the history, or a watch fails, it lists again: a list and the
-// changes after it cannot miss one, a watch that broke may have.
-//
-// A proof is the moment *before* a call was sent whose answer showed what the
-// store then held: however late the answer came or the process was paused
-// meanwhile, the copy was the newest at that moment. Each answered call
-// renews it; an unanswered store lets it grow old.
+// The freshness time is the time *before* a call was sent whose answer showed
+// the state of the store: the copy was current at that time, however late the
+// answer arrived and whether or not the process was paused meanwhile. Each
+// answered call renews it; while the store is unreachable, its age grows.
 
 #ifndef PINFORD_FORWARDING_PREFIX_MIRROR_H_
 #define PINFORD_FORWARDING_PREFIX_MIRROR_H_
@@ -26,30 +25,31 @@
 namespace pinford {
 
 struct PrefixMirrorOptions {
-  // How long a watch waits. A proof is this old by the time of the answer, and
-  // twice by the next; a waiting watch counts as one call to the store.
+  // How long a watch waits. The freshness age is this long when the answer
+  // arrives, and twice as long before the next one; a waiting watch counts as
+  // one call to the store.
   Duration watch_timeout = milliseconds(1000);
-  // After the wait, how long an answer may take.
+  // How long an answer may take beyond the watch timeout.
   Duration answer_limit = milliseconds(700);
-  // The same of a list once the store has fallen silent. Another is then sent
-  // after `retry`, but an answer to any of them still counts: so a return is
-  // noticed this soon, however slow the store is.
+  // The same for a list while the store is unreachable. Another list is then
+  // sent after `retry_delay`, but an answer to any of them is accepted, so
+  // recovery is noticed this soon, however slow the store is.
   Duration silent_limit = milliseconds(700);
-  // Between calls to a store that does not answer or refuses: doubled with
-  // each failure in a row, up to the latter.
+  // Between calls to a store that does not answer or refuses: doubled with each
+  // consecutive failure, up to the maximum.
   Duration retry_delay = milliseconds(250);
   Duration max_retry_delay = milliseconds(250);
-  // A watch that brings changes all the time is asked again no sooner.
+  // Minimum time between watches that return changes continuously.
   Duration min_watch_interval = milliseconds(20);
 };
 
 struct PrefixMirrorEvents {
-  // The whole prefix, in place of all that was known.
+  // The whole prefix; replaces everything known before.
   std::function<void(const PrefixResult&)> on_list;
-  // Changes since.
+  // Changes since the last list or changes.
   std::function<void(const PrefixResult&)> on_changes;
   std::function<void(Time proof)> on_proof;
-  // The store answers this mirror, or does no longer.
+  // The store became reachable or unreachable for this mirror.
   std::function<void(bool reachable, StoreStatus why)> on_reachable;
 };
 
@@ -64,13 +64,13 @@
         options_(options),
         events_(std::move(events)) {}
 
-  // Mirrors from now on, beginning with a list.
+  // Starts mirroring, beginning with a list.
   void Start() {
     if (std::exchange(active_, true) || reading_once_) return;
     failures_ = 0;
     List();
   }
-  // Leaves the store alone. The copy and its proof grow old.
+  // Stops calling the store. The copy is kept, and its freshness age grows.
   void Stop() {
     if (!std::exchange(active_, false)) return;
     current_call_++;
@@ -78,16 +78,16 @@
     clock_->Cancel(timer_);
     reading_once_ = false;
   }
-  // Somebody else hears from the store again.
+  // Retries immediately, because another client reached the store again.
   void RetryNow() {
     if (active_ && !reachable_) List();
   }
-  // The store has come back from a copy: what the mirror goes on from is of
-  // before.
+  // The store was restored from a backup, so the position of the mirror is no
+  // longer valid.
   void ListAgain() {
     if (active_) List();
   }
-  // Lists the prefix once, unless it is mirrored or being listed already.
+  // Lists the prefix once, unless it is being mirrored or listed already.
   void Look() {
     if (active_ || std::exchange(reading_once_, true)) return;
     List();
@@ -95,12 +95,12 @@
 
   bool active() const { return active_; }
 
-  // Whether the last call failed. False while none has ended yet.
+  // Whether the last call failed. False until the first one has ended.
   bool failing() const { return failures_ > 0; }
-  // From now on retries come at the latest after so long.
+  // Sets the upper bound of the delay between retries.
   void set_most_retry(Duration d) { options_.max_retry_delay = d; }
   StoreRevision at() const { return at_; }
-  // Time{} before the first.
+  // When the copy was last known to be current; Time{} if never.
   Time proof() const { return fresh_as_of_; }
 
  private:
@@ -146,7 +146,8 @@
       case StoreStatus::kOk:
         at_ = r.at;
         events_.on_changes(r);
-        // Changes prove only what came with them, not that no more follow.
+        // Further changes may already have followed, but the copy holds
+        // everything written before the call was sent.
         OnSuccess(sent_at);
         Schedule(options_.min_watch_interval, [this] { Watch(); });
         return;
@@ -164,8 +165,8 @@
     }
   }
 
-  // Gives an answer up that does not come. A later one of the same call is
-  // passed over.
+  // Limits the wait for an answer. A later answer to the same call is ignored,
+  // except to a list.
   void StartTimeout(uint64_t call, Duration limit) {
     clock_->Cancel(timer_);
     timer_ = clock_->After(limit, [this, call] {
@@ -217,12 +218,12 @@
   PrefixMirrorOptions options_;
   PrefixMirrorEvents events_;
   StoreRevision at_;
-  uint64_t current_call_ = 0;  // the call whose answer is waited for
-  int failures_ = 0;           // of calls of a mirror, in a row
-  uint64_t list_epoch_ = 0;    // grows when lists under way no longer count
+  uint64_t current_call_ = 0;  // identifies the call whose answer is awaited
+  int failures_ = 0;           // consecutive failed calls while mirroring
+  uint64_t list_epoch_ = 0;    // incremented when outstanding lists become void
   TimerId timer_ = 0;
   bool active_ = false;
-  bool reading_once_ = false;  // a list is under way that no watch may follow
+  bool reading_once_ = false;  // a list without a following watch is pending
   bool reachable_ = false;
   Time fresh_as_of_{};
 };
--- a/pinford/forwarding/send_budget.h
+++ b/pinford/forwarding/send_budget.h
@@ -1,10 +1,11 @@
-// How much of what is large a box sends to its peers, so that its link stays
-// free for callers.
+// Limits the rate at which a box sends large bodies to its peers, so that its
+// link stays free for callers.
 //
-// Boxes that start together all ask the few that have the list of endpoints.
-// An answer that waits for the link is asked for again elsewhere, and goes all
-// the same. So who is beyond the budget is told at once, and asks one that has
-// it by then: whoever was served serves others, and their number doubles.
+// Boxes that start together all ask the few that have the endpoint list. An
+// answer that is queued for the link too long is requested again elsewhere, yet
+// is still sent. A peer beyond the budget is therefore told immediately, and
+// asks another box that has the list by then: every box that was served serves
+// others, so their number doubles.
 
 #ifndef PINFORD_FORWARDING_SEND_BUDGET_H_
 #define PINFORD_FORWARDING_SEND_BUDGET_H_
@@ -18,13 +19,15 @@
 
 class SendBudget {
  public:
-  // Half of a link of 20 Mbit/s, the slowest that boxes have.
+  // Half of a 20 Mbit/s link, the slowest that boxes have.
   static constexpr double kBytesPerSecond = 1'250'000;
-  // At once: 0.12 s of such a link. Peers ask elsewhere after 0.15 s.
+  // Bytes sent at once: 0.12 s of such a link. Peers ask elsewhere after 0.15
+  // s.
   static constexpr double kBurst = 300'000;
 
-  // Whether so much may be sent now; it then counts. What is larger than the
-  // burst goes too, and what comes after it waits for longer.
+  // Returns whether `bytes` may be sent now, and if so deducts them. A message
+  // larger than the burst is sent too, and delays the following ones
+  // accordingly.
   bool Take(Time now, size_t bytes) {
     const double refill = ToSeconds(now - updated_at_) * kBytesPerSecond;
     available_ = std::min(kBurst, available_ + refill);
--- a/pinford/forwarding/source_roster.cc
+++ b/pinford/forwarding/source_roster.cc
@@ -57,8 +57,8 @@
   };
   const auto local = halls.find(self.hall);
   if (local != halls.end()) add(local->second, 0, max_mirrors);
-  // Boxes of one hall spread over the others, the first of each before any
-  // stand-in.
+  // Boxes of one hall spread over the other halls, the primary of each before
+  // any standby.
   std::vector<std::pair<uint64_t, const RankedBoxes*>> remote;
   for (const auto& [hall, boxes] : halls) {
     if (hall == self.hall) continue;
@@ -98,7 +98,7 @@
   for (const std::string& source : sources_) {
     if (!HasFailed(now, source)) return source;
   }
-  // All fail: one after the other.
+  // All are failing, so take turns.
   return sources_[1 + turn_ / 2 % (sources_.size() - 1)];
 }
 
--- a/pinford/forwarding/source_roster.h
+++ b/pinford/forwarding/source_roster.h
@@ -1,21 +1,22 @@
-// Whom a box asks for what the platform's store holds, so that few boxes ask
-// the store itself.
+// Selects the peer from which a box fetches the contents of the platform's
+// store, so that few boxes call the store itself.
 //
-// In each hall the live boxes are ranked, by rendezvous hashing over their
-// names. The first mirrors the store, the next ones stand in while it fails,
-// and all others ask it: the first of their hall, else the stand-ins, else
-// those of other halls. That bounds the calls to the store by the number of
-// halls, whatever fails (StoreDuty decides who calls).
+// In each hall the live boxes are ranked by rendezvous hashing of their names.
+// The first, the primary, mirrors the store; the next ones are standbys, which
+// mirror it while the primary fails. All other boxes ask the primary of their
+// hall, else its standbys, else those of other halls. This bounds the calls to
+// the store by the number of halls, whatever fails (StoreTaskSelector decides
+// which box calls).
 //
-// A source fails when it says so, when its proof is old, or when it does not
-// answer. One that fails is asked each other time, so that its recovery shows.
-// One that twice in a row gave no answer is left out for a while, and the ranks
-// move up: boxes that are gone stay in the membership for tens of seconds in a
-// large fleet. A box to which nobody answers is thus the first of a hall of its
-// own, and mirrors the store for itself.
+// A source fails if it reports so, if its data is stale, or if it does not
+// answer. A failing source is asked every other time, so that its recovery is
+// noticed. A source that did not answer twice in a row is excluded for a while,
+// and the ranks move up: boxes that are down stay in the membership for tens of
+// seconds in a large fleet. A box to which nobody answers thus becomes the
+// primary of a hall of its own, and mirrors the store for itself.
 //
-// Ranks differ while boxes see different members. Duties that are done twice do
-// no harm.
+// Ranks differ while boxes have different views of the membership. It does no
+// harm if two boxes have the same role.
 
 #ifndef PINFORD_FORWARDING_SOURCE_ROSTER_H_
 #define PINFORD_FORWARDING_SOURCE_ROSTER_H_
@@ -31,60 +32,63 @@
 
 namespace pinford {
 
-// The duty of mirroring the store, as boxes of a hall are ranked for it.
+// The role of mirroring the store, for which the boxes of a hall are ranked.
 inline constexpr char kMirrorRole[] = "mirror";
 
 enum class SourceAnswer {
   kOk,
-  kFailing,   // it says that the store fails it, or its proof is old
-  kNoAnswer,  // it gave no answer in time
+  kFailing,   // it cannot reach the store, or its data is stale
+  kNoAnswer,  // it did not answer in time
 };
 
-// The first boxes of a hall, by their weight for the duty.
+// The highest-ranked boxes of a hall, by their weight for the role.
 using RankedBoxes = std::vector<std::pair<uint64_t, const MemberRow*>>;
 
 class SourceRoster {
  public:
   struct Options {
-    // Boxes of a hall that may mirror the store: one, and its stand-ins. With
-    // two of them the store must turn away three boxes of a hall before that
-    // hall depends on another.
+    // Boxes of a hall that may mirror the store: the primary and its standbys.
+    // With two standbys, the store must refuse three boxes of a hall before
+    // that hall depends on another.
     int max_mirrors = 3;
-    // A source that fails is asked each other time; it counts as failing for
-    // longer than that takes.
+    // How long a source counts as failing. Longer than the time between
+    // requests to a failing source, which is asked every other time.
     Duration failing_period = milliseconds(2000);
-    // A source that gave no answer twice is left out for so long, doubled each
+    // How long a source that did not answer twice is excluded, doubled each
     // time it happens again.
     Duration exclusion_time = seconds(4);
     Duration max_exclusion_time = seconds(32);
-    // So many questions in a row without an answer, to whomever: this box is
-    // alone.
+    // Consecutive requests without an answer, from any source, after which this
+    // box counts as isolated.
     int isolated_after = 2;
-    // How often the ranks are made anew. The work grows with the members: 28 us
-    // at 300 of them, 69 us at 730 (BM_SourceRoster).
+    // How often the ranks are recomputed. The work grows with the members: 28
+    // us for 300 of them, 69 us for 730 (BM_SourceRoster).
     Duration refresh = milliseconds(500);
   };
 
   SourceRoster(const Membership* membership, const Options& options)
       : membership_(membership), options_(options) {}
 
-  // Its rank in its hall, from 0, among the boxes that answer it.
+  // The rank of this box in its hall, from 0, among the boxes that answer it.
   int rank(Time now);
-  // Whether it may mirror the store while the first of its hall fails.
+  // Whether this box mirrors the store because the primary of its hall fails.
   bool is_active_standby(Time now);
-  // Live boxes of its hall, this one among them; 1 while nobody answers it.
+  // Live boxes of the hall including this one; 1 while nobody answers it.
   int hall_boxes(Time now);
-  // Whether the first of its hall failed of late; false for the first itself.
+  // Whether the primary of the hall failed recently; false for the primary
+  // itself.
   bool primary_failing(Time now);
-  // The address to ask now, "" if there is nobody. Call it once a question.
+  // Returns the address to ask now, "" if there is none. Call it once per
+  // request.
   std::string Next(Time now);
-  // What came of a question to `address`. True if it begins to fail.
+  // Records the outcome of a request to `address`. Returns true if the source
+  // begins to fail.
   bool OnAnswer(Time now, const std::string& address, SourceAnswer answer);
 
  private:
   struct State {
     Time failed_at = Time::min();
-    int timeouts = 0;  // in a row
+    int timeouts = 0;  // consecutive
     Time excluded_until = Time::min();
   };
 
@@ -96,12 +100,12 @@
   const Membership* membership_;
   Options options_;
   std::map<std::string, State> states_;  // by address
-  // Those to ask: the first boxes of the own hall but this one, then those of
-  // others.
+  // Sources in order of preference: the primary and standbys of the local hall
+  // without this box, then those of other halls.
   std::vector<std::string> sources_;
   int rank_ = 0;
   int hall_boxes_ = 1;
-  int consecutive_timeouts_ = 0;  // questions in a row
+  int consecutive_timeouts_ = 0;
   Time refreshed_at_ = Time::min();
   uint64_t turn_ = 0;
 };
--- a/pinford/forwarding/store_duty.cc
+++ b/pinford/forwarding/store_duty.cc
@@ -45,7 +45,8 @@
     return StoreTask::kNone;
   }
   const int boxes = roster->hall_boxes(now);
-  // One that finds itself alone has no more reason to wait for the others.
+  // A box that finds itself isolated has no reason to leave time for the
+  // others.
   if (next_read_ == Time::max() || boxes < hall_boxes_at_draw_) {
     next_read_ = now + RandomPause(0, 1, boxes);
     hall_boxes_at_draw_ = boxes;
--- a/pinford/forwarding/store_duty.h
+++ b/pinford/forwarding/store_duty.h
@@ -1,24 +1,24 @@
-// When a box calls the platform's store, and why.
+// Decides when a box calls the platform's store, and why.
 //
-// The first of a hall mirrors the store; two stand in while it fails
-// (SourceRoster). The one box that plans the pools mirrors it too. Any other
-// box looks at the store itself only when nobody whom it asks has had a fresh
-// proof for long, and then by chance: the looks of a hall together are a few a
-// second, however many boxes it has. So calls grow with the halls and not with
-// the boxes, whatever fails. A box that knows no other is a hall of its own,
-// and looks each second.
+// The primary of a hall mirrors the store, and two standbys do so while the
+// primary fails (SourceSelector). The box that plans the pools mirrors it too.
+// Any other box reads the store itself only if no peer that it asks has been
+// fresh for long, and then at random times: together, the boxes of a hall make
+// a few reads a second, however many they are. Calls therefore grow with the
+// number of halls and not of boxes, whatever fails. A box that knows no other
+// is a hall of its own, and reads every second.
 //
-// A box that has just started does not know yet who ranks before it. Until it
-// has been up for `join` it asks the seeds, which mirror the store from their
-// start; it looks for itself only if they give it nothing.
+// A box that has just started does not know yet which boxes rank before it. For
+// the time `join` it asks the seeds, which mirror the store from their start,
+// and reads the store itself only if they have nothing.
 //
-// Where all boxes lose power the seeds may come back last: 64 boxes without a
-// configuration refused 530 requests in the 0.4 s until then. So a box that has
-// nothing looks once as soon as a caller waits for it. That is one look a box
-// and start, on demand only: a fleet that starts before its callers come makes
-// none.
+// If all boxes lose power, the seeds may come back last: 64 boxes without a
+// configuration refused 530 requests in the 0.4 s before that. A box without
+// documents therefore reads the store once as soon as a caller waits for it.
+// This is one read per box and start, only on demand: a fleet that starts
+// before its callers connect makes none.
 //
-// No I/O; the caller acts on what Now says.
+// Does no I/O; the caller carries out the task returned by ChooseTask.
 
 #ifndef PINFORD_FORWARDING_STORE_DUTY_H_
 #define PINFORD_FORWARDING_STORE_DUTY_H_
@@ -33,15 +33,15 @@
 
 enum class StoreTask {
   kNone,
-  kMirror,   // the first of its hall
-  kStandby,  // the first of its hall fails
-  kPlan,     // it plans the pools, whatever its rank
-  kLook,     // nobody has had a fresh proof for long: one look now
+  kMirror,   // this box is the primary of its hall
+  kStandby,  // the primary of its hall fails
+  kPlan,     // this box plans the pools, whatever its rank
+  kLook,     // no peer has been fresh for long: read once now
 };
 
 std::string_view StoreTaskName(StoreTask t);
 
-// Whether a box with this task keeps a copy of what the store holds.
+// Whether a box with this task mirrors the store.
 inline bool Mirrors(StoreTask t) {
   return t == StoreTask::kMirror || t == StoreTask::kStandby ||
          t == StoreTask::kPlan;
@@ -50,22 +50,22 @@
 class StoreDuty {
  public:
   struct Options {
-    // A box that has just started leaves mirroring to the seeds for so long
+    // How long a starting box leaves mirroring to the seeds
     // (Membership::Options::join).
     Duration join = milliseconds(2500);
-    // ... and looks at the store itself from here on, if nobody told it
-    // anything: a question to a seed and a second one take less.
+    // When it reads the store itself if no peer has sent it anything: two
+    // requests to seeds take less.
     Duration first_read_after = milliseconds(1000);
-    // ... or from here on, once, if a caller waits. A seed that is there
-    // answers the first question within 30 ms of the start.
+    // When it reads the store, once, if a caller waits. A running seed answers
+    // the first request within 30 ms of the start.
     Duration read_for_caller_after = milliseconds(60);
-    // A box whose proof is older looks at the store itself. A mirror's proof is
-    // between one and two of its waits (1 s) old, a question to it comes each
-    // 0.4 s, and one more may be lost. The list that follows takes some ms, or
-    // ends 0.4 s later without an answer; both is within the 4.7 s after which
-    // keys of customers are refused.
+    // Freshness age beyond which a box reads the store itself. A mirror's age
+    // is between one and two watch timeouts (1 s), it is asked every 0.4 s, and
+    // one request may be lost. The list that follows takes a few ms, or ends
+    // 0.4 s later without an answer; either is within the 4.7 s after which
+    // customers' keys are refused.
     Duration read_after_age = milliseconds(3200);
-    // Looks of one hall: so many in so long, on the mean.
+    // Mean rate of the reads of one hall: this many per interval.
     Duration read_interval = milliseconds(1000);
     int hall_reads_per_interval = 2;
   };
@@ -73,22 +73,23 @@
   StoreDuty(Time started, bool seed, const Options& options, Random random)
       : started_(started), seed_(seed), options_(options), random_(random) {}
 
-  // Whether this box plans the pools. Who does goes by the store's own list:
-  // its peers may be busy sending theirs to others, and orders wait for it.
+  // Sets whether this box plans the pools. The planner uses the store's own
+  // list, because its peers may be busy distributing theirs while orders wait
+  // for it.
   void set_is_planner(bool is_planner) { is_planner_ = is_planner; }
 
-  // What falls on this box now. `proof` is when what it has was the newest for
-  // sure, Time{} if it has nothing.
+  // Returns the task of this box now. `proof` is when its documents were last
+  // known to be current, Time{} if it has none.
   StoreTask Now(Time now, Time proof, SourceRoster* roster);
-  // A caller waits for this box, which has nothing yet. Returns when Now may
-  // therefore name a look.
+  // A caller waits for this box, which has no documents yet. Returns the time
+  // from which ChooseTask may return kReadOnce for it.
   Time OnCallerWaiting() {
     caller_waiting_ = true;
     return started_ + options_.read_for_caller_after;
   }
 
  private:
-  // Whether nobody has had a proof for this box for too long.
+  // Whether the documents of this box have been stale for too long.
   bool IsStale(Time now, Time proof) const;
   Duration RandomPause(double min_factor, double max_factor, int hall_boxes);
 
@@ -97,9 +98,9 @@
   Options options_;
   Random random_;
   bool is_planner_ = false;
-  bool caller_waiting_ = false;   // and no look was named for it yet
-  Time next_read_ = Time::max();  // while it lacks a proof
-  int hall_boxes_at_draw_ = 1;    // boxes of the hall when that was drawn
+  bool caller_waiting_ = false;   // and no read was started for it yet
+  Time next_read_ = Time::max();  // max() unless stale
+  int hall_boxes_at_draw_ = 1;    // boxes of the hall when next_read_ was drawn
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/whole_list.h
+++ b/pinford/forwarding/whole_list.h
@@ -1,11 +1,11 @@
-// The list of endpoints as it goes whole to peers, kept while it will do.
+// Caches the full endpoint list as it is sent to peers.
 //
-// Boxes that start together ask for it together, and while runners load it
-// changes from one question to the next. Packed anew for each, 2,999 entries
-// took 30 ms of a core a question, 0.25 s of a box that has 0.12 of one, for
-// each of the hundred boxes of its hall. So it is made anew so seldom that this
-// takes a part of the time only, and who gets it asks for what changed since by
-// its moment.
+// Boxes that start together request the list together, and while runners load
+// it changes between requests. Building and compressing 2,999 entries takes 30
+// ms of a core, or 0.25 s on a box with 0.12 of a core, for each of the hundred
+// boxes of its hall. The list is therefore rebuilt only so often that building
+// takes a bounded share of the time, and peers that receive it request the
+// changes since its snapshot.
 
 #ifndef PINFORD_FORWARDING_WHOLE_LIST_H_
 #define PINFORD_FORWARDING_WHOLE_LIST_H_
@@ -21,27 +21,28 @@
 
 class FullListCache {
  public:
-  // What the directory was when the list was made.
+  // State of the directory when the list was built.
   struct Snapshot {
     uint64_t version = 0;  // of the store's list
-    uint64_t at = 0;       // by the box's own count of changes
-    uint64_t state = 0;    // grows with each entry that is taken or dropped
+    uint64_t at = 0;       // position in the box's own sequence of changes
+    uint64_t state = 0;    // incremented with each entry set or dropped
     Time proof{};          // when that version was known to be the newest
   };
-  // One is made anew after so many times the time that it took to make: a fifth
-  // of the box's time goes to it at most.
+  // The interval between rebuilds, as a multiple of the build time: at most a
+  // fifth of the box's time goes to building.
   static constexpr int kBuildTimeMultiple = 4;
-  // ... but no later. Who has an older one asks for changes within 0.4 s, so
-  // that it knows within a second who leaves, which may take three.
+  // Upper bound of that interval. A peer with an older list requests the
+  // changes within 0.4 s, so it learns within a second which endpoints leave;
+  // three seconds are allowed.
   static constexpr Duration kMaxInterval = milliseconds(500);
 
-  // Whether the one that was made serves a peer that wants a version above
+  // Whether the cached list can be sent to a peer that requests a version above
   // `above`, while the directory is in `state`.
   bool IsUsable(Time now, uint64_t state, uint64_t above) const {
     if (body_.empty() || snapshot_.version <= above) return false;
     return snapshot_.state == state || now < rebuild_after_;
   }
-  // It was made from `begun` to `ended`.
+  // Stores a list that was built from `build_start` to `build_end`.
   void Set(Time build_start, Time build_end, const Snapshot& snapshot,
            std::string body) {
     snapshot_ = snapshot;
@@ -57,7 +58,7 @@
  private:
   Snapshot snapshot_;
   std::string body_;
-  Time rebuild_after_{};  // when it may be made anew
+  Time rebuild_after_{};
 };
 
 }  // namespace pinford
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -1,4 +1,4 @@
-// Whom a box asks for the age of its proof, over real sockets.
+// PeerSource over real sockets: which peer a box asks, and how fresh it stays.
 
 #include "pinford/forwarding/peer_source.h"
 
@@ -17,7 +17,7 @@
 constexpr char kPeerKey[] = "key";
 constexpr int kEndpointsIndex = IndexOf(DocumentKind::kEndpoints);
 
-// A peer that answers with a proof of a given age.
+// A peer that answers with a given freshness age.
 struct Peer {
   Peer(EventLoop* loop, const std::string& name, int port)
       : link(std::in_place, loop, PeerCodec(kPeerKey),
@@ -49,11 +49,11 @@
   int asked = 0;
   uint64_t age_ms = 0;
   bool store_fails = false;
-  ListCursor asked_from;              // of the last question
-  std::optional<DocumentState> list;  // what it has
+  ListCursor asked_from;              // of the last request
+  std::optional<DocumentState> list;  // sent in answers if set
 };
 
-// A box that has version 7 of all, and two peers of its hall.
+// A box with version 7 of all documents, and two peers in its hall.
 class Fixture {
  public:
   Fixture()
@@ -68,7 +68,7 @@
                                          ports_[i]);
       membership_.OnRows(loop_.now(), {peers_[i]->row});
     }
-    // The first of the hall is one of the two, not this box.
+    // The primary of the hall is one of the two, not this box.
     const bool zero_first = RendezvousWeight("peer-0", kMirrorRole) >
                             RendezvousWeight("peer-1", kMirrorRole);
     mirror = peers_[zero_first ? 0 : 1].get();
@@ -86,8 +86,8 @@
 
   Peer* mirror;
   Peer* other;
-  uint64_t list_version = 7;        // that the box has
-  std::vector<std::string> bodies;  // that it took
+  uint64_t list_version = 7;        // held by the box
+  std::vector<std::string> bodies;  // accepted by the box
 
  private:
   static MemberRow Self() {
@@ -134,8 +134,8 @@
   std::unique_ptr<Peer> peers_[2];
 };
 
-// The mirror's proof stands still between two answers of the store; that is
-// no reason to ask somebody who has it second hand.
+// The mirror's freshness does not advance between two answers of the store;
+// that is no reason to ask a box that got its documents second hand.
 TEST(PeerSource, AsksOnlyTheMirrorWhileItsFreshnessAgeIsNormal) {
   Fixture f;
   for (f.mirror->age_ms = 0; f.mirror->age_ms <= 2000;) {
@@ -147,7 +147,9 @@
   EXPECT_FALSE(f.MirrorFailing());
 }
 
-// The others must know at once: what leaves meanwhile is in no proof's age.
+// The other boxes must learn immediately that the mirror cannot reach the
+// store, because the freshness age does not show which endpoints leave
+// meanwhile.
 TEST(PeerSource, AMirrorThatTheStoreDoesNotAnswerSaysSo) {
   Fixture f;
   f.RunFor(milliseconds(100));
@@ -155,7 +157,8 @@
   f.mirror->store_fails = true;
   f.RunFor(milliseconds(100));
   EXPECT_TRUE(f.MirrorFailing());
-  // It is asked on, in turn with the others, so that its recovery shows.
+  // It is still asked, alternating with the others, so that its recovery is
+  // noticed.
   const int asked = f.mirror->asked;
   f.RunFor(milliseconds(400));
   EXPECT_TRUE(f.MirrorFailing());
@@ -175,8 +178,8 @@
   EXPECT_LT(f.FreshnessAge(), milliseconds(1000));
 }
 
-// A box that does not answer is passed over within a question, and soon ranks
-// no more.
+// A box that does not answer is skipped after one request, and soon is not
+// ranked any more.
 TEST(PeerSource, ASilentMirrorIsPassedOver) {
   Fixture f;
   f.RunFor(milliseconds(100));
@@ -187,8 +190,9 @@
   EXPECT_LT(f.FreshnessAge(), milliseconds(200));
 }
 
-// Who has the list from the peer that it asks is told what changed since: from
-// the moment that came with what it took last, and only there.
+// A box that got its list from the peer it asks receives the changes since:
+// from the cursor of the last list or changes that it applied, and only from
+// that peer.
 TEST(PeerSource, TheListIsAskedForFromTheMomentAtWhichItWasHad) {
   Fixture f;
   const auto answers = [&f](uint64_t version, const std::string& body,
@@ -198,20 +202,20 @@
   };
   const ListCursor none;
   answers(7, "", false, {5, 9});
-  EXPECT_EQ(f.mirror->asked_from, none) << "it has nothing from there";
+  EXPECT_EQ(f.mirror->asked_from, none) << "it has no list from that peer";
   answers(8, "whole", false, {5, 10});
-  f.mirror->list->body = "";  // as a peer that is asked from then answers
+  f.mirror->list->body = "";  // as a peer answers a request from its own cursor
   f.RunFor(milliseconds(60));
   EXPECT_EQ(f.mirror->asked_from, (ListCursor{5, 10}));
-  // What changed may be of no new version: what lapsed was dropped.
+  // Changes need not have a new version: a lapsed entry was dropped.
   answers(8, "changes", true, {5, 11});
   f.mirror->list = {8, 0, "", false, {5, 11}};
   f.RunFor(milliseconds(60));
   EXPECT_EQ(f.mirror->asked_from, (ListCursor{5, 11}));
   EXPECT_EQ(f.bodies.front(), "whole");
   EXPECT_EQ(f.bodies.back(), "changes");
-  // It has a newer list from elsewhere: older changes are not taken, and the
-  // peer's moment means nothing any more.
+  // The box has a newer list from elsewhere: older changes are not applied, and
+  // the peer's cursor is void.
   f.list_version = 9;
   const size_t taken = f.bodies.size();
   answers(8, "older", true, {5, 12});
--- a/pinford/testing/prefix_mirror_test.cc
+++ b/pinford/testing/prefix_mirror_test.cc
@@ -1,5 +1,5 @@
-// Mirrors of the store: that a copy is complete, and that its proof never
-// claims more than is true, whatever the store does.
+// PrefixMirror: the copy is complete, and its freshness is never overstated,
+// whatever the store does.
 
 #include "pinford/forwarding/prefix_mirror.h"
 
@@ -14,19 +14,18 @@
 namespace pinford {
 namespace {
 
-// A store with watches, whose answers can be lost, late or refused, and which
-// can forget its history. Its watches may hear nothing for a while, for up to
-// a second as the platform says; then the history is forgotten too. It can go
-// back to a copy; answers of before that come later are dropped, and a watch
-// from before ends as one whose history is forgotten, as the platform's adapter
-// has it.
+// Store with watches, whose answers can be lost, late or refused, and which can
+// compact its history. Its watches may miss changes for up to a second, as the
+// platform documents; the history is compacted then. It can be restored from a
+// backup: answers from before that arrive later are dropped, and an older watch
+// ends as if its history were compacted, as in the platform's adapter.
 class FakePrefixStore {
  public:
   FakePrefixStore(PausedClock* clock, uint64_t seed)
       : clock_(clock), random_(seed) {}
 
-  double lost_share = 0;     // share of answers that never come
-  double late_share = 0;     // share that come 0.5 to 3 s late
+  double lost_share = 0;     // share of answers that never arrive
+  double late_share = 0;     // share that arrive 0.5 to 3 s late
   double refused_share = 0;  // share of calls that are refused
   int64_t calls = 0;
 
@@ -50,7 +49,7 @@
     clock_->After(d, [this] { CompactHistory(); });
   }
   bool watches_stalled() const { return watches_stalled_; }
-  // Goes back to what it held `n` changes ago.
+  // Restores the contents of `n` changes ago.
   void Restore(size_t n) {
     const Copy copy = copies_[copies_.size() - 1 - n];
     copies_.resize(copies_.size() - n);
@@ -63,7 +62,7 @@
     watches_stalled_ = false;
   }
   size_t copies() const { return copies_.size(); }
-  StoreEra era;  // that the mirror's box knows of
+  StoreEra era;  // as known to the mirror's box
   std::map<std::string, std::string> Values() const {
     std::map<std::string, std::string> out;
     for (const auto& [key, item] : items_) out[key] = item.value;
@@ -84,7 +83,7 @@
   void WatchPrefix(const std::string&, StoreRevision since, Duration d,
                    PrefixCallback fn) {
     calls++;
-    // Looks each 50 ms, as a waiting watch would be woken.
+    // Polls every 50 ms to simulate a watch that is woken.
     Wait(since, clock_->now() + d, std::move(fn));
   }
 
@@ -107,7 +106,7 @@
     }
     Answer(Duration(0), fn, [this, since, has_changes] {
       PrefixResult r;
-      // Since it was looked at, 2 ms ago.
+      // The state may have changed since the check 2 ms ago.
       if (since.era() < revision_.era() || since < compacted_) {
         r.status = StoreStatus::kForgotten;
         return r;
@@ -148,7 +147,8 @@
     }
     const bool lost = Chance(lost_share);
     const bool is_late = Chance(late_share);
-    // What is answered is as of the call's arrival, however late it comes.
+    // The answer reflects the arrival of the call, however late it is
+    // delivered.
     clock_->After(milliseconds(2), [=, this] {
       const PrefixResult r = effect();
       if (lost) return;
@@ -172,7 +172,7 @@
 
 static_assert(PrefixStore<FakePrefixStore>);
 
-// A mirror and its copy.
+// A mirror together with its copy of the contents.
 struct MirroredCopy {
   MirroredCopy(FakePrefixStore* store, PausedClock* clock,
                const PrefixMirrorOptions& options = {})
@@ -265,8 +265,8 @@
   EXPECT_TRUE(m.reachable);
 }
 
-// A store that falls silent and is slow when it is back: its return is noticed
-// after a pause and its answer, whatever a lone call would have waited.
+// The store stops answering and is slow when it recovers: recovery is noticed
+// after one retry delay and one answer, whatever the timeout of a single call.
 TEST(PrefixMirror, NoticesTheReturnOfASilentStoreSoon) {
   for (int after = 0; after < 2000; after += 37) {
     PausedClock clock;
@@ -295,7 +295,7 @@
   clock.Advance(seconds(1));
   store.lost_share = 1;
   clock.Advance(seconds(4));
-  // Answers come back 0.5 to 3 s late: one of several counts.
+  // Answers arrive 0.5 to 3 s late, and any of several is accepted.
   store.lost_share = 0;
   store.late_share = 1;
   clock.Advance(milliseconds(3300));
@@ -330,7 +330,7 @@
   EXPECT_EQ(store.calls, 1);
   EXPECT_TRUE(m.reachable);
 
-  // One that gets no answer ends, and the next may begin.
+  // A read without an answer ends, and the next may start.
   store.lost_share = 1;
   m.mirror.Look();
   clock.Advance(seconds(5));
@@ -342,7 +342,7 @@
   clock.Advance(milliseconds(100));
   EXPECT_EQ(m.copy, store.Values());
 
-  // A look that is under way becomes the mirror's first list.
+  // An outstanding read becomes the first list of the mirror.
   m.mirror.Look();
   m.mirror.Start();
   clock.Advance(milliseconds(100));
@@ -352,9 +352,9 @@
   EXPECT_EQ(m.copy, store.Values());
 }
 
-// Random schedules: at each moment the copy must hold whatever had been
-// written by the proof, or something newer. The store is deaf for at most
-// a second, as the platform says.
+// Random schedules: at each step the copy must hold what had been written by
+// the freshness time, or something newer. Watches miss changes for at most a
+// second, as the platform documents.
 TEST(PrefixMirror, FreshnessIsNeverOverstated) {
   for (int seed = 0; seed < 300; seed++) {
     PausedClock clock;
@@ -362,7 +362,7 @@
     FakePrefixStore store(&clock, seed + 1000);
     MirroredCopy m(&store, &clock);
     m.mirror.Start();
-    // The number that was the newest from a time on.
+    // The newest number written, by the time from which it was so.
     std::map<Time, int> newest = {{Time{}, 0}};
     int written = 0;
     for (int step = 0; step < 600; step++) {
@@ -393,7 +393,7 @@
       const int copied = it == m.copy.end() ? 0 : std::stoi(it->second);
       ASSERT_GE(copied, expected) << seed << " at step " << step;
     }
-    // Whatever went wrong, it ends up right.
+    // After the faults end, the copy becomes correct.
     store.lost_share = store.late_share = store.refused_share = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
@@ -401,9 +401,9 @@
   }
 }
 
-// The store comes back from a copy, and the revisions of what was lost are
-// given out again: what lies between is not missed, and the mirror is soon
-// right.
+// The store is restored from a backup, and the revisions of the lost changes
+// are issued again: no change in between is missed, and the mirror soon is
+// correct.
 TEST(PrefixMirror, TheCopyFollowsARestoredStore) {
   for (size_t lost = 0; lost < 4; lost++) {
     for (size_t written = 0; written < 6; written++) {
@@ -426,8 +426,9 @@
   }
 }
 
-// As above, with restores, two in a row among them. Contents come again after
-// one: what the copy holds must have been there at the proof, or later.
+// As above, with restores, including two in a row. Contents recur after a
+// restore: what the copy holds must have been present at the freshness time, or
+// later.
 TEST(PrefixMirror, FreshnessIsNeverOverstatedAcrossRestores) {
   int restores = 0;
   for (int seed = 0; seed < 300; seed++) {
@@ -437,11 +438,11 @@
     MirroredCopy m(&store, &clock);
     m.mirror.Start();
     using Content = std::map<std::string, std::string>;
-    // When each content was there last.
+    // When each content was last present.
     std::map<Content, Time> last_present = {{{}, clock.now()}};
     int written = 0;
     for (int step = 0; step < 600; step++) {
-      // What is there until now.
+      // The content present until now.
       clock.Advance(milliseconds(20 + random() % 60));
       last_present[store.Values()] = clock.now();
       switch (random() % 24) {
--- a/pinford/testing/send_budget_test.cc
+++ b/pinford/testing/send_budget_test.cc
@@ -1,4 +1,4 @@
-// What a box may send of what is large, and when.
+// SendBudget: bursts and rate.
 
 #include "pinford/forwarding/send_budget.h"
 
@@ -15,9 +15,9 @@
   SendBudget budget;
   for (int i = 0; i < 3; i++) EXPECT_TRUE(budget.Take(kStart, 100'000));
   EXPECT_FALSE(budget.Take(kStart, 100'000));
-  EXPECT_FALSE(budget.Take(kStart, 1)) << "however little";
+  EXPECT_FALSE(budget.Take(kStart, 1)) << "even one byte";
   EXPECT_TRUE(budget.Take(kStart + milliseconds(1), 100'000));
-  // What that took beyond what was there is waited for.
+  // The overdraft has to be refilled first.
   EXPECT_FALSE(budget.Take(kStart + milliseconds(70), 100'000));
   EXPECT_TRUE(budget.Take(kStart + milliseconds(85), 100'000));
 }
@@ -29,7 +29,8 @@
   EXPECT_TRUE(budget.Take(kStart + seconds(2), 2'000'000));
 }
 
-// In any span: the burst, the rate, and one that was begun.
+// In any interval: at most the burst, the rate, and one message that was
+// started.
 TEST(SendBudget, KeepsToTheRateInAnyInterval) {
   std::minstd_rand random(1);
   SendBudget budget;
--- a/pinford/testing/store_duty_test.cc
+++ b/pinford/testing/store_duty_test.cc
@@ -1,7 +1,7 @@
-// Calls to the platform's store: a fleet of many boxes on a paused clock, with
-// the real ranks, questions between boxes, mirrors and duties. Whatever fails,
-// the calls are bounded by the number of halls, and who is served by the store
-// or reaches a box that is keeps a fresh proof.
+// Calls to the platform's store by a fleet of many boxes on a paused clock,
+// with the real ranking, peer requests, mirrors and tasks. Whatever fails, the
+// calls are bounded by the number of halls, and a box stays fresh if the store
+// answers it or it reaches a box that the store answers.
 
 #include <gtest/gtest.h>
 
@@ -31,11 +31,8 @@
                            return std::to_string(info.param.boxes) + "Boxes";
                          });
 
-// Watches of a second, and a list each at the start; before the ranks are known
-// the seeds mirror.
-// All boxes lose power, and the seeds come back last. Who is asked by a caller
-// has something to answer with soon after, for one call a box; who is not asked
-// makes none.
+// All boxes lose power, and the seeds come back last. A box that a caller waits
+// for has documents soon after, for one call per box; the others make no calls.
 TEST_P(StoreCalls, WhereCallersComeBeforeTheSeeds) {
   for (int i = 0; i < kSeeds; i++) fleet_.Kill(i);
   const int asked = fleet_.size() / 2;
@@ -48,8 +45,8 @@
   }
 }
 
-// Who mirrors the store lists again, once or twice; all others hear of it from
-// them, and nobody lacks a proof meanwhile.
+// Boxes that mirror the store list again, once or twice; all others get the
+// result from them, and none becomes stale meanwhile.
 TEST_P(StoreCalls, WhenTheStoreComesBackFromACopy) {
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
@@ -57,7 +54,7 @@
     fleet_.store.Restore();
     if (round == 2) fleet_.store.Restore();
     const int64_t calls = fleet_.Run(milliseconds(2200));
-    // Three of them are what a quiet hall calls in that time.
+    // Three of them are the regular calls of a hall in that time.
     EXPECT_LE(calls, 6 * halls()) << round;
     for (int i = 0; i < fleet_.size(); i++) {
       EXPECT_EQ(fleet_.at(i).list(), fleet_.store.revision.packed())
@@ -68,8 +65,8 @@
   EXPECT_EQ(fleet_.Lacking(All), 0);
 }
 
-// A box that the store does not answer, and one that reaches no other box but
-// those of its hall: the earlier era's list convinces nobody.
+// The store does not answer one box, which gets the restored list from its
+// peers: the list of the earlier era convinces no box.
 TEST_P(StoreCalls, BoxesCutOffFromTheRestoredStoreFollowTheirPeers) {
   fleet_.Run(seconds(10));
   const int cut = fleet_.MirrorBoxes()[0];
@@ -85,8 +82,8 @@
   }
 }
 
-// An endpoint goes as the boxes that mirror the list are lost, killed or
-// without power: all others know within 1.5 s, which leaves half a second of
+// An endpoint is removed while the boxes that mirror the list are lost, killed
+// or without power: all others know within 1.5 s, which leaves half a second of
 // the two in which it may still get work.
 TEST_P(StoreCalls, AChangeIsKnownSoonThoughMirrorsAreLost) {
   const int step = GetParam().boxes > 100 ? 400 : 100;
@@ -107,6 +104,8 @@
   }
 }
 
+// Watches of one second, and a list each at the start; until the ranks are
+// known, the seeds mirror.
 TEST_P(StoreCalls, AtStartup) {
   const int64_t calls = fleet_.Run(seconds(10));
   EXPECT_LE(calls, 15 * halls() + 15 * kSeeds);
@@ -123,7 +122,7 @@
   EXPECT_EQ(fleet_.Lacking(All), 0);
 }
 
-// A first of a hall that is gone, cut off or turned away, alone.
+// The primary of each hall is killed.
 TEST_P(StoreCalls, WhenMirrorsAreLost) {
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
@@ -150,7 +149,8 @@
   }
 }
 
-// Half of all boxes, drawn: somebody near a mirror is served.
+// The store ignores a random half of all boxes; every box still reaches one
+// that the store answers.
 TEST_P(StoreCalls, WhenTheStoreIgnoresHalfTheBoxes) {
   using Serves = FleetStore::Serves;
   fleet_.Run(seconds(10));
@@ -171,7 +171,7 @@
   fleet_.store.serves = [](int) { return Serves::kSilent; };
   EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
   fleet_.store.serves = [](int) { return Serves::kAnswers; };
-  // All have a proof again a second and a half after its return.
+  // All are fresh again 1.5 s after its recovery.
   fleet_.Run(milliseconds(1500));
   fleet_.Lacking(All);
   fleet_.Run(seconds(5));
@@ -187,7 +187,7 @@
   EXPECT_EQ(fleet_.Lacking(All), 0);
 }
 
-// Boxes come back within 0.3 s, the seeds last: callers are refused until a box
+// Boxes restart within 0.3 s, the seeds last: callers are refused until a box
 // has its documents.
 TEST_P(StoreCalls, AfterARestartOfAllBoxesDocumentsAreThereSoon) {
   fleet_.Run(seconds(10));
@@ -210,11 +210,11 @@
   }
 }
 
-// Ten runners a box, so that at 300 boxes the list has 100 KB. All boxes are
-// killed and ask for it at once: links of 20 Mbit/s were full for 14 s more of
-// answers to questions that had been asked again elsewhere meanwhile. Nine in
-// ten boxes are to serve again within two seconds; those that lack the list
-// when three have passed would count as in touch without it.
+// Ten runners per box, so that the list has 100 KB at 300 boxes. All boxes are
+// killed and request it together: links of 20 Mbit/s used to be busy for
+// another 14 s with answers to requests that had been repeated elsewhere
+// meanwhile. Nine in ten boxes must serve again within two seconds; those that
+// lack the list after three would count as connected without it.
 TEST_P(StoreCalls, AfterARestartOfAllBoxesTheListIsThereSoon) {
   fleet_.list_bytes = 340 * fleet_.size();
   fleet_.Run(seconds(10));
@@ -230,12 +230,12 @@
   EXPECT_EQ(lacking(), 0);
   for (int i = 0; i < fleet_.size(); i++) {
     const Duration full = fleet_.at(i).link_free - fleet_.clock.now();
-    EXPECT_LE(full, milliseconds(150)) << "what waits for its link, " << i;
+    EXPECT_LE(full, milliseconds(150)) << "bytes queued for its link, " << i;
   }
 }
 
-// Who plans the pools is the last of its hall, and its peers are busy handing
-// the list on: it has each change at once all the same.
+// The planner is the last of its hall, and its peers are busy distributing the
+// list: it receives each change at once all the same.
 TEST_P(StoreCalls, WhoPlansHasTheListAtOnce) {
   fleet_.list_bytes = 340 * fleet_.size();
   fleet_.Run(seconds(10));
@@ -251,7 +251,7 @@
   }
 }
 
-// A hall that reaches the store but no other hall.
+// One hall reaches the store but no other hall.
 TEST_P(StoreCalls, WhenAHallIsIsolated) {
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
@@ -262,7 +262,7 @@
   EXPECT_EQ(fleet_.Lacking(All), 0);
 }
 
-// Single boxes that reach the store but nobody else.
+// A single box reaches the store but no other box.
 TEST_P(StoreCalls, WhenABoxIsIsolated) {
   fleet_.Run(seconds(10));
   fleet_.Lacking(All);
@@ -274,9 +274,9 @@
   EXPECT_EQ(fleet_.Lacking(All), 0);
 }
 
-// The store turns all away that rank near the top of their hall, and serves
-// one box somewhere: its proof reaches its own hall by digests, which are not
-// played here, and looks stay bounded.
+// The store refuses all highly ranked boxes and answers a single low-ranked
+// one: its freshness reaches its own hall by digests, which are not simulated
+// here, and single reads stay bounded.
 TEST_P(StoreCalls, WhenOnlyOneBoxIsServed) {
   using Serves = FleetStore::Serves;
   fleet_.Run(seconds(10));
--- a/pinford/testing/whole_list_test.cc
+++ b/pinford/testing/whole_list_test.cc
@@ -1,4 +1,4 @@
-// Who gets the list that was made, and when it is made anew.
+// FullListCache: which peers get the cached list, and when it is rebuilt.
 
 #include "pinford/forwarding/whole_list.h"
 
@@ -26,19 +26,18 @@
     uint64_t above;
     bool usable;
   } cases[] = {
-      {"of the same state, however old", milliseconds(1), seconds(60), 40, 7,
+      {"same state, however old", milliseconds(1), seconds(60), 40, 7, true},
+      {"the peer has it", milliseconds(1), Duration(0), 40, 8, false},
+      {"the peer has a later one", milliseconds(1), Duration(0), 40, 9, false},
+      {"quick build, just built", milliseconds(1), milliseconds(3), 41, 7,
        true},
-      {"the asker has it", milliseconds(1), Duration(0), 40, 8, false},
-      {"the asker has a later one", milliseconds(1), Duration(0), 40, 9, false},
-      {"short to make, of a moment ago", milliseconds(1), milliseconds(3), 41,
-       7, true},
-      {"short to make", milliseconds(1), milliseconds(4), 41, 7, false},
-      {"long to make, of a moment ago", milliseconds(100), milliseconds(399),
-       41, 7, true},
-      {"long to make", milliseconds(100), milliseconds(400), 41, 7, false},
-      {"longer", milliseconds(900), milliseconds(499), 41, 7, true},
-      {"longer, but nobody waits so long", milliseconds(900), milliseconds(500),
-       41, 7, false},
+      {"quick build", milliseconds(1), milliseconds(4), 41, 7, false},
+      {"slow build, just built", milliseconds(100), milliseconds(399), 41, 7,
+       true},
+      {"slow build", milliseconds(100), milliseconds(400), 41, 7, false},
+      {"slower build", milliseconds(900), milliseconds(499), 41, 7, true},
+      {"slower build, maximum interval reached", milliseconds(900),
+       milliseconds(500), 41, 7, false},
   };
   for (const auto& c : cases) {
     EXPECT_EQ(
@@ -46,12 +45,12 @@
         c.usable)
         << c.name;
   }
-  EXPECT_FALSE(FullListCache().IsUsable(kBuiltAt, 0, 0)) << "none was made";
+  EXPECT_FALSE(FullListCache().IsUsable(kBuiltAt, 0, 0)) << "none was built";
 }
 
-// A hundred boxes that start together ask a box on which 3,000 entries change
-// within three seconds, and for which making the list takes 250 ms. They were
-// served one by one, 25 s in all, each with a list of its own.
+// A hundred boxes that start together request the list from a box on which
+// 3,000 entries change within three seconds, and which takes 250 ms to build
+// it. Guards against a separate build for each, which took 25 s in all.
 TEST(FullListCache, RebuildsForManyPeersTakeAThirdOfTheTime) {
   constexpr int kPeers = 100;
   const Duration build_time = milliseconds(250);
