--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -50,9 +50,9 @@
   ForwardingBox(const Settings& settings, EventLoop* loop)
       : core_(settings, loop, P::Protocol()),
         store_(core_.http(), settings.store, core_.store_era(),
-               [this] { CountCall(StoreTaskName(calling_for_)); }),
+               [this] { CountStoreCall(StoreTaskName(call_reason_)); }),
         planner_store_(core_.http(), settings.store, core_.store_era(),
-                       [this] { CountCall("planner"); }),
+                       [this] { CountStoreCall("planner"); }),
         runners_(core_.http()),
         configuration_(&store_, loop, P::ConfigurationPrefix(),
                        ConfigurationOptions(), ConfigurationEvents()),
@@ -73,18 +73,18 @@
 
   bool Start(std::string* error) {
     if (!core_.Start(error)) return false;
-    core_.set_reader([](std::string_view text) {
+    core_.set_configuration_parser([](std::string_view text) {
       Findings findings;
       std::optional<ServiceConfiguration> c =
           P::ReadConfiguration(text, &findings);
-      NoteFindings(findings);
+      LogFindings(findings);
       return c;
     });
-    ServeRequests();
-    core_.set_follow_duty([this] { FollowDuty(); });
-    FollowDuty();
-    core_.loop()->Every(kDutyLook, [this] { FollowDuty(); });
-    planner_.Start(kFirstPlan);
+    InstallRunnerCalls();
+    core_.set_update_store_task([this] { UpdateStoreTask(); });
+    UpdateStoreTask();
+    core_.loop()->Every(kTaskInterval, [this] { UpdateStoreTask(); });
+    planner_.Start(kFirstPlanDelay);
     return true;
   }
   void BeginStop() { core_.BeginStop(); }
@@ -92,61 +92,64 @@
 
  private:
   // The store's first answers are there by then.
-  static constexpr milliseconds kFirstPlan{500};
+  static constexpr milliseconds kFirstPlanDelay{500};
 
-  static constexpr milliseconds kDutyLook{100};
+  static constexpr milliseconds kTaskInterval{100};
   // Between calls of a box that stands in, once the store fails it too: the
   // first of the hall tries four times as often, and is asked.
-  static constexpr milliseconds kStandInRetry{1000};
+  static constexpr milliseconds kStandbyRetryDelay{1000};
 
   // A runner answers at once, in an idle hall within 3 ms; lost packets are
   // sent again after 200 ms, which is too late to be of use here.
-  static constexpr milliseconds kAskLimit{30};
-  static constexpr milliseconds kRerouteLimit{100};
+  static constexpr milliseconds kProbeTimeout{30};
+  static constexpr milliseconds kRerouteTimeout{100};
 
-  void ServeRequests() {
-    core_.parts()->ask = [this](const std::string& id,
-                                std::function<void(RunnerHealth)> fn) {
-      Ask(id, std::move(fn));
-    };
-    core_.parts()->reroute =
+  void InstallRunnerCalls() {
+    core_.forward_context()->ask =
+        [this](const std::string& id, std::function<void(RunnerHealth)> fn) {
+          ProbeRunner(id, std::move(fn));
+        };
+    core_.forward_context()->reroute =
         [this](const Address& entry, const std::string& request,
                const std::vector<AddressedStage>& chain, RerouteHandler fn) {
-          runners_.Reroute(entry, request, chain, kRerouteLimit, std::move(fn));
+          runners_.Reroute(entry, request, chain, kRerouteTimeout,
+                           std::move(fn));
         };
   }
 
-  void Ask(const std::string& id, std::function<void(RunnerHealth)> fn) {
+  void ProbeRunner(const std::string& id,
+                   std::function<void(RunnerHealth)> fn) {
     const DirectoryEntry* entry = core_.directory()->Find(id);
     if (entry == nullptr || !entry->runner) {
       fn({});
       return;
     }
     const LayerRange listed = entry->runner->holds;
-    const uint64_t life = entry->listed.incarnation;
+    const uint64_t incarnation = entry->listed.incarnation;
     runners_.Report(
-        entry->listed.address, kAskLimit,
-        [this, id, listed, life,
+        entry->listed.address, kProbeTimeout,
+        [this, id, listed, incarnation,
          fn = std::move(fn)](const RunnerAnswer& answer) {
-          fn(HealthOf(listed, life, answer));
+          fn(HealthOf(listed, incarnation, answer));
           const std::optional<RunnerReport>& r = answer.report;
           if (!r) return;
-          const bool news =
-              r->state.leaving || IsNewLife(life, r->state.incarnation);
-          if (!news) return;
+          const bool changed =
+              r->state.leaving || IsNewLife(incarnation, r->state.incarnation);
+          if (!changed) return;
           core_.directory()->OnRunnerState(core_.loop()->now(), id, r->state);
         });
   }
 
   // Mirrors the store or looks at it, as StoreDuty says.
-  void FollowDuty() {
-    const StoreTask task = core_.StoreTaskNow(planner_.planning());
-    if (task != StoreTask::kNone) calling_for_ = task;
-    core_.set_store_fails(Mirrors(task) && configuration_.failing());
+  void UpdateStoreTask() {
+    const StoreTask task = core_.ChooseStoreTask(planner_.planning());
+    if (task != StoreTask::kNone) call_reason_ = task;
+    core_.set_store_failing(Mirrors(task) && configuration_.failing());
     if (Mirrors(task)) {
-      const bool first = task == StoreTask::kMirror;
-      configuration_.set_most_retry(
-          first ? ConfigurationOptions().max_retry_delay : kStandInRetry);
+      const bool primary = task == StoreTask::kMirror;
+      configuration_.set_most_retry(primary
+                                        ? ConfigurationOptions().max_retry_delay
+                                        : kStandbyRetryDelay);
       configuration_.Start();
       endpoints_.Start();
       return;
@@ -156,7 +159,7 @@
     if (task == StoreTask::kLook) configuration_.Look();
   }
 
-  void CountCall(std::string_view reason) {
+  void CountStoreCall(std::string_view reason) {
     core_.metrics()->Count("store_calls",
                            "reason=\"" + std::string(reason) + "\"");
   }
@@ -193,15 +196,15 @@
     return options;
   }
 
-  static void NoteFindings(const Findings& findings) {
+  static void LogFindings(const Findings& findings) {
     for (const Finding& f : findings.list()) {
       LogEvent(LogPart::kConfig, LogLevel::kError, "unreadable",
                LogFields().Add("place", f.file).Add("why", f.text));
     }
   }
 
-  static void NoteReachable(std::string_view mirror, bool reachable,
-                            StoreStatus why) {
+  static void LogReachability(std::string_view mirror, bool reachable,
+                              StoreStatus why) {
     LogEvent(
         LogPart::kBox, reachable ? LogLevel::kInfo : LogLevel::kWarn,
         reachable ? "store_regained" : "store_lost",
@@ -211,22 +214,24 @@
   PrefixMirrorEvents ConfigurationEvents() {
     PrefixMirrorEvents events;
     events.on_list = [this](const PrefixResult& r) {
-      TakeConfiguration(r);
+      ApplyConfiguration(r);
       // The store answers: a look at the list is worth its call.
       if (!Mirrors(core_.store_task())) endpoints_.Look();
     };
-    events.on_changes = [this](const PrefixResult& r) { TakeConfiguration(r); };
+    events.on_changes = [this](const PrefixResult& r) {
+      ApplyConfiguration(r);
+    };
     events.on_proof = [this](Time proof) {
-      core_.OnProof(DocumentKind::kConfiguration, proof);
+      core_.OnFreshness(DocumentKind::kConfiguration, proof);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
-      NoteReachable("configuration", reachable, why);
+      LogReachability("configuration", reachable, why);
       if (reachable) endpoints_.RetryNow();
     };
     return events;
   }
 
-  void TakeConfiguration(const PrefixResult& r) {
+  void ApplyConfiguration(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
       if (item.key != P::ConfigurationKey() || item.gone) continue;
       core_.OnStoreConfiguration(item.value);
@@ -235,32 +240,33 @@
 
   PrefixMirrorEvents EndpointEvents() {
     PrefixMirrorEvents events;
-    events.on_list = [this](const PrefixResult& r) { TakeList(r); };
-    events.on_changes = [this](const PrefixResult& r) { TakeChanges(r); };
+    events.on_list = [this](const PrefixResult& r) { ApplyList(r); };
+    events.on_changes = [this](const PrefixResult& r) { ApplyChanges(r); };
     events.on_proof = [this](Time proof) {
-      core_.OnProof(DocumentKind::kEndpoints, proof);
+      core_.OnFreshness(DocumentKind::kEndpoints, proof);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
-      NoteReachable("endpoints", reachable, why);
+      LogReachability("endpoints", reachable, why);
       if (reachable) core_.directory()->OnStoreBack(core_.loop()->now());
     };
     return events;
   }
 
-  std::optional<DirectoryEntry> ReadEntry(const StoreItem& item) {
+  std::optional<DirectoryEntry> ParseEntry(const StoreItem& item) {
     Findings findings;
     std::optional<DirectoryEntry> entry =
         P::ReadEndpoint(item.key, item.value, &findings);
-    for (const Finding& f : findings.list()) core_.OnPassedOver(f.file, f.text);
+    for (const Finding& f : findings.list())
+      core_.OnRejectedEntry(f.file, f.text);
     return entry;
   }
 
-  void TakeList(const PrefixResult& r) {
+  void ApplyList(const PrefixResult& r) {
     std::vector<DirectoryEntry> entries;
     std::vector<std::string> unreadable;
     entries.reserve(r.items.size());
     for (const StoreItem& item : r.items) {
-      if (auto entry = ReadEntry(item)) {
+      if (auto entry = ParseEntry(item)) {
         entries.push_back(std::move(*entry));
       } else {
         unreadable.push_back(P::EndpointIdOf(item.key));
@@ -270,12 +276,12 @@
     if (!r.items.empty()) core_.OnListVersion(r.at);
   }
 
-  void TakeChanges(const PrefixResult& r) {
+  void ApplyChanges(const PrefixResult& r) {
     const Time now = core_.loop()->now();
     for (const StoreItem& item : r.items) {
       if (item.gone) {
         core_.directory()->OnGone(now, P::EndpointIdOf(item.key));
-      } else if (auto entry = ReadEntry(item)) {
+      } else if (auto entry = ParseEntry(item)) {
         core_.directory()->OnEntry(now, *entry);
       } else {
         core_.directory()->OnUnreadable(now, P::EndpointIdOf(item.key));
@@ -332,7 +338,7 @@
   PrefixMirror<typename P::StoreClient, EventLoop> endpoints_;
   PoolPlanner<typename P::StoreClient, typename P::RunnerClient, EventLoop>
       planner_;
-  StoreTask calling_for_ = StoreTask::kLook;  // what calls are counted under
+  StoreTask call_reason_ = StoreTask::kLook;  // what calls are counted under
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -11,26 +11,26 @@
 
 // The proof must hold when a request reaches its endpoint, not only when it
 // leaves; a connection that has to be made first takes some of the time.
-static constexpr milliseconds kProofMargin{300};
+static constexpr milliseconds kFreshnessMargin{300};
 // Before the end of the grace period: what is unfinished is given up then.
-static constexpr milliseconds kStopMargin{400};
+static constexpr milliseconds kAbortMargin{400};
 // ... and what callers are told of it has been written.
 static constexpr milliseconds kExitMargin{250};
 // For the request of a connection that was opened just now.
-static constexpr milliseconds kFirstRequest{500};
+static constexpr milliseconds kFirstRequestGrace{500};
 // The last time before the end of the grace period that callers may connect.
-static constexpr milliseconds kLastConnections{1200};
+static constexpr milliseconds kStopListeningMargin{1200};
 // Answers may still be on their way out of connections that were closed.
-static constexpr milliseconds kQuiet{500};
+static constexpr milliseconds kQuietPeriod{500};
 
 // A delay of the process's own that is told: as long as the shortest silence of
 // an endpoint that is acted on.
-static constexpr milliseconds kHeldUp{60};
+static constexpr milliseconds kMinLoggedDelay{60};
 
 // Entries that are passed over are told so many times in a span: one that
 // cannot be read comes again with each of its heartbeats and each list.
-static constexpr int kMostPassedOver = 20;
-static constexpr seconds kPassedOverSpan{60};
+static constexpr int kMaxLoggedRejections = 20;
+static constexpr seconds kRejectionLogInterval{60};
 
 ForwardingCore::ForwardingCore(const Settings& settings, EventLoop* loop,
                                ForwardProtocol protocol)
@@ -44,8 +44,8 @@
       directory_(&table_, EndpointDirectory::Options(), DirectoryEvents()),
       retries_(loop->now(), RetryShareOptions(settings, settings.off)),
       loans_(&retries_, RetryLoans::Options(), SeededRandom()),
-      news_(FailureNews::Options()),
-      parts_{
+      failure_gossip_(FailureNews::Options()),
+      forward_context_{
           loop,
           &upstream_,
           &table_,
@@ -57,8 +57,8 @@
           [this](const std::string& service, const std::string& hall) {
             return policy_.HallWeight(service, hall);
           },
-          [this] { return ProofHolds(); },
-          [this] { return ProofAge(); },
+          [this] { return IsFresh(); },
+          [this] { return FreshnessAge(); },
           {},
           [this] { OnCallerWaiting(); },
           [this](const std::string& endpoint) { OnRunnerDown(endpoint); },
@@ -67,15 +67,16 @@
           },
           {},
           settings.off},
-      forwarder_(&parts_),
+      forwarder_(&forward_context_),
       membership_(SelfRow(settings, WallMillis()), settings.seeds,
                   MembershipOptions(settings), SeededRandom()),
       gossip_(loop, &membership_, settings.peer_key, PeerHandlers()),
-      roster_(&membership_, SourceRoster::Options()),
-      duty_(loop->now(), IsSeed(), StoreDuty::Options(), SeededRandom()),
-      source_(loop, &membership_, &roster_, membership_.other_seeds(),
-              gossip_.link(), SeededRandom(), PeerSourceOptions(),
-              SourceEvents()),
+      source_selector_(&membership_, SourceRoster::Options()),
+      task_selector_(loop->now(), IsSeed(), StoreDuty::Options(),
+                     SeededRandom()),
+      peer_source_(loop, &membership_, &source_selector_,
+                   membership_.other_seeds(), gossip_.link(), SeededRandom(),
+                   PeerSourceOptions(), SourceEvents()),
       callers_(loop, CallerServerLimits(settings),
                [this](EntryPtr e) { forwarder_.Handle(std::move(e)); }),
       operators_(loop, HttpServer::Options(),
@@ -84,7 +85,7 @@
                  [this](const ExchangePtr& e) {
                    e->Reply(ready() ? 200 : 503, "text/plain", "");
                  }),
-      peers_first_(loop->now(), !membership_.other_seeds().empty()) {}
+      startup_check_(loop->now(), !membership_.other_seeds().empty()) {}
 
 ForwardingCore::~ForwardingCore() = default;
 
@@ -110,7 +111,7 @@
              LogFields().Add("endpoint", id));
     upstream_.Forget(id);
     forwarder_.ForgetEndpoint(id);
-    endpoint_went_ = true;
+    endpoint_removed_ = true;
   };
   events.on_new_life = [this](const DirectoryEntry& e, uint64_t before) {
     LogEvent(LogPart::kEndpoints, LogLevel::kWarn, "endpoint_started_anew",
@@ -123,7 +124,7 @@
     forwarder_.OnNewLife(e.listed.name);
   };
   events.on_passed_over = [this](const std::string& id, std::string_view why) {
-    OnPassedOver(id, why);
+    OnRejectedEntry(id, why);
   };
   events.on_holds = [](const DirectoryEntry& e, const LayerRange& before) {
     LogEvent(LogPart::kEndpoints, LogLevel::kInfo, "endpoint_holds",
@@ -137,13 +138,14 @@
   return events;
 }
 
-void ForwardingCore::OnPassedOver(const std::string& place,
-                                  std::string_view why) {
+void ForwardingCore::OnRejectedEntry(const std::string& place,
+                                     std::string_view why) {
   metrics_.Count("entries_passed_over_total");
   const Time now = loop_->now();
-  if (now >= passed_over_next_) passed_over_told_ = 0;
-  if (passed_over_told_++ == 0) passed_over_next_ = now + kPassedOverSpan;
-  if (passed_over_told_ > kMostPassedOver) return;
+  if (now >= rejection_log_reset_) rejections_logged_ = 0;
+  if (rejections_logged_++ == 0)
+    rejection_log_reset_ = now + kRejectionLogInterval;
+  if (rejections_logged_ > kMaxLoggedRejections) return;
   LogEvent(LogPart::kEndpoints, LogLevel::kError, "entry_passed_over",
            LogFields().Add("place", place).Add("why", why));
 }
@@ -190,10 +192,10 @@
   settings_.stop_at_latest = settings.stop_at_latest;
   settings_.stop_listening_after = settings.stop_listening_after;
   retries_.set_options(RetryShareOptions(settings, settings_.off));
-  const bool same_places = settings.callers == settings_.callers &&
-                           settings.store == settings_.store;
+  const bool addresses_unchanged = settings.callers == settings_.callers &&
+                                   settings.store == settings_.store;
   LogEvent(LogPart::kBox, LogLevel::kInfo, "settings_reloaded",
-           LogFields().Add("addresses_kept", !same_places));
+           LogFields().Add("addresses_kept", !addresses_unchanged));
 }
 
 // --- what the box believes -------------------------------------------------
@@ -202,9 +204,9 @@
                                      std::string_view from) {
   const uint64_t hash = Hash64(text);
   if (configuration_ != nullptr && hash == configuration_hash_) return true;
-  std::optional<ServiceConfiguration> read = read_(text);
-  if (!read) return false;
-  ServiceConfiguration& c = *read;
+  std::optional<ServiceConfiguration> parsed = parse_(text);
+  if (!parsed) return false;
+  ServiceConfiguration& c = *parsed;
   const uint64_t before = configuration_ ? configuration_->version : 0;
   if (c.version <= before) {
     if (c.version < before) {
@@ -214,7 +216,7 @@
     return true;
   }
   configuration_hash_ = hash;
-  configuration_packed_ = Deflate(text);
+  compressed_configuration_ = Deflate(text);
   EntryServer::Limits limits = CallerServerLimits(settings_);
   limits.head_bytes = c.limits.head_bytes;
   limits.body_bytes = c.limits.body_bytes;
@@ -239,8 +241,8 @@
 
 void ForwardingCore::OnStoreConfiguration(const std::string& text) {
   const bool first = configuration_ == nullptr;
-  if (first && !peers_first_.Over(loop_->now())) {
-    store_configuration_ = text;
+  if (first && !startup_check_.Over(loop_->now())) {
+    pending_store_configuration_ = text;
   } else {
     OnConfiguration(text, "store");
   }
@@ -252,7 +254,7 @@
   membership_.set_version(DocumentKind::kEndpoints, revision.packed());
   // The hall asks at once rather than within 0.4 s, or within 2 s where its
   // mirror has just been lost and this box stands in.
-  if (std::exchange(endpoint_went_, false) && Mirrors(task_)) {
+  if (std::exchange(endpoint_removed_, false) && Mirrors(task_)) {
     gossip_.Announce();
   }
   forwarder_.AdmitWaiting();
@@ -266,49 +268,50 @@
                .Add("before", before)
                .Add("list_revision_before", list_version_.number())
                .Add("config", configuration_ ? configuration_->version : 0)
-               .Add("proof_age_ms", ToMillis(ProofAge()))
+               .Add("proof_age_ms", ToMillis(FreshnessAge()))
                .Add("task", StoreTaskName(task_)));
   directory_.OnStoreRestored(loop_->now());
   // Peers refuse one of the era before.
-  whole_list_ = FullListCache();
+  full_list_ = FullListCache();
 }
 
 void ForwardingCore::OnCallerWaiting() {
   if (std::exchange(caller_waited_, true)) return;
-  const Time due = duty_.OnCallerWaiting();
+  const Time due = task_selector_.OnCallerWaiting();
   loop_->After(std::max(Duration(0), due - loop_->now()),
-               [this] { follow_duty_(); });
+               [this] { update_store_task_(); });
 }
 
-void ForwardingCore::OnProof(DocumentKind kind, Time proof) {
-  Time& held = proofs_[IndexOf(kind)];
-  held = std::max(held, proof);
+void ForwardingCore::OnFreshness(DocumentKind kind, Time proof) {
+  Time& last = fresh_as_of_[IndexOf(kind)];
+  last = std::max(last, proof);
 }
 
-Duration ForwardingCore::ProofAge() const {
-  return loop_->now() - proofs_[IndexOf(DocumentKind::kConfiguration)];
+Duration ForwardingCore::FreshnessAge() const {
+  return loop_->now() - fresh_as_of_[IndexOf(DocumentKind::kConfiguration)];
 }
 
-bool ForwardingCore::ProofHolds() const {
+bool ForwardingCore::IsFresh() const {
   if (settings_.key_proof == Duration(0)) return configuration_ != nullptr;
-  return ProofAge() < settings_.key_proof - kProofMargin;
+  return FreshnessAge() < settings_.key_proof - kFreshnessMargin;
 }
 
-StoreTask ForwardingCore::StoreTaskNow(bool plans) {
+StoreTask ForwardingCore::ChooseStoreTask(bool is_planner) {
   const Time now = loop_->now();
-  duty_.set_is_planner(plans);
+  task_selector_.set_is_planner(is_planner);
   const StoreTask before = task_;
-  task_ =
-      duty_.Now(now, proofs_[IndexOf(DocumentKind::kConfiguration)], &roster_);
+  task_ = task_selector_.Now(
+      now, fresh_as_of_[IndexOf(DocumentKind::kConfiguration)],
+      &source_selector_);
   if (task_ != before) {
     LogEvent(LogPart::kBox, LogLevel::kInfo, "store_task",
              LogFields()
                  .Add("task", StoreTaskName(task_))
                  .Add("before", StoreTaskName(before))
-                 .Add("rank", roster_.rank(now))
-                 .Add("first_fails", roster_.primary_failing(now))
-                 .Add("hall_boxes", roster_.hall_boxes(now))
-                 .Add("proof_age_ms", ToMillis(ProofAge())));
+                 .Add("rank", source_selector_.rank(now))
+                 .Add("first_fails", source_selector_.primary_failing(now))
+                 .Add("hall_boxes", source_selector_.hall_boxes(now))
+                 .Add("proof_age_ms", ToMillis(FreshnessAge())));
   }
   return task_;
 }
@@ -319,50 +322,50 @@
          std::find(seeds.begin(), seeds.end(), settings_.peers) != seeds.end();
 }
 
-void ForwardingCore::NoteHeldUp(Time now) {
-  const Duration delay = loop_->delays().LongestSince(ticked_);
-  ticked_ = now;
-  if (delay < kHeldUp) return;
+void ForwardingCore::LogLoopDelay(Time now) {
+  const Duration delay = loop_->delays().LongestSince(last_tick_);
+  last_tick_ = now;
+  if (delay < kMinLoggedDelay) return;
   metrics_.Observe("held_up_seconds", "", ToSeconds(delay));
   LogEvent(LogPart::kBox, LogLevel::kWarn, "box_held_up",
            LogFields()
                .Add("ms", ToMillis(delay))
                .Add("active", forwarder_.active())
                .Add("config", configuration_ ? configuration_->version : 0)
-               .Add("proof_age_ms", ToMillis(ProofAge())));
+               .Add("proof_age_ms", ToMillis(FreshnessAge())));
 }
 
 void ForwardingCore::Tick() {
   const Time now = loop_->now();
-  NoteHeldUp(now);
-  TakeCountsOfPeers();
+  LogLoopDelay(now);
+  ApplyPeerCounts();
   directory_.Tick(now);
   forwarder_.Tick();
   gossip_.Tick();
   AskForRetries();
-  const bool asks_peers = !peers_first_.Over(now);
-  if (!asks_peers && !store_configuration_.empty()) {
-    OnConfiguration(std::exchange(store_configuration_, ""), "store");
+  const bool waiting_for_peers = !startup_check_.Over(now);
+  if (!waiting_for_peers && !pending_store_configuration_.empty()) {
+    OnConfiguration(std::exchange(pending_store_configuration_, ""), "store");
   }
   // A box whose mirror gets no answer hands on what others have.
-  source_.Tick(!Mirrors(task_) || store_fails_ || asks_peers);
-  NoteReady();
+  peer_source_.Tick(!Mirrors(task_) || store_failing_ || waiting_for_peers);
+  LogReadiness();
   if (stopping_) FinishStop();
 }
 
-void ForwardingCore::NoteReady() {
+void ForwardingCore::LogReadiness() {
   if (ready() != was_ready_) {
     was_ready_ = ready();
     LogEvent(LogPart::kBox, LogLevel::kInfo,
              was_ready_ ? "box_ready" : "box_not_ready",
              LogFields().Add("stopping", stopping_));
   }
-  const bool holds = ProofHolds();
-  if (holds == proof_held_) return;
-  proof_held_ = holds;
-  LogEvent(LogPart::kConfig, holds ? LogLevel::kInfo : LogLevel::kWarn,
-           holds ? "proof_regained" : "proof_lost",
-           LogFields().Add("proof_age_ms", ToMillis(ProofAge())));
+  const bool fresh = IsFresh();
+  if (fresh == was_fresh_) return;
+  was_fresh_ = fresh;
+  LogEvent(LogPart::kConfig, fresh ? LogLevel::kInfo : LogLevel::kWarn,
+           fresh ? "proof_regained" : "proof_lost",
+           LogFields().Add("proof_age_ms", ToMillis(FreshnessAge())));
 }
 
 // --- operators -------------------------------------------------------------
@@ -398,7 +401,7 @@
   metrics_.Set(
       "configuration_version", "",
       configuration_ ? static_cast<double>(configuration_->version) : 0);
-  metrics_.Set("proof_age_seconds", "", ToSeconds(ProofAge()));
+  metrics_.Set("proof_age_seconds", "", ToSeconds(FreshnessAge()));
   metrics_.Set("store_era", "", static_cast<double>(era_.now()));
   metrics_.Set("mirrors_store", "", Mirrors(task_) ? 1 : 0);
   metrics_.Set("live_boxes", "", membership_.live_boxes(now));
@@ -419,18 +422,19 @@
 
 // What each hall can still read and hold of each pool, by its shortest layer.
 void ForwardingCore::RefreshCapacity(Time now) {
-  constexpr double kTokens = 1000;  // room is counted in thousands
+  constexpr double kTokensPerUnit = 1000;  // room is counted in thousands
   for (const std::string& model : table_.Models()) {
     const auto version = table_.VersionFor(now, model, "");
     if (!version) continue;
     const PoolCapacity& capacity = forwarder_.CapacityOf(model, *version);
     for (const std::string& hall : capacity.halls()) {
-      const PoolCapacity::Layer least = capacity.LeastOf(hall);
+      const PoolCapacity::Layer minimum = capacity.LeastOf(hall);
       const std::string labels =
           "service=\"" + model + "\",hall=\"" + hall + "\"";
-      metrics_.Set("hall_read_tokens_per_second", labels, least.read_per_s);
-      metrics_.Set("hall_free_tokens", labels, least.free_room * kTokens);
-      metrics_.Set("hall_least_holders", labels, least.holders);
+      metrics_.Set("hall_read_tokens_per_second", labels, minimum.read_per_s);
+      metrics_.Set("hall_free_tokens", labels,
+                   minimum.free_room * kTokensPerUnit);
+      metrics_.Set("hall_least_holders", labels, minimum.holders);
       metrics_.Set("hall_shortest_layer", labels, capacity.ShortestLayer(hall));
     }
   }
@@ -441,9 +445,9 @@
 void ForwardingCore::BeginStop() {
   if (stopping_) return;
   stopping_ = true;
-  stop_begun_ = busy_at_ = loop_->now();
-  forwarder_.BeginStop(stop_begun_ + settings_.stop_listening_after,
-                       stop_begun_ + settings_.stop_at_latest - kStopMargin);
+  stop_started_ = last_busy_ = loop_->now();
+  forwarder_.BeginStop(stop_started_ + settings_.stop_listening_after,
+                       stop_started_ + settings_.stop_at_latest - kAbortMargin);
   LogEvent(LogPart::kBox, LogLevel::kInfo, "box_stopping",
            LogFields().Add("active", forwarder_.active()));
   callers_.set_close_after_reply(true);
@@ -453,25 +457,25 @@
 
 void ForwardingCore::FinishStop() {
   const Time now = loop_->now();
-  const Duration since = now - stop_begun_;
+  const Duration since = now - stop_started_;
   if (since < settings_.stop_listening_after) return;
   // Who still comes then could not be answered before the end.
-  if (since >= settings_.stop_at_latest - kLastConnections) {
+  if (since >= settings_.stop_at_latest - kStopListeningMargin) {
     callers_.StopListening();
   }
   // Callers that kept a connection would send on it to the end.
-  callers_.CloseIdle(kFirstRequest);
-  if (forwarder_.active() > 0 || callers_.connections() > 0) busy_at_ = now;
-  const bool late = since >= settings_.stop_at_latest - kStopMargin;
-  if (late) {
+  callers_.CloseIdle(kFirstRequestGrace);
+  if (forwarder_.active() > 0 || callers_.connections() > 0) last_busy_ = now;
+  const bool aborting = since >= settings_.stop_at_latest - kAbortMargin;
+  if (aborting) {
     unfinished_ += forwarder_.active();
     forwarder_.GiveUpAll();
   }
-  const bool over = since >= settings_.stop_at_latest - kExitMargin;
-  const bool told = late && callers_.connections() == 0;
+  const bool grace_over = since >= settings_.stop_at_latest - kExitMargin;
+  const bool callers_informed = aborting && callers_.connections() == 0;
   const bool quiet =
-      now - std::max(busy_at_, callers_.last_activity()) >= kQuiet;
-  if (!quiet && !told && !over) return;
+      now - std::max(last_busy_, callers_.last_activity()) >= kQuietPeriod;
+  if (!quiet && !callers_informed && !grace_over) return;
   LogEvent(LogPart::kBox, LogLevel::kInfo, "box_stopped",
            LogFields()
                .Add("unfinished", unfinished_)
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -61,29 +61,31 @@
 
   // Reads a configuration as the store, or a peer, has it. False if it cannot
   // be read; what was in force stays. One that is not newer changes nothing.
-  using ConfigurationReader =
+  using ConfigurationParser =
       std::function<std::optional<ServiceConfiguration>(std::string_view)>;
-  void set_reader(ConfigurationReader read) { read_ = std::move(read); }
+  void set_configuration_parser(ConfigurationParser parser) {
+    parse_ = std::move(parser);
+  }
   bool OnConfiguration(const std::string& text, std::string_view from);
   // As the store has it: the first waits for the peers' word (peers_first.h).
   void OnStoreConfiguration(const std::string& text);
   // An entry of the list names no endpoint.
-  void OnPassedOver(const std::string& place, std::string_view why);
+  void OnRejectedEntry(const std::string& place, std::string_view why);
   // The list of endpoints is as of this revision of the store's.
   void OnListVersion(StoreRevision revision);
   // At `proof` what this box has of the document was the newest.
-  void OnProof(DocumentKind kind, Time proof);
+  void OnFreshness(DocumentKind kind, Time proof);
   // What this box has to do with the store now, and was last found to have.
   // `plans`: it plans the pools.
-  StoreTask StoreTaskNow(bool plans);
+  StoreTask ChooseStoreTask(bool is_planner);
   StoreTask store_task() const { return task_; }
   // Called when what this box has to do with the store should be asked for
   // before the next regular time.
-  void set_follow_duty(std::function<void()> fn) {
-    follow_duty_ = std::move(fn);
+  void set_update_store_task(std::function<void()> fn) {
+    update_store_task_ = std::move(fn);
   }
   // The store does not answer this box, whose task it is to mirror it.
-  void set_store_fails(bool v) { store_fails_ = v; }
+  void set_store_failing(bool v) { store_failing_ = v; }
   bool ready() const {
     return configuration_ && list_version_ != StoreRevision() && !stopping_;
   }
@@ -100,7 +102,7 @@
   const EndpointTable* table() const { return &table_; }
   HttpClient* http() { return &http_; }
   // How runners are asked and told (ForwardParts).
-  ForwardParts* parts() { return &parts_; }
+  ForwardParts* forward_context() { return &forward_context_; }
   Metrics* metrics() { return &metrics_; }
   EventLoop* loop() { return loop_; }
   const Settings& settings() const { return settings_; }
@@ -120,39 +122,39 @@
   // members and runners, and boxes of a hall announce together. Done for each
   // digest it was 82 in 100 of the processor time of a box of 298 before 2,999
   // runners (a profile of 40 boxes over 20 s).
-  void TakeCountsOfPeers();
+  void ApplyPeerCounts();
   void OnCallerWaiting();
   void OnRunnerDown(const std::string& endpoint);
-  void OnDownNote(const DownNote& note);
+  void OnFailureNotice(const DownNote& note);
   void AskForRetries();
   std::optional<RetryLoan> OnRetryAsk(const RetryAsk& ask);
   void OnRetryLoan(const RetryLoan& loan);
   FetchReply OnFetch(const FetchRequest& request);
-  uint64_t ProofAgeMs(Time proof) const;
+  uint64_t FreshnessAgeMs(Time proof) const;
   // What is told of a document beside its body.
-  DocumentState StateOf(DocumentKind kind) const;
+  DocumentState DocumentStateOf(DocumentKind kind) const;
   DocumentState ListState(const FetchRequest& request);
   // The whole list, of a version above that.
-  const FullListCache& ListAbove(uint64_t above);
+  const FullListCache& FullListAbove(uint64_t above);
   bool OnPeerBody(DocumentKind kind, const DocumentState& state,
                   const std::string& peer);
   bool IsSeed() const;
   uint64_t VersionOf(DocumentKind kind) const;
-  Duration ProofAge() const;
+  Duration FreshnessAge() const;
   void Tick();
   // Tells of a delay of this process's own since the last tick.
-  void NoteHeldUp(Time now);
-  void NoteReady();
+  void LogLoopDelay(Time now);
+  void LogReadiness();
   void FinishStop();
-  bool ProofHolds() const;
+  bool IsFresh() const;
   void ServeOperators(const ExchangePtr& exchange);
   void RefreshMetrics();
   void RefreshCapacity(Time now);
 
   Settings settings_;
   EventLoop* loop_;
-  Time passed_over_next_{};  // when such entries are told again
-  int passed_over_told_ = 0;
+  Time rejection_log_reset_{};  // when such entries are told again
+  int rejections_logged_ = 0;
   Random random_;
   Metrics metrics_;
   ForwardPolicy policy_;
@@ -162,43 +164,43 @@
   EndpointDirectory directory_;
   RetryShare retries_;
   RetryLoans loans_;
-  FailureNews news_;
-  ForwardParts parts_;
+  FailureNews failure_gossip_;
+  ForwardParts forward_context_;
   Forwarder forwarder_;
   Membership membership_;
   Gossip gossip_;
-  SourceRoster roster_;
-  StoreDuty duty_;
-  PeerSource<PeerLink, EventLoop> source_;
+  SourceRoster source_selector_;
+  StoreDuty task_selector_;
+  PeerSource<PeerLink, EventLoop> peer_source_;
   EntryServer callers_;
   HttpServer operators_;
   HttpServer readiness_;
 
-  ConfigurationReader read_;
-  PeersFirst peers_first_;
-  std::string store_configuration_;  // that waits for the peers' word
+  ConfigurationParser parse_;
+  PeersFirst startup_check_;
+  std::string pending_store_configuration_;  // that waits for the peers' word
   std::shared_ptr<const ServiceConfiguration> configuration_;
-  uint64_t configuration_hash_ = 0;   // of its text
-  std::string configuration_packed_;  // its text, for peers
+  uint64_t configuration_hash_ = 0;       // of its text
+  std::string compressed_configuration_;  // its text, for peers
   StoreEra era_;
   StoreRevision list_version_;
-  Time proofs_[kDocumentKinds] = {};
-  FullListCache whole_list_;
+  Time fresh_as_of_[kDocumentKinds] = {};
+  FullListCache full_list_;
   SendBudget list_budget_;
-  bool endpoint_went_ = false;  // since the list's version was last told
-  bool peers_told_ = false;     // a digest came since the last tick
+  bool endpoint_removed_ = false;  // since the list's version was last told
+  bool digest_received_ = false;   // a digest came since the last tick
   StoreTask task_ = StoreTask::kNone;
-  bool store_fails_ = false;
+  bool store_failing_ = false;
   bool caller_waited_ = false;  // for the first configuration, or endpoints
-  bool proof_held_ = false;
+  bool was_fresh_ = false;
   bool was_ready_ = false;
   bool stopping_ = false;
   size_t unfinished_ = 0;  // requests for which a stop had no time
-  Time ticked_{};
-  Time stop_begun_{};
-  Time busy_at_{};  // the last time that something was left to do
+  Time last_tick_{};
+  Time stop_started_{};
+  Time last_busy_{};  // the last time that something was left to do
   std::function<void()> refresh_metrics_ = [] {};
-  std::function<void()> follow_duty_ = [] {};
+  std::function<void()> update_store_task_ = [] {};
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -21,7 +21,7 @@
   handlers.refresh = [this] { UpdateOwnState(); };
   handlers.time = [] { return HybridTime{WallMillis(), 0}; };
   handlers.on_digest = [this](const Digest& d) { OnDigest(d); };
-  handlers.on_down = [this](const DownNote& n) { OnDownNote(n); };
+  handlers.on_down = [this](const DownNote& n) { OnFailureNotice(n); };
   handlers.on_fetch = [this](const FetchRequest& r) { return OnFetch(r); };
   handlers.on_retry_ask = [this](const RetryAsk& a) { return OnRetryAsk(a); };
   handlers.on_retry_loan = [this](const RetryLoan& l) { OnRetryLoan(l); };
@@ -36,15 +36,17 @@
 PeerSourceEvents ForwardingCore::SourceEvents() {
   PeerSourceEvents events;
   events.version = [this](DocumentKind kind) { return VersionOf(kind); };
-  events.proof = [this](DocumentKind kind) { return proofs_[IndexOf(kind)]; };
+  events.proof = [this](DocumentKind kind) {
+    return fresh_as_of_[IndexOf(kind)];
+  };
   events.on_body = [this](DocumentKind kind, const DocumentState& state,
                           const std::string& peer) {
     return OnPeerBody(kind, state, peer);
   };
   events.on_proof = [this](DocumentKind kind, Time proof) {
-    OnProof(kind, proof);
+    OnFreshness(kind, proof);
   };
-  events.on_answer = [this] { peers_first_.OnAnswer(); };
+  events.on_answer = [this] { startup_check_.OnAnswer(); };
   return events;
 }
 
@@ -58,7 +60,7 @@
   membership_.set_counts(std::move(counts));
   membership_.set_load(static_cast<uint32_t>(forwarder_.active()), 0);
   membership_.set_leaving_endpoints(table_.LeavingMarks());
-  membership_.set_proof_age(ProofAge());
+  membership_.set_proof_age(FreshnessAge());
 }
 
 void ForwardingCore::OnDigest(const Digest& digest) {
@@ -66,16 +68,16 @@
   for (const auto& [endpoint, incarnation] : digest.leaving) {
     directory_.OnLeaving(now, endpoint, incarnation);
   }
-  source_.OnDigest(
+  peer_source_.OnDigest(
       digest.sender.address,
       digest.sender.versions[IndexOf(DocumentKind::kConfiguration)],
       digest.sender.versions[IndexOf(DocumentKind::kEndpoints)],
       now - milliseconds(digest.proof_age_ms));
-  peers_told_ = true;
+  digest_received_ = true;
 }
 
-void ForwardingCore::TakeCountsOfPeers() {
-  if (!std::exchange(peers_told_, false)) return;
+void ForwardingCore::ApplyPeerCounts() {
+  if (!std::exchange(digest_received_, false)) return;
   const Time now = loop_->now();
   table_.OnPeerCounts(membership_.SumOfCounts(now));
   const int boxes = membership_.live_boxes(now);
@@ -84,22 +86,24 @@
 }
 
 void ForwardingCore::OnRunnerDown(const std::string& endpoint) {
-  if (!parts_.off.on(Mechanism::kFailureNews)) return;
-  if (!news_.OnDown(loop_->now(), endpoint)) return;
-  loop_->After(news_.options().gather,
-               [this] { gossip_.Tell({news_.Take()}, news_.options().peers); });
+  if (!forward_context_.off.on(Mechanism::kFailureNews)) return;
+  if (!failure_gossip_.OnDown(loop_->now(), endpoint)) return;
+  loop_->After(failure_gossip_.options().gather, [this] {
+    gossip_.Tell({failure_gossip_.Take()}, failure_gossip_.options().peers);
+  });
 }
 
-void ForwardingCore::OnDownNote(const DownNote& note) {
-  if (!parts_.off.on(Mechanism::kFailureNews)) return;
+void ForwardingCore::OnFailureNotice(const DownNote& note) {
+  if (!forward_context_.off.on(Mechanism::kFailureNews)) return;
   metrics_.Count("down_notes_total");
-  for (const std::string& id : news_.Heard(loop_->now(), note.endpoints)) {
+  for (const std::string& id :
+       failure_gossip_.Heard(loop_->now(), note.endpoints)) {
     if (directory_.Find(id) != nullptr) forwarder_.Doubt(id);
   }
 }
 
 void ForwardingCore::AskForRetries() {
-  if (!parts_.off.on(Mechanism::kRetryLoans)) return;
+  if (!forward_context_.off.on(Mechanism::kRetryLoans)) return;
   std::vector<RetryAsk> asks = loans_.Asks(loop_->now());
   if (asks.empty()) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_asked",
@@ -111,7 +115,7 @@
 }
 
 std::optional<RetryLoan> ForwardingCore::OnRetryAsk(const RetryAsk& ask) {
-  if (!parts_.off.on(Mechanism::kRetryLoans)) return std::nullopt;
+  if (!forward_context_.off.on(Mechanism::kRetryLoans)) return std::nullopt;
   const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), ask);
   if (!loan) return std::nullopt;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_lent",
@@ -124,7 +128,7 @@
 }
 
 void ForwardingCore::OnRetryLoan(const RetryLoan& loan) {
-  if (!parts_.off.on(Mechanism::kRetryLoans)) return;
+  if (!forward_context_.off.on(Mechanism::kRetryLoans)) return;
   const int borrowed = loans_.OnLoan(loop_->now(), loan);
   if (borrowed == 0) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_borrowed",
@@ -135,25 +139,25 @@
   FetchReply reply;
   reply.kind = request.kind;
   if (request.kind != FetchKind::kShared) return reply;
-  reply.store_fails = store_fails_;
+  reply.store_fails = store_failing_;
   DocumentState& state = reply.documents[IndexOf(DocumentKind::kConfiguration)];
-  state = StateOf(DocumentKind::kConfiguration);
+  state = DocumentStateOf(DocumentKind::kConfiguration);
   const uint64_t above =
       request.above_versions[IndexOf(DocumentKind::kConfiguration)];
-  if (state.version > above) state.body = configuration_packed_;
+  if (state.version > above) state.body = compressed_configuration_;
   reply.documents[IndexOf(DocumentKind::kEndpoints)] = ListState(request);
   return reply;
 }
 
-uint64_t ForwardingCore::ProofAgeMs(Time proof) const {
+uint64_t ForwardingCore::FreshnessAgeMs(Time proof) const {
   return static_cast<uint64_t>(
       std::max<int64_t>(0, ToMillis(loop_->now() - proof) + 1));
 }
 
-DocumentState ForwardingCore::StateOf(DocumentKind kind) const {
+DocumentState ForwardingCore::DocumentStateOf(DocumentKind kind) const {
   DocumentState state;
   state.version = VersionOf(kind);
-  state.proof_age_ms = ProofAgeMs(proofs_[IndexOf(kind)]);
+  state.proof_age_ms = FreshnessAgeMs(fresh_as_of_[IndexOf(kind)]);
   return state;
 }
 
@@ -163,7 +167,7 @@
   if (request.list.life == now.life) {
     changes = directory_.ChangesSince(loop_->now(), request.list.at);
   }
-  DocumentState state = StateOf(DocumentKind::kEndpoints);
+  DocumentState state = DocumentStateOf(DocumentKind::kEndpoints);
   state.list = now;
   if (changes && now.at != request.list.at) {
     state.changes = true;
@@ -172,7 +176,7 @@
   const uint64_t above =
       request.above_versions[IndexOf(DocumentKind::kEndpoints)];
   if (changes || state.version <= above) return state;
-  const FullListCache& list = ListAbove(above);
+  const FullListCache& list = FullListAbove(above);
   // Its version without its body: the peer asks another that has it.
   if (!list_budget_.Take(loop_->now(), list.body().size())) {
     metrics_.Count("lists_withheld_total");
@@ -180,23 +184,24 @@
   }
   state.version = list.snapshot().version;
   state.list.at = list.snapshot().at;
-  state.proof_age_ms = ProofAgeMs(list.snapshot().proof);
+  state.proof_age_ms = FreshnessAgeMs(list.snapshot().proof);
   state.body = list.body();
   return state;
 }
 
-const FullListCache& ForwardingCore::ListAbove(uint64_t above) {
-  const Time begun = loop_->now();
+const FullListCache& ForwardingCore::FullListAbove(uint64_t above) {
+  const Time build_start = loop_->now();
   // What is left of a lapsed entry's time changes as it passes.
-  const bool serves = whole_list_.IsUsable(begun, directory_.state(), above) &&
-                      !directory_.unsettled();
-  if (serves) return whole_list_;
+  const bool usable =
+      full_list_.IsUsable(build_start, directory_.state(), above) &&
+      !directory_.unsettled();
+  if (usable) return full_list_;
   const FullListCache::Snapshot snapshot = {
       VersionOf(DocumentKind::kEndpoints), directory_.at(), directory_.state(),
-      proofs_[IndexOf(DocumentKind::kEndpoints)]};
-  std::string body = Deflate(WriteDirectory(directory_.Copy(begun)));
-  whole_list_.Set(begun, loop_->now(), snapshot, std::move(body));
-  return whole_list_;
+      fresh_as_of_[IndexOf(DocumentKind::kEndpoints)]};
+  std::string body = Deflate(WriteDirectory(directory_.Copy(build_start)));
+  full_list_.Set(build_start, loop_->now(), snapshot, std::move(body));
+  return full_list_;
 }
 
 bool ForwardingCore::OnPeerBody(DocumentKind kind, const DocumentState& state,
@@ -205,11 +210,11 @@
   if (body && kind == DocumentKind::kConfiguration) {
     return OnConfiguration(*body, peer);
   }
-  const auto whole =
+  const auto full_list =
       body && !state.changes ? ParseDirectory(*body) : std::nullopt;
   const auto changes =
       body && state.changes ? ParseChanges(*body) : std::nullopt;
-  if (!whole && !changes) {
+  if (!full_list && !changes) {
     LogEvent(LogPart::kPeers, LogLevel::kError, "unreadable",
              LogFields().Add("place", "document of " + peer));
     return false;
@@ -217,7 +222,7 @@
   // Before the list is taken: what it lacks, or has again, is of a copy.
   const StoreRevision version = StoreRevision::FromPacked(state.version);
   if (!era_.Saw(version.era())) return false;
-  if (whole) directory_.OnList(loop_->now(), *whole);
+  if (full_list) directory_.OnList(loop_->now(), *full_list);
   if (changes) directory_.OnChanges(loop_->now(), *changes);
   OnListVersion(version);
   return true;
