--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -1,8 +1,8 @@
-// A forwarding box in a deployment: the core, what it mirrors from the
-// deployment's store, and its part in planning the pools.
+// A forwarding box of a deployment: the core, its mirrors of the deployment's
+// store, and the planner of the runner pools.
 //
-// `P` is the deployment's platform. It only translates; what to believe, and
-// what to do, is decided here and below.
+// `P` is the deployment's platform. It only translates formats and calls; which
+// data to trust and how to act on it is decided here and in the core.
 
 #ifndef PINFORD_FORWARDING_FORWARDING_BOX_H_
 #define PINFORD_FORWARDING_FORWARDING_BOX_H_
@@ -26,12 +26,12 @@
   requires Store<typename P::StoreClient>;
   requires PrefixStore<typename P::StoreClient>;
   requires PoolClient<typename P::RunnerClient>;
-  // The last is told of each call.
+  // The last argument is called for each call to the store.
   requires std::constructible_from<typename P::StoreClient, HttpClient*,
                                    Address, StoreEra*, std::function<void()>>;
   requires std::constructible_from<typename P::RunnerClient, HttpClient*>;
   { P::Protocol() } -> std::same_as<ForwardProtocol>;
-  // Where the configuration and the list of endpoints lie in the store.
+  // Keys of the configuration and of the endpoint list in the store.
   { P::ConfigurationKey() } -> std::convertible_to<std::string>;
   { P::ConfigurationPrefix() } -> std::convertible_to<std::string>;
   { P::EndpointPrefix() } -> std::convertible_to<std::string>;
@@ -91,16 +91,16 @@
   void Reload(const Settings& settings) { core_.Reload(settings); }
 
  private:
-  // The store's first answers are there by then.
+  // By then the first answers of the store have arrived.
   static constexpr milliseconds kFirstPlanDelay{500};
 
   static constexpr milliseconds kTaskInterval{100};
-  // Between calls of a box that stands in, once the store fails it too: the
-  // first of the hall tries four times as often, and is asked.
+  // Between calls of a standby that cannot reach the store either. The primary
+  // of the hall retries four times as often, and its peers ask it.
   static constexpr milliseconds kStandbyRetryDelay{1000};
 
-  // A runner answers at once, in an idle hall within 3 ms; lost packets are
-  // sent again after 200 ms, which is too late to be of use here.
+  // A runner answers within 3 ms in an idle hall. Lost packets are
+  // retransmitted after 200 ms, which is too late to be useful here.
   static constexpr milliseconds kProbeTimeout{30};
   static constexpr milliseconds kRerouteTimeout{100};
 
@@ -140,7 +140,7 @@
         });
   }
 
-  // Mirrors the store or looks at it, as StoreDuty says.
+  // Mirrors the store or reads it once, as StoreTaskSelector decides.
   void UpdateStoreTask() {
     const StoreTask task = core_.ChooseStoreTask(planner_.planning());
     if (task != StoreTask::kNone) call_reason_ = task;
@@ -172,26 +172,27 @@
 
   static PrefixMirrorOptions ConfigurationOptions() {
     PrefixMirrorOptions options;
-    // With the pause between them, four lists a second while the store is
-    // silent. What lapsed is dropped 2.2 s after its return is noticed, and
-    // must be within 3 s of the return itself.
+    // With the delay between them, four lists a second while the store is
+    // unreachable. Lapsed entries are dropped 2.2 s after its recovery is
+    // noticed, and must be dropped within 3 s of the recovery itself.
     options.silent_limit = milliseconds(20);
-    // A silent store is noticed 1.4 s after a watch was sent, and the hall's
-    // other boxes hear of it 0.4 s later.
+    // An unresponsive store is noticed 1.4 s after a watch was sent, and the
+    // other boxes of the hall learn of it 0.4 s later.
     options.answer_limit = milliseconds(400);
     return options;
   }
 
   static PrefixMirrorOptions EndpointOptions() {
     PrefixMirrorOptions options;
-    // A change ends the wait at once. It only bounds how long a silent store
-    // goes unnoticed here; the configuration's mirror notices sooner.
+    // A change ends a watch immediately. This only bounds how long an
+    // unresponsive store goes unnoticed here; the mirror of the configuration
+    // notices sooner.
     options.watch_timeout = milliseconds(5000);
-    // Endpoints join and load one after the other; each change alone would
-    // cost a call. A leaving endpoint may get work for two seconds.
+    // Endpoints join and load one after the other, and without this each change
+    // would cost a call. A leaving endpoint may be sent work for two seconds.
     options.min_watch_interval = milliseconds(200);
-    // The configuration's mirror hears first that the store is back, and has
-    // this one try at once.
+    // The mirror of the configuration is the first to notice that the store
+    // recovered, and then makes this one retry immediately.
     options.max_retry_delay = milliseconds(2000);
     return options;
   }
@@ -215,7 +216,7 @@
     PrefixMirrorEvents events;
     events.on_list = [this](const PrefixResult& r) {
       ApplyConfiguration(r);
-      // The store answers: a look at the list is worth its call.
+      // The store answers, so reading the list is worth a call.
       if (!Mirrors(core_.store_task())) endpoints_.Look();
     };
     events.on_changes = [this](const PrefixResult& r) {
@@ -293,8 +294,8 @@
   PoolPlannerEvents PlannerEvents() {
     PoolPlannerEvents events;
     events.may_plan = [this] {
-      // One box a hall tries for the lease: the one that mirrors the store, or
-      // those that stand in for it.
+      // One box per hall competes for the lease: the one that mirrors the
+      // store, or its standbys.
       return core_.configuration() != nullptr && !core_.stopping() &&
              !core_.directory()->entries().empty() &&
              (Mirrors(core_.store_task()) || planner_.planning());
@@ -338,7 +339,7 @@
   PrefixMirror<typename P::StoreClient, EventLoop> endpoints_;
   PoolPlanner<typename P::StoreClient, typename P::RunnerClient, EventLoop>
       planner_;
-  StoreTask call_reason_ = StoreTask::kLook;  // what calls are counted under
+  StoreTask call_reason_ = StoreTask::kLook;  // label of calls in the metrics
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -9,26 +9,27 @@
 
 namespace pinford {
 
-// The proof must hold when a request reaches its endpoint, not only when it
-// leaves; a connection that has to be made first takes some of the time.
+// Freshness must still hold when a request reaches its endpoint, not only when
+// it is sent; establishing a connection first takes some of the time.
 static constexpr milliseconds kFreshnessMargin{300};
-// Before the end of the grace period: what is unfinished is given up then.
+// Before the end of the grace period: unfinished requests are aborted then.
 static constexpr milliseconds kAbortMargin{400};
-// ... and what callers are told of it has been written.
+// Before the end of the grace period: the responses of aborted requests have
+// been written by then.
 static constexpr milliseconds kExitMargin{250};
-// For the request of a connection that was opened just now.
+// How long a new connection is kept for its first request.
 static constexpr milliseconds kFirstRequestGrace{500};
-// The last time before the end of the grace period that callers may connect.
+// Before the end of the grace period: callers may not connect any more.
 static constexpr milliseconds kStopListeningMargin{1200};
-// Answers may still be on their way out of connections that were closed.
+// Responses may still be in flight on connections that were closed.
 static constexpr milliseconds kQuietPeriod{500};
 
-// A delay of the process's own that is told: as long as the shortest silence of
-// an endpoint that is acted on.
+// Scheduling delays of this process are logged from here on: the shortest
+// endpoint timeout that is acted on.
 static constexpr milliseconds kMinLoggedDelay{60};
 
-// Entries that are passed over are told so many times in a span: one that
-// cannot be read comes again with each of its heartbeats and each list.
+// Rejected entries are logged at most this often per interval: an invalid entry
+// recurs with each of its heartbeats and each list.
 static constexpr int kMaxLoggedRejections = 20;
 static constexpr seconds kRejectionLogInterval{60};
 
@@ -177,8 +178,8 @@
   return true;
 }
 
-// What may change while running: the log's level, and bounds. Addresses and
-// names stay what they were until the next start.
+// Only the log level, limits and the policy may change while running. Addresses
+// and names keep their values until the next start.
 void ForwardingCore::Reload(const Settings& settings) {
   std::string error;
   if (!policy_.Load(settings.policy_file, &error)) {
@@ -198,7 +199,7 @@
            LogFields().Add("addresses_kept", !addresses_unchanged));
 }
 
-// --- what the box believes -------------------------------------------------
+// --- Documents -------------------------------------------------------------
 
 bool ForwardingCore::OnConfiguration(const std::string& text,
                                      std::string_view from) {
@@ -252,8 +253,8 @@
   if (revision <= list_version_) return;
   list_version_ = revision;
   membership_.set_version(DocumentKind::kEndpoints, revision.packed());
-  // The hall asks at once rather than within 0.4 s, or within 2 s where its
-  // mirror has just been lost and this box stands in.
+  // The hall's boxes then ask immediately rather than within 0.4 s, or within 2
+  // s if their mirror was just lost and this box is a standby.
   if (std::exchange(endpoint_removed_, false) && Mirrors(task_)) {
     gossip_.Announce();
   }
@@ -271,7 +272,7 @@
                .Add("proof_age_ms", ToMillis(FreshnessAge()))
                .Add("task", StoreTaskName(task_)));
   directory_.OnStoreRestored(loop_->now());
-  // Peers refuse one of the era before.
+  // Peers refuse a list of the previous era.
   full_list_ = FullListCache();
 }
 
@@ -347,7 +348,7 @@
   if (!waiting_for_peers && !pending_store_configuration_.empty()) {
     OnConfiguration(std::exchange(pending_store_configuration_, ""), "store");
   }
-  // A box whose mirror gets no answer hands on what others have.
+  // A box whose mirror gets no answer distributes what other boxes have.
   peer_source_.Tick(!Mirrors(task_) || store_failing_ || waiting_for_peers);
   LogReadiness();
   if (stopping_) FinishStop();
@@ -368,7 +369,7 @@
            LogFields().Add("proof_age_ms", ToMillis(FreshnessAge())));
 }
 
-// --- operators -------------------------------------------------------------
+// --- Operators -------------------------------------------------------------
 
 void ForwardingCore::ServeOperators(const ExchangePtr& exchange) {
   if (exchange->path() == "/metrics") {
@@ -420,9 +421,10 @@
   refresh_metrics_();
 }
 
-// What each hall can still read and hold of each pool, by its shortest layer.
+// Remaining prefill rate and memory of each hall for each pool, at its
+// bottleneck layer.
 void ForwardingCore::RefreshCapacity(Time now) {
-  constexpr double kTokensPerUnit = 1000;  // room is counted in thousands
+  constexpr double kTokensPerUnit = 1000;  // memory is in thousands
   for (const std::string& model : table_.Models()) {
     const auto version = table_.VersionFor(now, model, "");
     if (!version) continue;
@@ -440,7 +442,7 @@
   }
 }
 
-// --- the planned stop ------------------------------------------------------
+// --- Planned stop ----------------------------------------------------------
 
 void ForwardingCore::BeginStop() {
   if (stopping_) return;
@@ -459,11 +461,11 @@
   const Time now = loop_->now();
   const Duration since = now - stop_started_;
   if (since < settings_.stop_listening_after) return;
-  // Who still comes then could not be answered before the end.
+  // Callers that connect after this could not be answered in time.
   if (since >= settings_.stop_at_latest - kStopListeningMargin) {
     callers_.StopListening();
   }
-  // Callers that kept a connection would send on it to the end.
+  // Callers with a kept-alive connection would send on it until the end.
   callers_.CloseIdle(kFirstRequestGrace);
   if (forwarder_.active() > 0 || callers_.connections() > 0) last_busy_ = now;
   const bool aborting = since >= settings_.stop_at_latest - kAbortMargin;
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -1,16 +1,18 @@
-// What a forwarding box is made of, whatever store and runners it speaks to.
+// The platform-independent core of a forwarding box.
 //
-// A box forwards callers' requests to endpoints by the operator's
-// configuration. All boxes are equal and keep nothing. ForwardingBox
-// (forwarding_box.h) puts this together with a deployment's store.
+// A box forwards callers' requests to endpoints according to the operator's
+// configuration. All boxes are equal and keep no persistent state.
+// ForwardingBox (forwarding_box.h) connects the core to a deployment's store
+// and runners.
 //
-// Ready means: a configuration and a list of endpoints are known, and the box
-// does not stop. Stopping is planned: the box is not ready from then on,
-// answers what it has and what still comes, each answer closing its
-// connection. Once the balancer has had time to look away it closes
-// connections at rest and refuses, as not run, what might not end in time;
-// it listens on, because where all boxes stop the balancer uses them all the
-// same. It ends the loop when nothing is left, or the grace period nearly is.
+// A box is ready if it knows a configuration and an endpoint list and is not
+// stopping. A planned stop works as follows. The box stops being ready, and
+// answers the requests in progress and those that still arrive; each response
+// closes its connection. Once the balancer has had time to notice, the box
+// closes idle connections and refuses, as not run, requests that might not end
+// in time. It continues to listen, because the balancer still uses stopping
+// boxes if all are stopping. It ends the event loop when nothing is left, or
+// shortly before the grace period ends.
 
 #ifndef PINFORD_FORWARDING_FORWARDING_CORE_H_
 #define PINFORD_FORWARDING_FORWARDING_CORE_H_
@@ -52,39 +54,41 @@
                  ForwardProtocol protocol);
   ~ForwardingCore();
 
-  // False, with `error` set, if an address cannot be listened on.
+  // Returns false, with `error` set, if an address cannot be listened on or the
+  // policy cannot be used.
   bool Start(std::string* error);
   void BeginStop();
-  // Takes over what may change while running; the rest is kept, and said so.
-  // Settings that cannot be used (a policy with a finding) change nothing.
+  // Applies the settings that may change while running; the others are kept,
+  // which is logged. Settings that cannot be used (a policy with a finding)
+  // change nothing.
   void Reload(const Settings& settings);
 
-  // Reads a configuration as the store, or a peer, has it. False if it cannot
-  // be read; what was in force stays. One that is not newer changes nothing.
+  // Parses a configuration in the format of the store, which peers use too.
   using ConfigurationParser =
       std::function<std::optional<ServiceConfiguration>(std::string_view)>;
   void set_configuration_parser(ConfigurationParser parser) {
     parse_ = std::move(parser);
   }
   bool OnConfiguration(const std::string& text, std::string_view from);
-  // As the store has it: the first waits for the peers' word (peers_first.h).
+  // A configuration from the store. The first one is held back until a peer has
+  // been asked (startup_peer_check.h).
   void OnStoreConfiguration(const std::string& text);
-  // An entry of the list names no endpoint.
+  // An entry of the list was rejected because it is not a valid endpoint.
   void OnRejectedEntry(const std::string& place, std::string_view why);
-  // The list of endpoints is as of this revision of the store's.
+  // The endpoint list now reflects this revision of the store.
   void OnListVersion(StoreRevision revision);
-  // At `proof` what this box has of the document was the newest.
+  // The document held by this box was known to be current at that time.
   void OnFreshness(DocumentKind kind, Time proof);
-  // What this box has to do with the store now, and was last found to have.
-  // `plans`: it plans the pools.
+  // Chooses the current store task of this box, and returns the last one
+  // chosen. `is_planner`: this box plans the pools.
   StoreTask ChooseStoreTask(bool is_planner);
   StoreTask store_task() const { return task_; }
-  // Called when what this box has to do with the store should be asked for
-  // before the next regular time.
+  // Called when the store task should be updated before its next regular
+  // update.
   void set_update_store_task(std::function<void()> fn) {
     update_store_task_ = std::move(fn);
   }
-  // The store does not answer this box, whose task it is to mirror it.
+  // Whether the store does not answer this box although it is to mirror it.
   void set_store_failing(bool v) { store_failing_ = v; }
   bool ready() const {
     return configuration_ && list_version_ != StoreRevision() && !stopping_;
@@ -93,21 +97,20 @@
   std::shared_ptr<const ServiceConfiguration> configuration() const {
     return configuration_;
   }
-  // What this box's clients of the store, and its peers' lists, tell of the
-  // store's life.
+  // The store era as observed by this box's store clients and its peers' lists.
   StoreEra* store_era() { return &era_; }
-  // The store has come back from a copy: `before` and `now` are its eras.
+  // The store was restored from a backup: `before` and `now` are its eras.
   void OnStoreRestored(uint64_t before, uint64_t now);
   EndpointDirectory* directory() { return &directory_; }
   const EndpointTable* table() const { return &table_; }
   HttpClient* http() { return &http_; }
-  // How runners are asked and told (ForwardParts).
+  // Holds the calls to runners (ForwardContext).
   ForwardParts* forward_context() { return &forward_context_; }
   Metrics* metrics() { return &metrics_; }
   EventLoop* loop() { return loop_; }
   const Settings& settings() const { return settings_; }
 
-  // Fills in gauges before the metrics are shown.
+  // Sets a function that updates gauges before the metrics are rendered.
   void set_refresh_metrics(std::function<void()> fn) {
     refresh_metrics_ = std::move(fn);
   }
@@ -118,10 +121,10 @@
   PeerSourceEvents SourceEvents();
   void UpdateOwnState();
   void OnDigest(const Digest& digest);
-  // What peers told since the last tick, all at once: it takes a walk over all
-  // members and runners, and boxes of a hall announce together. Done for each
-  // digest it was 82 in 100 of the processor time of a box of 298 before 2,999
-  // runners (a profile of 40 boxes over 20 s).
+  // Applies the counts received from peers since the last tick, all at once,
+  // because it walks over all members and runners, and the boxes of a hall
+  // announce together. Done for each digest, it took 82% of the CPU time of one
+  // of 298 boxes with 2,999 runners (a profile of 40 boxes over 20 s).
   void ApplyPeerCounts();
   void OnCallerWaiting();
   void OnRunnerDown(const std::string& endpoint);
@@ -131,10 +134,10 @@
   void OnRetryLoan(const RetryLoan& loan);
   FetchReply OnFetch(const FetchRequest& request);
   uint64_t FreshnessAgeMs(Time proof) const;
-  // What is told of a document beside its body.
+  // What is sent of a document besides its body.
   DocumentState DocumentStateOf(DocumentKind kind) const;
   DocumentState ListState(const FetchRequest& request);
-  // The whole list, of a version above that.
+  // The full list, of a version above `above`.
   const FullListCache& FullListAbove(uint64_t above);
   bool OnPeerBody(DocumentKind kind, const DocumentState& state,
                   const std::string& peer);
@@ -142,7 +145,7 @@
   uint64_t VersionOf(DocumentKind kind) const;
   Duration FreshnessAge() const;
   void Tick();
-  // Tells of a delay of this process's own since the last tick.
+  // Logs a scheduling delay of this process since the last tick.
   void LogLoopDelay(Time now);
   void LogReadiness();
   void FinishStop();
@@ -153,7 +156,7 @@
 
   Settings settings_;
   EventLoop* loop_;
-  Time rejection_log_reset_{};  // when such entries are told again
+  Time rejection_log_reset_{};  // when the count below starts again
   int rejections_logged_ = 0;
   Random random_;
   Metrics metrics_;
@@ -178,27 +181,27 @@
 
   ConfigurationParser parse_;
   PeersFirst startup_check_;
-  std::string pending_store_configuration_;  // that waits for the peers' word
+  std::string pending_store_configuration_;  // until a peer was asked
   std::shared_ptr<const ServiceConfiguration> configuration_;
   uint64_t configuration_hash_ = 0;       // of its text
-  std::string compressed_configuration_;  // its text, for peers
+  std::string compressed_configuration_;  // as sent to peers
   StoreEra era_;
   StoreRevision list_version_;
   Time fresh_as_of_[kDocumentKinds] = {};
   FullListCache full_list_;
   SendBudget list_budget_;
-  bool endpoint_removed_ = false;  // since the list's version was last told
-  bool digest_received_ = false;   // a digest came since the last tick
+  bool endpoint_removed_ = false;  // since the last version of the list
+  bool digest_received_ = false;   // since the last tick
   StoreTask task_ = StoreTask::kNone;
   bool store_failing_ = false;
-  bool caller_waited_ = false;  // for the first configuration, or endpoints
+  bool caller_waited_ = false;  // for the first configuration or list
   bool was_fresh_ = false;
   bool was_ready_ = false;
   bool stopping_ = false;
-  size_t unfinished_ = 0;  // requests for which a stop had no time
+  size_t unfinished_ = 0;  // requests aborted by a planned stop
   Time last_tick_{};
   Time stop_started_{};
-  Time last_busy_{};  // the last time that something was left to do
+  Time last_busy_{};  // when work was last left to do
   std::function<void()> refresh_metrics_ = [] {};
   std::function<void()> update_store_task_ = [] {};
 };
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -1,5 +1,5 @@
-// ForwardingCore's part among its peers: what it tells them, what it takes of
-// what they tell.
+// ForwardingCore's exchange with its peers: the state it sends, and how it
+// applies the state it receives.
 
 #include <algorithm>
 #include <utility>
@@ -50,7 +50,7 @@
   return events;
 }
 
-// What this box has on each endpoint, for its peers' estimates.
+// Publishes this box's work on each endpoint, for its peers' estimates.
 void ForwardingCore::UpdateOwnState() {
   std::vector<EndpointCount> counts;
   for (const auto& [name, row] : table_.rows()) {
@@ -177,7 +177,8 @@
       request.above_versions[IndexOf(DocumentKind::kEndpoints)];
   if (changes || state.version <= above) return state;
   const FullListCache& list = FullListAbove(above);
-  // Its version without its body: the peer asks another that has it.
+  // Sends the version without the body: the peer then asks another box that has
+  // it.
   if (!list_budget_.Take(loop_->now(), list.body().size())) {
     metrics_.Count("lists_withheld_total");
     return state;
@@ -191,7 +192,7 @@
 
 const FullListCache& ForwardingCore::FullListAbove(uint64_t above) {
   const Time build_start = loop_->now();
-  // What is left of a lapsed entry's time changes as it passes.
+  // The remaining time of a lapsed entry changes as time passes.
   const bool usable =
       full_list_.IsUsable(build_start, directory_.state(), above) &&
       !directory_.unsettled();
@@ -219,7 +220,8 @@
              LogFields().Add("place", "document of " + peer));
     return false;
   }
-  // Before the list is taken: what it lacks, or has again, is of a copy.
+  // Must precede the list: entries that it lacks, or has again, are due to the
+  // restore.
   const StoreRevision version = StoreRevision::FromPacked(state.version);
   if (!era_.Saw(version.era())) return false;
   if (full_list) directory_.OnList(loop_->now(), *full_list);
