--- a/pinford/forwarding/forward_order.h
+++ b/pinford/forwarding/admitted_request.h
@@ -1,44 +1,45 @@
 // An admitted request, and what the policy and target selection derive from it.
 
-#ifndef PINFORD_FORWARDING_FORWARD_ORDER_H_
-#define PINFORD_FORWARDING_FORWARD_ORDER_H_
+#ifndef PINFORD_FORWARDING_ADMITTED_REQUEST_H_
+#define PINFORD_FORWARDING_ADMITTED_REQUEST_H_
 
 #include <memory>
 #include <string>
 
-#include "pinford/forwarding/entry_server.h"
+#include "pinford/forwarding/caller_server.h"
 #include "pinford/forwarding/forward_target.h"
 #include "pinford/forwarding/route_table.h"
 #include "pinford/policy.h"
 
 namespace pinford {
 
-struct ForwardParts;
+struct ForwardContext;
 
-struct ForwardOrder {
-  EntryPtr exchange;
+struct AdmittedRequest {
+  CallerExchangePtr exchange;
   std::shared_ptr<const RouteTable> routes;
   const Route* route = nullptr;
-  std::string customer;    // "" if there is none
-  bool keyed = false;      // admitted by a customer's key, which may be revoked
-  int priority = 5;        // of the customer or the route; 0 is the most urgent
-  RequestClass treatment;  // assigned by the policy
+  std::string customer;  // "" if there is none
+  bool requires_key =
+      false;         // admitted by a customer's key, which may be revoked
+  int priority = 5;  // of the customer or the route; 0 is the most urgent
+  RequestClass request_class;  // assigned by the policy
   std::string service;
   std::string id;
   Time limit{};  // deadline: the earlier of the caller's and the route's
 };
 
 // Returns what the policy sees of a request.
-RequestFacts FactsOf(const ForwardOrder& order);
+RequestFacts FactsOf(const AdmittedRequest& order);
 
 // Returns the options for choosing the request's target.
-ForwardTarget::Options TargetOptions(const ForwardParts& parts,
-                                     const ForwardOrder& order);
+ForwardTarget::Options TargetOptions(const ForwardContext& parts,
+                                     const AdmittedRequest& order);
 
 // How long a request may receive nothing before recovery starts: until the
 // response begins or, if `stream_started`, between two events. `typical` is how
 // long that recently took over all requests.
-Duration SilenceLimitOf(const Route& route, bool stream_started,
+Duration SilenceTimeout(const Route& route, bool stream_started,
                         Duration typical);
 
 // The urgency sent to engines, from 0 (most urgent) to 9, for a tier of the
@@ -47,4 +48,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_FORWARD_ORDER_H_
+#endif  // PINFORD_FORWARDING_ADMITTED_REQUEST_H_
--- a/pinford/forwarding/entry_server.cc
+++ b/pinford/forwarding/caller_server.cc
@@ -1,4 +1,4 @@
-#include "pinford/forwarding/entry_server.h"
+#include "pinford/forwarding/caller_server.h"
 
 #include <event2/listener.h>
 #include <netinet/in.h>
@@ -20,13 +20,13 @@
 static constexpr size_t kMaxReadAheadBytes = 64 << 10;
 static constexpr int kListenBacklog = 1024;
 
-static HttpReader::Limits ReaderLimits(const EntryServer::Limits& l) {
+static HttpReader::Limits ReaderLimits(const CallerServer::Limits& l) {
   return {l.head_bytes, l.body_bytes};
 }
 
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
-  CallerConnection(EntryServer* server, std::shared_ptr<TcpConnection> tcp)
+  CallerConnection(CallerServer* server, std::shared_ptr<TcpConnection> tcp)
       : server_(server),
         tcp_(std::move(tcp)),
         reader_(HttpReader::Kind::kRequest, ReaderLimits(server->limits_)),
@@ -51,8 +51,8 @@
 
   TcpConnection* tcp() { return tcp_.get(); }
   void set_log_id(const std::string& id) { *log_id_ = id; }
-  EntryServer* server() { return server_; }
-  bool idle() const { return exchange_.expired() && !reader_.begun(); }
+  CallerServer* server() { return server_; }
+  bool idle() const { return exchange_.expired() && !reader_.started(); }
   bool AwaitsFirstRequest(Time opened_after) const {
     return !has_answered_ && opened_ > opened_after;
   }
@@ -102,8 +102,8 @@
 
   void Sweep(Time now) {
     if (busy_ || closing_) return;
-    const EntryServer::Limits& limits = server_->limits_;
-    if (!reader_.begun()) {
+    const CallerServer::Limits& limits = server_->limits_;
+    if (!reader_.started()) {
       if (now - idle_since_ >= limits.idle_timeout) Close();
       return;
     }
@@ -117,7 +117,7 @@
   void OnBytes(std::string_view bytes) {
     const Time now = server_ != nullptr ? server_->loop_->now() : Time{};
     if (server_ != nullptr) server_->last_activity_ = now;
-    if (!reader_.begun()) started_ = now;
+    if (!reader_.started()) started_ = now;
     last_bytes_ = now;
     reader_.Feed(bytes);
     if (busy_) {
@@ -157,7 +157,7 @@
     busy_ = true;
     sent_continue_ = false;
     caller_keep_alive_ = reader_.head().keep_alive;
-    auto exchange = std::make_shared<EntryExchange>(
+    auto exchange = std::make_shared<CallerExchange>(
         shared_from_this(), reader_.head(), reader_.TakeBody(), started_);
     exchange_ = exchange;
     server_->handler_(std::move(exchange));
@@ -186,7 +186,7 @@
             status, code));
     closing_ = true;
     busy_ = true;
-    auto exchange = std::make_shared<EntryExchange>(
+    auto exchange = std::make_shared<CallerExchange>(
         shared_from_this(), reader_.head(), "", started_);
     exchange->Reply(status, "", {}, ErrorBody(code, message, Outcome::kNotRun));
   }
@@ -202,10 +202,10 @@
     if (server_ != nullptr) server_->connections_.erase(this);
   }
 
-  EntryServer* server_;
+  CallerServer* server_;
   std::shared_ptr<TcpConnection> tcp_;
   HttpReader reader_;
-  std::weak_ptr<EntryExchange> exchange_;
+  std::weak_ptr<CallerExchange> exchange_;
   // Shared, because the TCP connection outlives this object while it delivers
   // the last response.
   std::shared_ptr<std::string> log_id_ = std::make_shared<std::string>();
@@ -222,16 +222,17 @@
   Time last_bytes_{};
 };
 
-// --- EntryExchange -----------------------------------------------------------
+// --- CallerExchange
+// -----------------------------------------------------------
 
-EntryExchange::EntryExchange(std::shared_ptr<CallerConnection> connection,
-                             HttpHead head, std::string body, Time begun)
+CallerExchange::CallerExchange(std::shared_ptr<CallerConnection> connection,
+                               HttpHead head, std::string body, Time started)
     : connection_(std::move(connection)),
       head_(std::move(head)),
       body_(std::move(body)),
-      started_(begun) {}
+      started_(started) {}
 
-EntryExchange::~EntryExchange() {
+CallerExchange::~CallerExchange() {
   on_disconnect_ = nullptr;
   if (!open()) return;
   // Nothing will answer this request any more, so the caller would wait in
@@ -242,7 +243,7 @@
   Abort();
 }
 
-void EntryExchange::OnDisconnect(TcpEnd how) {
+void CallerExchange::OnDisconnect(TcpEnd how) {
   connection_ = nullptr;
   caller_end_ = how;
   std::function<void()> fn = std::move(on_disconnect_);
@@ -250,11 +251,11 @@
   if (fn) fn();
 }
 
-void EntryExchange::set_log_id(const std::string& id) {
+void CallerExchange::set_log_id(const std::string& id) {
   if (open()) connection_->set_log_id(id);
 }
 
-size_t EntryExchange::unsent() const {
+size_t CallerExchange::unsent() const {
   return open() ? connection_->tcp()->unsent() : 0;
 }
 
@@ -287,8 +288,8 @@
   }
 }
 
-std::string EntryExchange::FormatHead(int status, std::string_view reason,
-                                      const HttpHeaders& headers) const {
+std::string CallerExchange::FormatHead(int status, std::string_view reason,
+                                       const HttpHeaders& headers) const {
   std::string out = fmt::format("HTTP/1.1 {} {}\r\n", status,
                                 reason.empty() ? ReasonPhrase(status) : reason);
   for (const auto& [name, value] : headers) {
@@ -302,8 +303,8 @@
   return out;
 }
 
-void EntryExchange::Reply(int status, std::string_view reason,
-                          const HttpHeaders& headers, std::string_view body) {
+void CallerExchange::Reply(int status, std::string_view reason,
+                           const HttpHeaders& headers, std::string_view body) {
   if (!open()) return;
   assert(!streaming_);
   std::string out = FormatHead(status, reason, headers);
@@ -315,15 +316,15 @@
   Finish();
 }
 
-void EntryExchange::StartStream(int status, std::string_view reason,
-                                const HttpHeaders& headers) {
+void CallerExchange::StartStream(int status, std::string_view reason,
+                                 const HttpHeaders& headers) {
   if (!open()) return;
   streaming_ = true;
   connection_->tcp()->Write(FormatHead(status, reason, headers) +
                             "Transfer-Encoding: chunked\r\n\r\n");
 }
 
-void EntryExchange::Write(std::string_view bytes) {
+void CallerExchange::Write(std::string_view bytes) {
   if (!open() || bytes.empty()) return;
   std::string chunk = fmt::format("{:x}\r\n", bytes.size());
   chunk += bytes;
@@ -331,20 +332,20 @@
   connection_->tcp()->Write(chunk);
 }
 
-void EntryExchange::EndStream() {
+void CallerExchange::EndStream() {
   if (!open()) return;
   connection_->tcp()->Write("0\r\n\r\n");
   Finish();
 }
 
-void EntryExchange::Finish() {
+void CallerExchange::Finish() {
   on_disconnect_ = nullptr;
   std::shared_ptr<CallerConnection> c = std::move(connection_);
   connection_ = nullptr;
   c->OnAnswered();
 }
 
-void EntryExchange::Abort() {
+void CallerExchange::Abort() {
   if (!open()) return;
   on_disconnect_ = nullptr;
   std::shared_ptr<CallerConnection> c = std::move(connection_);
@@ -352,19 +353,21 @@
   c->CloseAbruptly();
 }
 
-// --- EntryServer -------------------------------------------------------------
+// --- CallerServer
+// -------------------------------------------------------------
 
-EntryServer::EntryServer(EventLoop* loop, const Limits& limits, Handler handler)
+CallerServer::CallerServer(EventLoop* loop, const Limits& limits,
+                           Handler handler)
     : loop_(loop), limits_(limits), handler_(std::move(handler)) {
   loop_->Every(kSweepInterval, [this] { Sweep(); });
 }
 
-EntryServer::~EntryServer() {
+CallerServer::~CallerServer() {
   StopListening();
   for (auto& [key, c] : connections_) c->DetachServer();
 }
 
-bool EntryServer::Listen(const Address& address) {
+bool CallerServer::Listen(const Address& address) {
   sockaddr_storage at{};
   int size = sizeof(at);
   if (evutil_parse_sockaddr_port(address.ToString().c_str(),
@@ -376,19 +379,19 @@
   listener_ = evconnlistener_new_bind(
       loop_->base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-        static_cast<EntryServer*>(arg)->Accept(fd);
+        static_cast<CallerServer*>(arg)->Accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
       kListenBacklog, reinterpret_cast<sockaddr*>(&at), size);
   return listener_ != nullptr;
 }
 
-void EntryServer::StopListening() {
+void CallerServer::StopListening() {
   if (listener_ != nullptr) evconnlistener_free(listener_);
   listener_ = nullptr;
 }
 
-void EntryServer::Accept(int fd) {
+void CallerServer::Accept(int fd) {
   if (connections_.size() >= limits_.connections) {
     Log(LogPart::kCallers, LogLevel::kWarn,
         fmt::format("Closed a new connection: {} are open, which is the limit.",
@@ -403,7 +406,7 @@
   last_activity_ = loop_->now();
 }
 
-void EntryServer::CloseIdle(Duration first_request_grace) {
+void CallerServer::CloseIdle(Duration first_request_grace) {
   const Time opened_after = loop_->now() - first_request_grace;
   std::vector<std::shared_ptr<CallerConnection>> idle;
   for (auto& [key, c] : connections_) {
@@ -412,7 +415,7 @@
   for (auto& c : idle) c->Close();
 }
 
-void EntryServer::Sweep() {
+void CallerServer::Sweep() {
   const Time now = loop_->now();
   std::vector<std::shared_ptr<CallerConnection>> all;
   all.reserve(connections_.size());
--- a/pinford/forwarding/entry_server.h
+++ b/pinford/forwarding/caller_server.h
@@ -8,8 +8,8 @@
 // If a caller closes its connection while its request is in progress, the
 // exchange reports it immediately so that the work can be cancelled.
 
-#ifndef PINFORD_FORWARDING_ENTRY_SERVER_H_
-#define PINFORD_FORWARDING_ENTRY_SERVER_H_
+#ifndef PINFORD_FORWARDING_CALLER_SERVER_H_
+#define PINFORD_FORWARDING_CALLER_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -30,18 +30,18 @@
 class CallerConnection;
 
 // One request and its response.
-class EntryExchange {
+class CallerExchange {
  public:
-  EntryExchange(std::shared_ptr<CallerConnection> connection, HttpHead head,
-                std::string body, Time begun);
-  ~EntryExchange();
-  EntryExchange(const EntryExchange&) = delete;
-  EntryExchange& operator=(const EntryExchange&) = delete;
+  CallerExchange(std::shared_ptr<CallerConnection> connection, HttpHead head,
+                 std::string body, Time started);
+  ~CallerExchange();
+  CallerExchange(const CallerExchange&) = delete;
+  CallerExchange& operator=(const CallerExchange&) = delete;
 
   const HttpHead& head() const { return head_; }
   const std::string& body() const { return body_; }
   // When the first byte of the request was received.
-  Time begun() const { return started_; }
+  Time started() const { return started_; }
 
   // Sends a complete response with a Content-Length, which `headers` must not
   // contain.
@@ -69,7 +69,7 @@
   std::optional<TcpEnd> caller_end() const { return caller_end_; }
 
   // Called once if the caller disconnects before the response has ended.
-  void set_on_hang_up(std::function<void()> fn) {
+  void set_on_disconnect(std::function<void()> fn) {
     on_disconnect_ = std::move(fn);
   }
 
@@ -89,9 +89,9 @@
   std::function<void()> on_disconnect_;
 };
 
-using EntryPtr = std::shared_ptr<EntryExchange>;
+using CallerExchangePtr = std::shared_ptr<CallerExchange>;
 
-class EntryServer {
+class CallerServer {
  public:
   struct Limits {
     size_t head_bytes = 16 << 10;
@@ -104,12 +104,12 @@
     // caller how long a pause it tolerates.
     Duration write_stall_timeout = seconds(30);
   };
-  using Handler = std::function<void(EntryPtr)>;
+  using Handler = std::function<void(CallerExchangePtr)>;
 
-  EntryServer(EventLoop* loop, const Limits& limits, Handler handler);
-  ~EntryServer();
-  EntryServer(const EntryServer&) = delete;
-  EntryServer& operator=(const EntryServer&) = delete;
+  CallerServer(EventLoop* loop, const Limits& limits, Handler handler);
+  ~CallerServer();
+  CallerServer(const CallerServer&) = delete;
+  CallerServer& operator=(const CallerServer&) = delete;
 
   // Returns false, with errno set, if the address cannot be bound.
   bool Listen(const Address& address);
@@ -149,4 +149,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_ENTRY_SERVER_H_
+#endif  // PINFORD_FORWARDING_CALLER_SERVER_H_
--- a/pinford/forwarding/forward_head.h
+++ b/pinford/forwarding/forward_head.h
@@ -17,7 +17,7 @@
 namespace pinford {
 
 // Values of the headers that pinford sets on one attempt.
-struct ForwardNotes {
+struct AttemptHeaders {
   std::string customer;  // "" if there is none
   std::string instance;
   Duration time_left{};
@@ -30,11 +30,11 @@
 // Returns the whole request, head and body, in wire format.
 std::string WriteForwardedRequest(const HttpHead& head, const std::string& body,
                                   const ForwardProtocol& protocol,
-                                  const ForwardNotes& notes);
+                                  const AttemptHeaders& notes);
 
 // Returns the response headers that are forwarded to the caller.
-HttpHeaders PassedHeaders(const HttpHead& answer,
-                          const ForwardProtocol& protocol);
+HttpHeaders ForwardedResponseHeaders(const HttpHead& answer,
+                                     const ForwardProtocol& protocol);
 
 }  // namespace pinford
 
--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -60,11 +60,11 @@
                    EndpointEvents()),
         planner_(&planner_store_, &runners_, loop, settings.box,
                  PlannerOptions(settings), PlannerEvents()) {
-    core_.store_era()->set_on_rise([this](uint64_t before, uint64_t now) {
+    core_.store_era()->set_on_increase([this](uint64_t before, uint64_t now) {
       core_.OnStoreRestored(before, now);
       planner_.OnStoreRestored();
-      configuration_.ListAgain();
-      endpoints_.ListAgain();
+      configuration_.Relist();
+      endpoints_.Relist();
     });
     core_.set_refresh_metrics([this] {
       core_.metrics()->Set("planning", "", planner_.planning() ? 1 : 0);
@@ -105,7 +105,7 @@
   static constexpr milliseconds kRerouteTimeout{100};
 
   void InstallRunnerCalls() {
-    core_.forward_context()->ask =
+    core_.forward_context()->probe =
         [this](const std::string& id, std::function<void(RunnerHealth)> fn) {
           ProbeRunner(id, std::move(fn));
         };
@@ -126,18 +126,19 @@
     }
     const LayerRange listed = entry->runner->holds;
     const uint64_t incarnation = entry->listed.incarnation;
-    runners_.Report(
-        entry->listed.address, kProbeTimeout,
-        [this, id, listed, incarnation,
-         fn = std::move(fn)](const RunnerAnswer& answer) {
-          fn(HealthOf(listed, incarnation, answer));
-          const std::optional<RunnerReport>& r = answer.report;
-          if (!r) return;
-          const bool changed =
-              r->state.leaving || IsNewLife(incarnation, r->state.incarnation);
-          if (!changed) return;
-          core_.directory()->OnRunnerState(core_.loop()->now(), id, r->state);
-        });
+    runners_.Report(entry->listed.address, kProbeTimeout,
+                    [this, id, listed, incarnation,
+                     fn = std::move(fn)](const RunnerAnswer& answer) {
+                      fn(HealthOf(listed, incarnation, answer));
+                      const std::optional<RunnerReport>& r = answer.report;
+                      if (!r) return;
+                      const bool changed =
+                          r->state.leaving ||
+                          IsNewerIncarnation(incarnation, r->state.incarnation);
+                      if (!changed) return;
+                      core_.directory()->OnRunnerState(core_.loop()->now(), id,
+                                                       r->state);
+                    });
   }
 
   // Mirrors the store or reads it once, as StoreTaskSelector decides.
@@ -147,16 +148,16 @@
     core_.set_store_failing(Mirrors(task) && configuration_.failing());
     if (Mirrors(task)) {
       const bool primary = task == StoreTask::kMirror;
-      configuration_.set_most_retry(primary
-                                        ? ConfigurationOptions().max_retry_delay
-                                        : kStandbyRetryDelay);
+      configuration_.set_max_retry_delay(
+          primary ? ConfigurationOptions().max_retry_delay
+                  : kStandbyRetryDelay);
       configuration_.Start();
       endpoints_.Start();
       return;
     }
     configuration_.Stop();
     endpoints_.Stop();
-    if (task == StoreTask::kLook) configuration_.Look();
+    if (task == StoreTask::kReadOnce) configuration_.ReadOnce();
   }
 
   void CountStoreCall(std::string_view reason) {
@@ -166,7 +167,7 @@
 
   static PoolPlannerOptions PlannerOptions(const Settings& settings) {
     PoolPlannerOptions options;
-    options.off = settings.off;
+    options.mechanisms = settings.mechanisms;
     return options;
   }
 
@@ -175,10 +176,10 @@
     // With the delay between them, four lists a second while the store is
     // unreachable. Lapsed entries are dropped 2.2 s after its recovery is
     // noticed, and must be dropped within 3 s of the recovery itself.
-    options.silent_limit = milliseconds(20);
+    options.unreachable_timeout = milliseconds(20);
     // An unresponsive store is noticed 1.4 s after a watch was sent, and the
     // other boxes of the hall learn of it 0.4 s later.
-    options.answer_limit = milliseconds(400);
+    options.answer_timeout = milliseconds(400);
     return options;
   }
 
@@ -217,13 +218,13 @@
     events.on_list = [this](const PrefixResult& r) {
       ApplyConfiguration(r);
       // The store answers, so reading the list is worth a call.
-      if (!Mirrors(core_.store_task())) endpoints_.Look();
+      if (!Mirrors(core_.store_task())) endpoints_.ReadOnce();
     };
     events.on_changes = [this](const PrefixResult& r) {
       ApplyConfiguration(r);
     };
-    events.on_proof = [this](Time proof) {
-      core_.OnFreshness(DocumentKind::kConfiguration, proof);
+    events.on_freshness = [this](Time fresh_as_of) {
+      core_.OnFreshness(DocumentKind::kConfiguration, fresh_as_of);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
       LogReachability("configuration", reachable, why);
@@ -234,7 +235,7 @@
 
   void ApplyConfiguration(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
-      if (item.key != P::ConfigurationKey() || item.gone) continue;
+      if (item.key != P::ConfigurationKey() || item.removed) continue;
       core_.OnStoreConfiguration(item.value);
     }
   }
@@ -243,12 +244,12 @@
     PrefixMirrorEvents events;
     events.on_list = [this](const PrefixResult& r) { ApplyList(r); };
     events.on_changes = [this](const PrefixResult& r) { ApplyChanges(r); };
-    events.on_proof = [this](Time proof) {
-      core_.OnFreshness(DocumentKind::kEndpoints, proof);
+    events.on_freshness = [this](Time fresh_as_of) {
+      core_.OnFreshness(DocumentKind::kEndpoints, fresh_as_of);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
       LogReachability("endpoints", reachable, why);
-      if (reachable) core_.directory()->OnStoreBack(core_.loop()->now());
+      if (reachable) core_.directory()->OnStoreReachable(core_.loop()->now());
     };
     return events;
   }
@@ -280,8 +281,8 @@
   void ApplyChanges(const PrefixResult& r) {
     const Time now = core_.loop()->now();
     for (const StoreItem& item : r.items) {
-      if (item.gone) {
-        core_.directory()->OnGone(now, P::EndpointIdOf(item.key));
+      if (item.removed) {
+        core_.directory()->OnRemoved(now, P::EndpointIdOf(item.key));
       } else if (auto entry = ParseEntry(item)) {
         core_.directory()->OnEntry(now, *entry);
       } else {
@@ -339,7 +340,8 @@
   PrefixMirror<typename P::StoreClient, EventLoop> endpoints_;
   PoolPlanner<typename P::StoreClient, typename P::RunnerClient, EventLoop>
       planner_;
-  StoreTask call_reason_ = StoreTask::kLook;  // label of calls in the metrics
+  StoreTask call_reason_ =
+      StoreTask::kReadOnce;  // label of calls in the metrics
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -43,9 +43,9 @@
       upstream_(loop, UpstreamClientOptions(protocol)),
       table_(settings.hall, TableOptions(settings), SeededRandom()),
       directory_(&table_, EndpointDirectory::Options(), DirectoryEvents()),
-      retries_(loop->now(), RetryShareOptions(settings, settings.off)),
+      retries_(loop->now(), RetryShareOptions(settings, settings.mechanisms)),
       loans_(&retries_, RetryLoans::Options(), SeededRandom()),
-      failure_gossip_(FailureNews::Options()),
+      failure_gossip_(FailureGossip::Options()),
       forward_context_{
           loop,
           &upstream_,
@@ -67,19 +67,20 @@
             directory_.OnLeaving(loop_->now(), endpoint, incarnation);
           },
           {},
-          settings.off},
+          settings.mechanisms},
       forwarder_(&forward_context_),
       membership_(SelfRow(settings, WallMillis()), settings.seeds,
                   MembershipOptions(settings), SeededRandom()),
       gossip_(loop, &membership_, settings.peer_key, PeerHandlers()),
-      source_selector_(&membership_, SourceRoster::Options()),
-      task_selector_(loop->now(), IsSeed(), StoreDuty::Options(),
+      source_selector_(&membership_, SourceSelector::Options()),
+      task_selector_(loop->now(), IsSeed(), StoreTaskSelector::Options(),
                      SeededRandom()),
       peer_source_(loop, &membership_, &source_selector_,
                    membership_.other_seeds(), gossip_.link(), SeededRandom(),
                    PeerSourceOptions(), SourceEvents()),
-      callers_(loop, CallerServerLimits(settings),
-               [this](EntryPtr e) { forwarder_.Handle(std::move(e)); }),
+      callers_(
+          loop, CallerServerLimits(settings),
+          [this](CallerExchangePtr e) { forwarder_.Handle(std::move(e)); }),
       operators_(loop, HttpServer::Options(),
                  [this](const ExchangePtr& e) { ServeOperators(e); }),
       readiness_(loop, HttpServer::Options(),
@@ -107,27 +108,28 @@
              LogFields().Add("endpoint", id));
     gossip_.Announce();
   };
-  events.on_gone = [this](const std::string& id) {
+  events.on_removed = [this](const std::string& id) {
     LogEvent(LogPart::kEndpoints, LogLevel::kInfo, "endpoint_gone",
              LogFields().Add("endpoint", id));
-    upstream_.Forget(id);
-    forwarder_.ForgetEndpoint(id);
+    upstream_.DropConnections(id);
+    forwarder_.RemoveEndpoint(id);
     endpoint_removed_ = true;
   };
-  events.on_new_life = [this](const DirectoryEntry& e, uint64_t before) {
+  events.on_restarted = [this](const DirectoryEntry& e, uint64_t before) {
     LogEvent(LogPart::kEndpoints, LogLevel::kWarn, "endpoint_started_anew",
              LogFields()
                  .Add("endpoint", e.listed.name)
                  .Add("incarnation", e.listed.incarnation)
                  .Add("before", before));
     metrics_.Count("endpoint_restarts_total");
-    upstream_.Forget(e.listed.name);
-    forwarder_.OnNewLife(e.listed.name);
+    upstream_.DropConnections(e.listed.name);
+    forwarder_.OnRestart(e.listed.name);
   };
-  events.on_passed_over = [this](const std::string& id, std::string_view why) {
+  events.on_rejected = [this](const std::string& id, std::string_view why) {
     OnRejectedEntry(id, why);
   };
-  events.on_holds = [](const DirectoryEntry& e, const LayerRange& before) {
+  events.on_layers_changed = [](const DirectoryEntry& e,
+                                const LayerRange& before) {
     LogEvent(LogPart::kEndpoints, LogLevel::kInfo, "endpoint_holds",
              LogFields()
                  .Add("endpoint", e.listed.name)
@@ -169,7 +171,7 @@
                .Add("hall", s.hall)
                .Add("callers", s.callers.ToString())
                .Add("store", s.store.ToString())
-               .Add("off", s.off.ToString())
+               .Add("off", s.mechanisms.ToString())
                .Add("key_proof_ms", ToMillis(s.key_proof)));
   gossip_.Start();
   loop_->Every(ForwardPolicy::kUpdateEvery,
@@ -192,7 +194,7 @@
   settings_.key_proof = settings.key_proof;
   settings_.stop_at_latest = settings.stop_at_latest;
   settings_.stop_listening_after = settings.stop_listening_after;
-  retries_.set_options(RetryShareOptions(settings, settings_.off));
+  retries_.set_options(RetryShareOptions(settings, settings_.mechanisms));
   const bool addresses_unchanged = settings.callers == settings_.callers &&
                                    settings.store == settings_.store;
   LogEvent(LogPart::kBox, LogLevel::kInfo, "settings_reloaded",
@@ -218,7 +220,7 @@
   }
   configuration_hash_ = hash;
   compressed_configuration_ = Deflate(text);
-  EntryServer::Limits limits = CallerServerLimits(settings_);
+  CallerServer::Limits limits = CallerServerLimits(settings_);
   limits.head_bytes = c.limits.head_bytes;
   limits.body_bytes = c.limits.body_bytes;
   limits.head_timeout = c.limits.head_timeout;
@@ -242,7 +244,7 @@
 
 void ForwardingCore::OnStoreConfiguration(const std::string& text) {
   const bool first = configuration_ == nullptr;
-  if (first && !startup_check_.Over(loop_->now())) {
+  if (first && !startup_check_.Done(loop_->now())) {
     pending_store_configuration_ = text;
   } else {
     OnConfiguration(text, "store");
@@ -283,9 +285,9 @@
                [this] { update_store_task_(); });
 }
 
-void ForwardingCore::OnFreshness(DocumentKind kind, Time proof) {
+void ForwardingCore::OnFreshness(DocumentKind kind, Time fresh_as_of) {
   Time& last = fresh_as_of_[IndexOf(kind)];
-  last = std::max(last, proof);
+  last = std::max(last, fresh_as_of);
 }
 
 Duration ForwardingCore::FreshnessAge() const {
@@ -301,7 +303,7 @@
   const Time now = loop_->now();
   task_selector_.set_is_planner(is_planner);
   const StoreTask before = task_;
-  task_ = task_selector_.Now(
+  task_ = task_selector_.ChooseTask(
       now, fresh_as_of_[IndexOf(DocumentKind::kConfiguration)],
       &source_selector_);
   if (task_ != before) {
@@ -344,7 +346,7 @@
   forwarder_.Tick();
   gossip_.Tick();
   AskForRetries();
-  const bool waiting_for_peers = !startup_check_.Over(now);
+  const bool waiting_for_peers = !startup_check_.Done(now);
   if (!waiting_for_peers && !pending_store_configuration_.empty()) {
     OnConfiguration(std::exchange(pending_store_configuration_, ""), "store");
   }
@@ -391,9 +393,9 @@
                static_cast<double>(upstream_.connects()));
   metrics_.Set("refused_unread", "", static_cast<double>(callers_.refused()));
   metrics_.Set("retries_refused", "", static_cast<double>(retries_.refused()));
-  for (const RetryNeed need : kRetryNeeds) {
+  for (const RetryClass need : kRetryClasses) {
     metrics_.Set("retries_refused_by_need",
-                 "need=\"" + std::string(RetryNeedName(need)) + "\"",
+                 "need=\"" + std::string(RetryClassName(need)) + "\"",
                  static_cast<double>(retries_.refused(need)));
   }
   metrics_.Set("retry_asks", "", static_cast<double>(loans_.asks()));
@@ -414,7 +416,7 @@
   }
   metrics_.Set("usable_endpoints", "", usable);
   metrics_.Set("resting_endpoints", "",
-               static_cast<double>(table_.Resting(now)));
+               static_cast<double>(table_.BackingOff(now)));
   RefreshCapacity(now);
   metrics_.Set("unusable_entries", "",
                static_cast<double>(directory_.unusable()));
@@ -430,14 +432,16 @@
     if (!version) continue;
     const PoolCapacity& capacity = forwarder_.CapacityOf(model, *version);
     for (const std::string& hall : capacity.halls()) {
-      const PoolCapacity::Layer minimum = capacity.LeastOf(hall);
+      const PoolCapacity::Layer minimum = capacity.MinOverLayers(hall);
       const std::string labels =
           "service=\"" + model + "\",hall=\"" + hall + "\"";
-      metrics_.Set("hall_read_tokens_per_second", labels, minimum.read_per_s);
+      metrics_.Set("hall_read_tokens_per_second", labels,
+                   minimum.prefill_per_s);
       metrics_.Set("hall_free_tokens", labels,
-                   minimum.free_room * kTokensPerUnit);
+                   minimum.free_memory * kTokensPerUnit);
       metrics_.Set("hall_least_holders", labels, minimum.holders);
-      metrics_.Set("hall_shortest_layer", labels, capacity.ShortestLayer(hall));
+      metrics_.Set("hall_shortest_layer", labels,
+                   capacity.BottleneckLayer(hall));
     }
   }
 }
@@ -471,7 +475,7 @@
   const bool aborting = since >= settings_.stop_at_latest - kAbortMargin;
   if (aborting) {
     unfinished_ += forwarder_.active();
-    forwarder_.GiveUpAll();
+    forwarder_.AbortAll();
   }
   const bool grace_over = since >= settings_.stop_at_latest - kExitMargin;
   const bool callers_informed = aborting && callers_.connections() == 0;
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -22,19 +22,19 @@
 #include <string>
 
 #include "pinford/endpoint_table.h"
+#include "pinford/forwarding/caller_server.h"
 #include "pinford/forwarding/endpoint_directory.h"
-#include "pinford/forwarding/entry_server.h"
-#include "pinford/forwarding/failure_news.h"
+#include "pinford/forwarding/failure_gossip.h"
 #include "pinford/forwarding/forward_policy.h"
 #include "pinford/forwarding/forwarder.h"
 #include "pinford/forwarding/peer_source.h"
-#include "pinford/forwarding/peers_first.h"
 #include "pinford/forwarding/retry_loans.h"
 #include "pinford/forwarding/retry_share.h"
 #include "pinford/forwarding/route_table.h"
 #include "pinford/forwarding/send_budget.h"
-#include "pinford/forwarding/source_roster.h"
-#include "pinford/forwarding/store_duty.h"
+#include "pinford/forwarding/source_selector.h"
+#include "pinford/forwarding/startup_peer_check.h"
+#include "pinford/forwarding/store_task_selector.h"
 #include "pinford/forwarding/upstream_client.h"
 #include "pinford/forwarding/whole_list.h"
 #include "pinford/gossip.h"
@@ -78,7 +78,7 @@
   // The endpoint list now reflects this revision of the store.
   void OnListVersion(StoreRevision revision);
   // The document held by this box was known to be current at that time.
-  void OnFreshness(DocumentKind kind, Time proof);
+  void OnFreshness(DocumentKind kind, Time fresh_as_of);
   // Chooses the current store task of this box, and returns the last one
   // chosen. `is_planner`: this box plans the pools.
   StoreTask ChooseStoreTask(bool is_planner);
@@ -105,7 +105,7 @@
   const EndpointTable* table() const { return &table_; }
   HttpClient* http() { return &http_; }
   // Holds the calls to runners (ForwardContext).
-  ForwardParts* forward_context() { return &forward_context_; }
+  ForwardContext* forward_context() { return &forward_context_; }
   Metrics* metrics() { return &metrics_; }
   EventLoop* loop() { return loop_; }
   const Settings& settings() const { return settings_; }
@@ -133,7 +133,7 @@
   std::optional<RetryLoan> OnRetryAsk(const RetryAsk& ask);
   void OnRetryLoan(const RetryLoan& loan);
   FetchReply OnFetch(const FetchRequest& request);
-  uint64_t FreshnessAgeMs(Time proof) const;
+  uint64_t FreshnessAgeMs(Time fresh_as_of) const;
   // What is sent of a document besides its body.
   DocumentState DocumentStateOf(DocumentKind kind) const;
   DocumentState ListState(const FetchRequest& request);
@@ -167,20 +167,20 @@
   EndpointDirectory directory_;
   RetryShare retries_;
   RetryLoans loans_;
-  FailureNews failure_gossip_;
-  ForwardParts forward_context_;
+  FailureGossip failure_gossip_;
+  ForwardContext forward_context_;
   Forwarder forwarder_;
   Membership membership_;
   Gossip gossip_;
-  SourceRoster source_selector_;
-  StoreDuty task_selector_;
+  SourceSelector source_selector_;
+  StoreTaskSelector task_selector_;
   PeerSource<PeerLink, EventLoop> peer_source_;
-  EntryServer callers_;
+  CallerServer callers_;
   HttpServer operators_;
   HttpServer readiness_;
 
   ConfigurationParser parse_;
-  PeersFirst startup_check_;
+  StartupPeerCheck startup_check_;
   std::string pending_store_configuration_;  // until a peer was asked
   std::shared_ptr<const ServiceConfiguration> configuration_;
   uint64_t configuration_hash_ = 0;       // of its text
--- a/pinford/forwarding/forwarding_options.cc
+++ b/pinford/forwarding/forwarding_options.cc
@@ -12,8 +12,8 @@
   return options;
 }
 
-EntryServer::Limits CallerServerLimits(const Settings& s) {
-  EntryServer::Limits limits;
+CallerServer::Limits CallerServerLimits(const Settings& s) {
+  CallerServer::Limits limits;
   limits.head_bytes = s.max_header_bytes;
   limits.body_bytes = s.max_body_bytes;
   limits.idle_timeout = s.idle_timeout;
@@ -29,24 +29,24 @@
 
 EndpointTable::Options TableOptions(const Settings& s) {
   EndpointTable::Options options;
-  options.off = s.off;
+  options.mechanisms = s.mechanisms;
   // The list is mirrored, so a report holds until it changes.
   options.report_valid = hours(24 * 365);
-  options.hand_over_directly = true;
+  options.direct_handoff = true;
   // Seconds per token, on the scale of the cost of a layer. A token takes 0.75
   // ms to another hall, and its share of the prompt's activations about 0.1 ms;
   // the rest keeps the links between halls free for the halls that need them.
-  options.other_hall_seconds = 0.003;
+  options.cross_hall_seconds = 0.003;
   return options;
 }
 
 RetryShare::Options RetryShareOptions(const Settings& s,
-                                      const MechanismsOff& off) {
+                                      const MechanismSwitches& mechanisms) {
   RetryShare::Options options;
   options.ratio = s.retry_ratio;
   options.extra = s.retry_extra;
   options.window = s.retry_window;
-  if (!off.on(Mechanism::kRetryLoans)) options.kept = 0;
+  if (!mechanisms.enabled(Mechanism::kRetryLoans)) options.reserved_share = 0;
   return options;
 }
 
--- a/pinford/forwarding/forwarding_options.h
+++ b/pinford/forwarding/forwarding_options.h
@@ -5,7 +5,7 @@
 #define PINFORD_FORWARDING_FORWARDING_OPTIONS_H_
 
 #include "pinford/endpoint_table.h"
-#include "pinford/forwarding/entry_server.h"
+#include "pinford/forwarding/caller_server.h"
 #include "pinford/forwarding/forward_protocol.h"
 #include "pinford/forwarding/retry_share.h"
 #include "pinford/forwarding/upstream_client.h"
@@ -15,12 +15,12 @@
 namespace pinford {
 
 Membership::Options MembershipOptions(const Settings& s);
-EntryServer::Limits CallerServerLimits(const Settings& s);
+CallerServer::Limits CallerServerLimits(const Settings& s);
 UpstreamClient::Options UpstreamClientOptions(const ForwardProtocol& p);
 EndpointTable::Options TableOptions(const Settings& s);
 // `off` lists the disabled mechanisms, which do not change while running.
 RetryShare::Options RetryShareOptions(const Settings& s,
-                                      const MechanismsOff& off);
+                                      const MechanismSwitches& mechanisms);
 
 }  // namespace pinford
 
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -36,15 +36,15 @@
 PeerSourceEvents ForwardingCore::SourceEvents() {
   PeerSourceEvents events;
   events.version = [this](DocumentKind kind) { return VersionOf(kind); };
-  events.proof = [this](DocumentKind kind) {
+  events.fresh_as_of = [this](DocumentKind kind) {
     return fresh_as_of_[IndexOf(kind)];
   };
   events.on_body = [this](DocumentKind kind, const DocumentState& state,
                           const std::string& peer) {
     return OnPeerBody(kind, state, peer);
   };
-  events.on_proof = [this](DocumentKind kind, Time proof) {
-    OnFreshness(kind, proof);
+  events.on_freshness = [this](DocumentKind kind, Time fresh_as_of) {
+    OnFreshness(kind, fresh_as_of);
   };
   events.on_answer = [this] { startup_check_.OnAnswer(); };
   return events;
@@ -60,7 +60,7 @@
   membership_.set_counts(std::move(counts));
   membership_.set_load(static_cast<uint32_t>(forwarder_.active()), 0);
   membership_.set_leaving_endpoints(table_.LeavingMarks());
-  membership_.set_proof_age(FreshnessAge());
+  membership_.set_freshness_age(FreshnessAge());
 }
 
 void ForwardingCore::OnDigest(const Digest& digest) {
@@ -81,41 +81,43 @@
   const Time now = loop_->now();
   table_.OnPeerCounts(membership_.SumOfCounts(now));
   const int boxes = membership_.live_boxes(now);
-  retries_.OnBoxes(now, boxes);
+  retries_.OnBoxCount(now, boxes);
   table_.set_boxes(boxes);
 }
 
 void ForwardingCore::OnRunnerDown(const std::string& endpoint) {
-  if (!forward_context_.off.on(Mechanism::kFailureNews)) return;
+  if (!forward_context_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
   if (!failure_gossip_.OnDown(loop_->now(), endpoint)) return;
-  loop_->After(failure_gossip_.options().gather, [this] {
-    gossip_.Tell({failure_gossip_.Take()}, failure_gossip_.options().peers);
+  loop_->After(failure_gossip_.options().batch_window, [this] {
+    gossip_.SendFailureNotice({failure_gossip_.Take()},
+                              failure_gossip_.options().fanout);
   });
 }
 
 void ForwardingCore::OnFailureNotice(const DownNote& note) {
-  if (!forward_context_.off.on(Mechanism::kFailureNews)) return;
+  if (!forward_context_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
   metrics_.Count("down_notes_total");
   for (const std::string& id :
-       failure_gossip_.Heard(loop_->now(), note.endpoints)) {
-    if (directory_.Find(id) != nullptr) forwarder_.Doubt(id);
+       failure_gossip_.OnNotice(loop_->now(), note.endpoints)) {
+    if (directory_.Find(id) != nullptr) forwarder_.ProbeIfDue(id);
   }
 }
 
 void ForwardingCore::AskForRetries() {
-  if (!forward_context_.off.on(Mechanism::kRetryLoans)) return;
-  std::vector<RetryAsk> asks = loans_.Asks(loop_->now());
+  if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
+  std::vector<RetryAsk> asks = loans_.MakeAsks(loop_->now());
   if (asks.empty()) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_asked",
            LogFields()
                .Add("service", asks[0].service)
                .Add("peers", asks.size())
                .Add("of_each", asks[0].count));
-  gossip_.Ask(std::move(asks));
+  gossip_.SendRetryRequests(std::move(asks));
 }
 
 std::optional<RetryLoan> ForwardingCore::OnRetryAsk(const RetryAsk& ask) {
-  if (!forward_context_.off.on(Mechanism::kRetryLoans)) return std::nullopt;
+  if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans))
+    return std::nullopt;
   const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), ask);
   if (!loan) return std::nullopt;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_lent",
@@ -128,7 +130,7 @@
 }
 
 void ForwardingCore::OnRetryLoan(const RetryLoan& loan) {
-  if (!forward_context_.off.on(Mechanism::kRetryLoans)) return;
+  if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
   const int borrowed = loans_.OnLoan(loop_->now(), loan);
   if (borrowed == 0) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_borrowed",
@@ -149,9 +151,9 @@
   return reply;
 }
 
-uint64_t ForwardingCore::FreshnessAgeMs(Time proof) const {
+uint64_t ForwardingCore::FreshnessAgeMs(Time fresh_as_of) const {
   return static_cast<uint64_t>(
-      std::max<int64_t>(0, ToMillis(loop_->now() - proof) + 1));
+      std::max<int64_t>(0, ToMillis(loop_->now() - fresh_as_of) + 1));
 }
 
 DocumentState ForwardingCore::DocumentStateOf(DocumentKind kind) const {
@@ -185,7 +187,7 @@
   }
   state.version = list.snapshot().version;
   state.list.at = list.snapshot().at;
-  state.proof_age_ms = FreshnessAgeMs(list.snapshot().proof);
+  state.proof_age_ms = FreshnessAgeMs(list.snapshot().fresh_as_of);
   state.body = list.body();
   return state;
 }
@@ -195,12 +197,12 @@
   // The remaining time of a lapsed entry changes as time passes.
   const bool usable =
       full_list_.IsUsable(build_start, directory_.state(), above) &&
-      !directory_.unsettled();
+      !directory_.has_timed_entries();
   if (usable) return full_list_;
   const FullListCache::Snapshot snapshot = {
       VersionOf(DocumentKind::kEndpoints), directory_.at(), directory_.state(),
       fresh_as_of_[IndexOf(DocumentKind::kEndpoints)]};
-  std::string body = Deflate(WriteDirectory(directory_.Copy(build_start)));
+  std::string body = Deflate(WriteDirectory(directory_.Snapshot(build_start)));
   full_list_.Set(build_start, loop_->now(), snapshot, std::move(body));
   return full_list_;
 }
@@ -223,7 +225,7 @@
   // Must precede the list: entries that it lacks, or has again, are due to the
   // restore.
   const StoreRevision version = StoreRevision::FromPacked(state.version);
-  if (!era_.Saw(version.era())) return false;
+  if (!era_.Observe(version.era())) return false;
   if (full_list) directory_.OnList(loop_->now(), *full_list);
   if (changes) directory_.OnChanges(loop_->now(), *changes);
   OnListVersion(version);
--- a/pinford/forwarding/http_reader.cc
+++ b/pinford/forwarding/http_reader.cc
@@ -201,7 +201,7 @@
       state_ == State::kBody && message_->head.until_close && pending_.empty();
   if (complete) {
     state_ = State::kDone;
-  } else if (begun()) {
+  } else if (started()) {
     Fail(HttpReadError::kMalformed);
   }
 }
--- a/pinford/forwarding/http_reader.h
+++ b/pinford/forwarding/http_reader.h
@@ -74,7 +74,7 @@
   // Whether bytes were fed that do not belong to a finished message.
   bool has_leftover() const { return !pending_.empty(); }
   // Whether some bytes of the current message have arrived.
-  bool begun() const { return state_ != State::kHead || !pending_.empty(); }
+  bool started() const { return state_ != State::kHead || !pending_.empty(); }
 
   void set_limits(const Limits& limits) { limits_ = limits; }
 
--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -34,7 +34,7 @@
 #include <utility>
 #include <vector>
 
-#include "pinford/forwarding/source_roster.h"
+#include "pinford/forwarding/source_selector.h"
 #include "pinford/membership.h"
 #include "pinford/peer_messages.h"
 #include "util/clock.h"
@@ -79,14 +79,14 @@
 struct PeerSourceEvents {
   // The version held by this box.
   std::function<uint64_t(DocumentKind)> version;
-  std::function<Time(DocumentKind)> proof;
+  std::function<Time(DocumentKind)> fresh_as_of;
   // A document body with a higher version from a peer. Returns false if it
   // cannot be used.
   std::function<bool(DocumentKind, const DocumentState&,
                      const std::string& peer)>
       on_body;
   // The version held by this box was the newest at that time.
-  std::function<void(DocumentKind, Time proof)> on_proof;
+  std::function<void(DocumentKind, Time fresh_as_of)> on_freshness;
   // A peer has answered, and the documents it sent have been applied.
   std::function<void()> on_answer;
 };
@@ -94,7 +94,7 @@
 template <FetchLink Link, typename Clk>
 class PeerSource {
  public:
-  PeerSource(Clk* clock, const Membership* membership, SourceRoster* roster,
+  PeerSource(Clk* clock, const Membership* membership, SourceSelector* roster,
              std::vector<std::string> seeds, Link* link, Random random,
              const PeerSourceOptions& options, PeerSourceEvents events)
       : clock_(clock),
@@ -109,15 +109,17 @@
   // Handles a digest from `address`: the sender's versions of the configuration
   // and of the list, and when it knew the configuration to be the newest.
   void OnDigest(const std::string& address, uint64_t version, uint64_t list,
-                Time proof) {
+                Time fresh_as_of) {
     const uint64_t own = events_.version(DocumentKind::kConfiguration);
     if (version > own) newer_configuration_seen_ = true;
     if (list > events_.version(DocumentKind::kEndpoints))
       newer_list_peer_ = address;
     const Time now = clock_->now();
-    const Time own_fresh_as_of = events_.proof(DocumentKind::kConfiguration);
+    const Time own_fresh_as_of =
+        events_.fresh_as_of(DocumentKind::kConfiguration);
     const bool stale = now - own_fresh_as_of > options_.max_normal_age;
-    if (stale && version >= own && now - proof < options_.max_normal_age) {
+    if (stale && version >= own &&
+        now - fresh_as_of < options_.max_normal_age) {
       fresher_peer_ = address;
     }
   }
@@ -275,13 +277,14 @@
     if (state.version < events_.version(kind)) return;
     constexpr uint64_t kUnknownAgeMs = 3600 * 1000;
     if (state.proof_age_ms >= kUnknownAgeMs) return;
-    const Time proof = asked - milliseconds(state.proof_age_ms);
-    if (proof > events_.proof(kind)) events_.on_proof(kind, proof);
+    const Time fresh_as_of = asked - milliseconds(state.proof_age_ms);
+    if (fresh_as_of > events_.fresh_as_of(kind))
+      events_.on_freshness(kind, fresh_as_of);
   }
 
   Clk* clock_;
   const Membership* membership_;
-  SourceRoster* roster_;
+  SourceSelector* roster_;
   std::vector<std::string> seeds_;  // addresses, without this box
   Link* link_;
   Random random_;
--- a/pinford/forwarding/prefix_mirror.h
+++ b/pinford/forwarding/prefix_mirror.h
@@ -30,11 +30,11 @@
   // one call to the store.
   Duration watch_timeout = milliseconds(1000);
   // How long an answer may take beyond the watch timeout.
-  Duration answer_limit = milliseconds(700);
+  Duration answer_timeout = milliseconds(700);
   // The same for a list while the store is unreachable. Another list is then
   // sent after `retry_delay`, but an answer to any of them is accepted, so
   // recovery is noticed this soon, however slow the store is.
-  Duration silent_limit = milliseconds(700);
+  Duration unreachable_timeout = milliseconds(700);
   // Between calls to a store that does not answer or refuses: doubled with each
   // consecutive failure, up to the maximum.
   Duration retry_delay = milliseconds(250);
@@ -48,7 +48,7 @@
   std::function<void(const PrefixResult&)> on_list;
   // Changes since the last list or changes.
   std::function<void(const PrefixResult&)> on_changes;
-  std::function<void(Time proof)> on_proof;
+  std::function<void(Time fresh_as_of)> on_freshness;
   // The store became reachable or unreachable for this mirror.
   std::function<void(bool reachable, StoreStatus why)> on_reachable;
 };
@@ -84,11 +84,11 @@
   }
   // The store was restored from a backup, so the position of the mirror is no
   // longer valid.
-  void ListAgain() {
+  void Relist() {
     if (active_) List();
   }
   // Lists the prefix once, unless it is being mirrored or listed already.
-  void Look() {
+  void ReadOnce() {
     if (active_ || std::exchange(reading_once_, true)) return;
     List();
   }
@@ -98,18 +98,18 @@
   // Whether the last call failed. False until the first one has ended.
   bool failing() const { return failures_ > 0; }
   // Sets the upper bound of the delay between retries.
-  void set_most_retry(Duration d) { options_.max_retry_delay = d; }
+  void set_max_retry_delay(Duration d) { options_.max_retry_delay = d; }
   StoreRevision at() const { return at_; }
   // When the copy was last known to be current; Time{} if never.
-  Time proof() const { return fresh_as_of_; }
+  Time fresh_as_of() const { return fresh_as_of_; }
 
  private:
   void List() {
     const Time sent_at = clock_->now();
     const uint64_t epoch = list_epoch_;
     const bool unreachable = active_ && !reachable_;
-    StartTimeout(++current_call_,
-                 unreachable ? options_.silent_limit : options_.answer_limit);
+    StartTimeout(++current_call_, unreachable ? options_.unreachable_timeout
+                                              : options_.answer_timeout);
     store_->List(prefix_, [this, sent_at, epoch](const PrefixResult& r) {
       if (epoch != list_epoch_) return;
       list_epoch_++;
@@ -133,7 +133,7 @@
   void Watch() {
     const Time sent_at = clock_->now();
     const uint64_t call = ++current_call_;
-    StartTimeout(call, options_.watch_timeout + options_.answer_limit);
+    StartTimeout(call, options_.watch_timeout + options_.answer_timeout);
     store_->WatchPrefix(prefix_, at_, options_.watch_timeout,
                         [this, sent_at, call](const PrefixResult& r) {
                           if (call != current_call_) return;
@@ -156,7 +156,7 @@
         OnSuccess(sent_at);
         Watch();
         return;
-      case StoreStatus::kForgotten:
+      case StoreStatus::kCompacted:
         List();
         return;
       default:
@@ -191,7 +191,7 @@
       events_.on_reachable(true, StoreStatus::kOk);
     }
     fresh_as_of_ = std::max(fresh_as_of_, sent_at);
-    events_.on_proof(fresh_as_of_);
+    events_.on_freshness(fresh_as_of_);
   }
 
   void OnFailure(StoreStatus why) {
--- a/pinford/forwarding/service_configuration.h
+++ b/pinford/forwarding/service_configuration.h
@@ -20,8 +20,8 @@
 
 // How a request may be handled when it is unknown whether it ran.
 enum class RequestKind {
-  kRepeatable,  // may run more than once
-  kOnce,        // runs at most once
+  kIdempotent,  // may run more than once
+  kAtMostOnce,  // runs at most once
   kStream,      // answered by a stream of events
 };
 
@@ -36,7 +36,7 @@
   std::string name;
   std::string host;
   std::string prefix;  // of the path; begins and ends with '/'
-  RequestKind kind = RequestKind::kOnce;
+  RequestKind kind = RequestKind::kAtMostOnce;
   bool resumable = false;  // a stream may be resumed after its last event
   bool anonymous = false;  // requires no key
   Duration timeout = seconds(30);        // upper bound for the whole request
@@ -48,7 +48,7 @@
 
   // Whether a request may be sent again after it may have run.
   bool may_repeat() const {
-    return kind == RequestKind::kRepeatable ||
+    return kind == RequestKind::kIdempotent ||
            (kind == RequestKind::kStream && resumable);
   }
 };
@@ -66,18 +66,19 @@
   std::string model;
   int layers = 1;
   double layer_mb = 0;
-  double token_bytes = 0;       // memory that a token occupies in all layers
-  double crossing_seconds = 0;  // per token, over the links between halls
-  double step_seconds = 0;      // per token, all layers, reference accelerator
+  double token_bytes = 0;  // memory that a token occupies in all layers
+  double transfer_seconds_per_token =
+      0;                     // per token, over the links between halls
+  double step_seconds = 0;   // per token, all layers, reference accelerator
   double prefill_per_s = 0;  // prompt tokens, all layers, reference accelerator
   // One engine pass runs up to this many decode steps of the streams in
   // progress, and prefills up to this many prompt tokens.
-  int steps_a_pass = 1;
-  int read_a_pass = 1;
-  double load_seconds = 0;  // time to load all layers
-  int loads_at_once = 1;    // further concurrent loads slow each other down
-  int usual_prompt = 0;     // tokens, mean
-  int usual_answer = 0;
+  int steps_per_pass = 1;
+  int prefill_tokens_per_pass = 1;
+  double load_seconds = 0;     // time to load all layers
+  int concurrent_loads = 1;    // further concurrent loads slow each other down
+  int mean_prompt_tokens = 0;  // tokens, mean
+  int mean_answer_tokens = 0;
   std::vector<AcceleratorKind> kinds;
 
   const AcceleratorKind* Kind(std::string_view name) const;
--- a/pinford/forwarding/source_roster.cc
+++ b/pinford/forwarding/source_selector.cc
@@ -1,4 +1,4 @@
-#include "pinford/forwarding/source_roster.h"
+#include "pinford/forwarding/source_selector.h"
 
 #include <algorithm>
 
@@ -6,18 +6,18 @@
 
 namespace pinford {
 
-bool SourceRoster::IsExcluded(Time now, const std::string& address) const {
+bool SourceSelector::IsExcluded(Time now, const std::string& address) const {
   const auto it = states_.find(address);
   return it != states_.end() && now < it->second.excluded_until;
 }
 
-bool SourceRoster::HasFailed(Time now, const std::string& address) const {
+bool SourceSelector::HasFailed(Time now, const std::string& address) const {
   const auto it = states_.find(address);
   return it != states_.end() && it->second.failed_at != Time::min() &&
          now - it->second.failed_at < options_.failing_period;
 }
 
-void SourceRoster::Refresh(Time now) {
+void SourceSelector::Refresh(Time now) {
   if (refreshed_at_ != Time::min() && now - refreshed_at_ < options_.refresh)
     return;
   refreshed_at_ = now;
@@ -45,7 +45,7 @@
   RankSources(halls);
 }
 
-void SourceRoster::RankSources(
+void SourceSelector::RankSources(
     const std::map<std::string_view, RankedBoxes>& halls) {
   const MemberRow& self = membership_->self();
   const size_t max_mirrors = options_.max_mirrors;
@@ -69,26 +69,26 @@
   for (const auto& [weight, boxes] : remote) add(*boxes, 1, max_mirrors);
 }
 
-int SourceRoster::rank(Time now) {
+int SourceSelector::rank(Time now) {
   Refresh(now);
   return rank_;
 }
 
-bool SourceRoster::is_active_standby(Time now) {
+bool SourceSelector::is_active_standby(Time now) {
   return primary_failing(now) && rank_ < options_.max_mirrors;
 }
 
-int SourceRoster::hall_boxes(Time now) {
+int SourceSelector::hall_boxes(Time now) {
   Refresh(now);
   return consecutive_timeouts_ >= options_.isolated_after ? 1 : hall_boxes_;
 }
 
-bool SourceRoster::primary_failing(Time now) {
+bool SourceSelector::primary_failing(Time now) {
   Refresh(now);
   return rank_ > 0 && HasFailed(now, sources_.front());
 }
 
-std::string SourceRoster::Next(Time now) {
+std::string SourceSelector::Next(Time now) {
   Refresh(now);
   if (sources_.empty()) return "";
   const std::string& first = sources_.front();
@@ -102,8 +102,8 @@
   return sources_[1 + turn_ / 2 % (sources_.size() - 1)];
 }
 
-bool SourceRoster::OnAnswer(Time now, const std::string& address,
-                            SourceAnswer answer) {
+bool SourceSelector::OnAnswer(Time now, const std::string& address,
+                              SourceAnswer answer) {
   consecutive_timeouts_ =
       answer == SourceAnswer::kNoAnswer ? consecutive_timeouts_ + 1 : 0;
   if (answer == SourceAnswer::kOk) {
--- a/pinford/forwarding/source_roster.h
+++ b/pinford/forwarding/source_selector.h
@@ -18,8 +18,8 @@
 // Ranks differ while boxes have different views of the membership. It does no
 // harm if two boxes have the same role.
 
-#ifndef PINFORD_FORWARDING_SOURCE_ROSTER_H_
-#define PINFORD_FORWARDING_SOURCE_ROSTER_H_
+#ifndef PINFORD_FORWARDING_SOURCE_SELECTOR_H_
+#define PINFORD_FORWARDING_SOURCE_SELECTOR_H_
 
 #include <map>
 #include <string>
@@ -44,7 +44,7 @@
 // The highest-ranked boxes of a hall, by their weight for the role.
 using RankedBoxes = std::vector<std::pair<uint64_t, const MemberRow*>>;
 
-class SourceRoster {
+class SourceSelector {
  public:
   struct Options {
     // Boxes of a hall that may mirror the store: the primary and its standbys.
@@ -66,7 +66,7 @@
     Duration refresh = milliseconds(500);
   };
 
-  SourceRoster(const Membership* membership, const Options& options)
+  SourceSelector(const Membership* membership, const Options& options)
       : membership_(membership), options_(options) {}
 
   // The rank of this box in its hall, from 0, among the boxes that answer it.
@@ -112,4 +112,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_SOURCE_ROSTER_H_
+#endif  // PINFORD_FORWARDING_SOURCE_SELECTOR_H_
--- a/pinford/forwarding/peers_first.h
+++ b/pinford/forwarding/startup_peer_check.h
@@ -8,26 +8,26 @@
 // answered, reporting a higher version if it has one, or after a timeout: if
 // all boxes start together, nobody is there to ask.
 
-#ifndef PINFORD_FORWARDING_PEERS_FIRST_H_
-#define PINFORD_FORWARDING_PEERS_FIRST_H_
+#ifndef PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
+#define PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
 
 #include "util/clock.h"
 
 namespace pinford {
 
-class PeersFirst {
+class StartupPeerCheck {
  public:
   // A running seed answers the first request within 30 ms of the start; callers
   // wait for 100 ms (StartQueueOptions::longest).
   static constexpr Duration kMaxWait = milliseconds(60);
 
   // `has_peers`: this box knows an address to ask.
-  PeersFirst(Time started, bool has_peers)
+  StartupPeerCheck(Time started, bool has_peers)
       : started_(started), done_(!has_peers) {}
 
   // A peer has answered, even if it has no documents.
   void OnAnswer() { done_ = true; }
-  bool Over(Time now) const { return done_ || now - started_ >= kMaxWait; }
+  bool Done(Time now) const { return done_ || now - started_ >= kMaxWait; }
 
  private:
   Time started_;
@@ -36,4 +36,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_PEERS_FIRST_H_
+#endif  // PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
--- a/pinford/forwarding/store_duty.cc
+++ b/pinford/forwarding/store_task_selector.cc
@@ -1,4 +1,4 @@
-#include "pinford/forwarding/store_duty.h"
+#include "pinford/forwarding/store_task_selector.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,20 +10,20 @@
 static constexpr EnumName<StoreTask> kStoreTaskNames[] = {
     {StoreTask::kNone, "none"},        {StoreTask::kMirror, "mirror"},
     {StoreTask::kStandby, "stand_in"}, {StoreTask::kPlan, "plan"},
-    {StoreTask::kLook, "look"},
+    {StoreTask::kReadOnce, "look"},
 };
 
 std::string_view StoreTaskName(StoreTask t) {
   return NameIn(kStoreTaskNames, t);
 }
 
-bool StoreDuty::IsStale(Time now, Time proof) const {
-  if (proof == Time{}) return now - started_ >= options_.first_read_after;
-  return now - proof > options_.read_after_age;
+bool StoreTaskSelector::IsStale(Time now, Time fresh_as_of) const {
+  if (fresh_as_of == Time{}) return now - started_ >= options_.first_read_after;
+  return now - fresh_as_of > options_.read_after_age;
 }
 
-Duration StoreDuty::RandomPause(double min_factor, double max_factor,
-                                int hall_boxes) {
+Duration StoreTaskSelector::RandomPause(double min_factor, double max_factor,
+                                        int hall_boxes) {
   const double boxes =
       static_cast<double>(hall_boxes) / options_.hall_reads_per_interval;
   std::uniform_real_distribution<double> factor(min_factor, max_factor);
@@ -31,16 +31,18 @@
                      factor(random_));
 }
 
-StoreTask StoreDuty::Now(Time now, Time proof, SourceRoster* roster) {
+StoreTask StoreTaskSelector::ChooseTask(Time now, Time fresh_as_of,
+                                        SourceSelector* roster) {
   const bool joined = seed_ || now - started_ >= options_.join;
   if (joined && roster->rank(now) == 0) return StoreTask::kMirror;
   if (joined && roster->is_active_standby(now)) return StoreTask::kStandby;
   if (is_planner_) return StoreTask::kPlan;
   const bool may_read = now - started_ >= options_.read_for_caller_after;
-  if (proof == Time{} && may_read && std::exchange(caller_waiting_, false)) {
-    return StoreTask::kLook;
+  if (fresh_as_of == Time{} && may_read &&
+      std::exchange(caller_waiting_, false)) {
+    return StoreTask::kReadOnce;
   }
-  if (!IsStale(now, proof)) {
+  if (!IsStale(now, fresh_as_of)) {
     next_read_ = Time::max();
     return StoreTask::kNone;
   }
@@ -54,7 +56,7 @@
   if (now < next_read_) return StoreTask::kNone;
   next_read_ = now + RandomPause(0.5, 1.5, boxes);
   hall_boxes_at_draw_ = boxes;
-  return StoreTask::kLook;
+  return StoreTask::kReadOnce;
 }
 
 }  // namespace pinford
--- a/pinford/forwarding/store_duty.h
+++ b/pinford/forwarding/store_task_selector.h
@@ -20,12 +20,12 @@
 //
 // Does no I/O; the caller carries out the task returned by ChooseTask.
 
-#ifndef PINFORD_FORWARDING_STORE_DUTY_H_
-#define PINFORD_FORWARDING_STORE_DUTY_H_
+#ifndef PINFORD_FORWARDING_STORE_TASK_SELECTOR_H_
+#define PINFORD_FORWARDING_STORE_TASK_SELECTOR_H_
 
 #include <string_view>
 
-#include "pinford/forwarding/source_roster.h"
+#include "pinford/forwarding/source_selector.h"
 #include "util/clock.h"
 #include "util/hash.h"
 
@@ -33,10 +33,10 @@
 
 enum class StoreTask {
   kNone,
-  kMirror,   // this box is the primary of its hall
-  kStandby,  // the primary of its hall fails
-  kPlan,     // this box plans the pools, whatever its rank
-  kLook,     // no peer has been fresh for long: read once now
+  kMirror,    // this box is the primary of its hall
+  kStandby,   // the primary of its hall fails
+  kPlan,      // this box plans the pools, whatever its rank
+  kReadOnce,  // no peer has been fresh for long: read once now
 };
 
 std::string_view StoreTaskName(StoreTask t);
@@ -47,7 +47,7 @@
          t == StoreTask::kPlan;
 }
 
-class StoreDuty {
+class StoreTaskSelector {
  public:
   struct Options {
     // How long a starting box leaves mirroring to the seeds
@@ -70,7 +70,8 @@
     int hall_reads_per_interval = 2;
   };
 
-  StoreDuty(Time started, bool seed, const Options& options, Random random)
+  StoreTaskSelector(Time started, bool seed, const Options& options,
+                    Random random)
       : started_(started), seed_(seed), options_(options), random_(random) {}
 
   // Sets whether this box plans the pools. The planner uses the store's own
@@ -80,7 +81,7 @@
 
   // Returns the task of this box now. `proof` is when its documents were last
   // known to be current, Time{} if it has none.
-  StoreTask Now(Time now, Time proof, SourceRoster* roster);
+  StoreTask ChooseTask(Time now, Time fresh_as_of, SourceSelector* roster);
   // A caller waits for this box, which has no documents yet. Returns the time
   // from which ChooseTask may return kReadOnce for it.
   Time OnCallerWaiting() {
@@ -90,7 +91,7 @@
 
  private:
   // Whether the documents of this box have been stale for too long.
-  bool IsStale(Time now, Time proof) const;
+  bool IsStale(Time now, Time fresh_as_of) const;
   Duration RandomPause(double min_factor, double max_factor, int hall_boxes);
 
   Time started_;
@@ -105,4 +106,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_STORE_DUTY_H_
+#endif  // PINFORD_FORWARDING_STORE_TASK_SELECTOR_H_
--- a/pinford/forwarding/upstream_client.h
+++ b/pinford/forwarding/upstream_client.h
@@ -36,8 +36,8 @@
   kRefused,    // no connection could be made: nothing was sent
   kWithdrawn,  // before_send returned false: nothing was sent
   kBroken,     // the connection ended after sending, without a response
-  kCut,        // the connection ended within the response
-  kGarbage,    // the response is not HTTP, or too large
+  kTruncated,  // the connection ended within the response
+  kMalformed,  // the response is not HTTP, or too large
 };
 
 std::string_view UpstreamEndName(UpstreamEnd e);
@@ -49,7 +49,7 @@
   std::string id;          // expected value of the response's id header
   bool head_only = false;  // a HEAD request: its response has no body
   // Connections that were idle for longer are not reused for this request.
-  Duration max_rest = seconds(60);
+  Duration max_idle_time = seconds(60);
   Duration connect_timeout = milliseconds(400);
 };
 
@@ -89,7 +89,7 @@
   void Pause(UpstreamId id, bool paused);
   // Closes the idle connections of an endpoint that was removed or restarted,
   // and prevents reuse of those that are in use now.
-  void Forget(const std::string& endpoint);
+  void DropConnections(const std::string& endpoint);
 
   int64_t connects() const { return connects_; }
   size_t in_progress() const { return exchanges_.size(); }
--- a/pinford/forwarding/whole_list.h
+++ b/pinford/forwarding/whole_list.h
@@ -26,7 +26,7 @@
     uint64_t version = 0;  // of the store's list
     uint64_t at = 0;       // position in the box's own sequence of changes
     uint64_t state = 0;    // incremented with each entry set or dropped
-    Time proof{};          // when that version was known to be the newest
+    Time fresh_as_of{};    // when that version was known to be the newest
   };
   // The interval between rebuilds, as a multiple of the build time: at most a
   // fifth of the box's time goes to building.
--- a/pinford/testing/entry_server_test.cc
+++ b/pinford/testing/caller_server_test.cc
@@ -1,8 +1,8 @@
-// EntryServer against misbehaving callers, over real sockets: requests in
+// CallerServer against misbehaving callers, over real sockets: requests in
 // pieces, pipelined, too large, too slow or smuggled, and callers that
 // disconnect.
 
-#include "pinford/forwarding/entry_server.h"
+#include "pinford/forwarding/caller_server.h"
 
 #include <gtest/gtest.h>
 
@@ -13,13 +13,14 @@
 
 class Fixture {
  public:
-  Fixture() : server(&loop, Limits(), [this](EntryPtr e) { Handle(e); }) {
+  Fixture()
+      : server(&loop, Limits(), [this](CallerExchangePtr e) { Handle(e); }) {
     address = {"127.0.0.1", static_cast<uint16_t>(FreePorts(1)[0])};
     EXPECT_TRUE(server.Listen(address));
   }
 
-  static EntryServer::Limits Limits() {
-    EntryServer::Limits limits;
+  static CallerServer::Limits Limits() {
+    CallerServer::Limits limits;
     limits.head_bytes = 300;
     limits.body_bytes = 20;
     limits.head_timeout = milliseconds(300);
@@ -27,11 +28,11 @@
     return limits;
   }
 
-  void Handle(const EntryPtr& e) {
+  void Handle(const CallerExchangePtr& e) {
     requests.push_back(e->head().method + " " + e->head().target + " " +
                        e->body());
     if (defer_replies) {
-      e->set_on_hang_up([this] { disconnects++; });
+      e->set_on_disconnect([this] { disconnects++; });
       deferred.push_back(e);
     } else {
       e->Reply(200, "OK", {{"A", "b"}}, "<" + e->head().target + ">");
@@ -65,9 +66,9 @@
 
   EventLoop loop;
   Address address;
-  EntryServer server;
+  CallerServer server;
   std::vector<std::string> requests;
-  std::vector<EntryPtr> deferred;
+  std::vector<CallerExchangePtr> deferred;
   std::shared_ptr<TcpConnection>
       last_connection;  // the connection of the last SendText
   int disconnects = 0;
@@ -80,7 +81,7 @@
   return answer.size() < 12 ? answer : answer.substr(9, 3);
 }
 
-TEST(EntryServer, RefusesInvalidRequests) {
+TEST(CallerServer, RefusesInvalidRequests) {
   const struct {
     const char* name;
     std::string text;
@@ -120,7 +121,7 @@
   }
 }
 
-TEST(EntryServer, AnswersPipelinedRequestsInOrder) {
+TEST(CallerServer, AnswersPipelinedRequestsInOrder) {
   Fixture f;
   const std::string received = f.SendText(
       "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -137,7 +138,7 @@
   EXPECT_EQ(f.server.connections(), 1u) << "the connection is kept";
 }
 
-TEST(EntryServer, ACallerThatLeavesIsNoticedAtOnce) {
+TEST(CallerServer, ACallerThatLeavesIsNoticedAtOnce) {
   Fixture f;
   f.defer_replies = true;
   auto tcp = f.Open();
@@ -151,7 +152,7 @@
   f.deferred[0]->Reply(200, "", {}, "not delivered");
 }
 
-TEST(EntryServer, AnAnswerThatBreaksOffDoesNotLookComplete) {
+TEST(CallerServer, AnAnswerThatBreaksOffDoesNotLookComplete) {
   Fixture f;
   f.defer_replies = true;
   auto tcp = f.Open();
@@ -167,7 +168,7 @@
   EXPECT_EQ(f.received.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST(EntryServer, IdleConnectionsCloseAfterATimeoutOrOnCloseIdle) {
+TEST(CallerServer, IdleConnectionsCloseAfterATimeoutOrOnCloseIdle) {
   Fixture f;
   f.SendText("GET / HTTP/1.1\r\nHost: h\r\n\r\n", milliseconds(300));
   EXPECT_FALSE(f.disconnected);
@@ -191,7 +192,7 @@
   EXPECT_EQ(g.server.connections(), 0u);
 }
 
-TEST(EntryServer, CloseIdleLeavesTimeForAFirstRequest) {
+TEST(CallerServer, CloseIdleLeavesTimeForAFirstRequest) {
   const std::string request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   Fixture kept;
   kept.SendText(request, milliseconds(50));
@@ -219,9 +220,9 @@
   EXPECT_TRUE(silent.disconnected) << "its grace period is over";
 }
 
-TEST(EntryServer, KeepsToItsBoundOfConnections) {
+TEST(CallerServer, KeepsToItsBoundOfConnections) {
   Fixture f;
-  EntryServer::Limits limits = Fixture::Limits();
+  CallerServer::Limits limits = Fixture::Limits();
   limits.connections = 2;
   f.server.set_limits(limits);
   std::vector<std::shared_ptr<TcpConnection>> all;
@@ -233,7 +234,7 @@
 
 // Guards against a response being truncated one second after it was written,
 // with most of it unsent, because the caller or its link was slow.
-TEST(EntryServer, AnAnswerIsDeliveredHoweverSlowlyItIsRead) {
+TEST(CallerServer, AnAnswerIsDeliveredHoweverSlowlyItIsRead) {
   Fixture f;
   f.defer_replies = true;
   f.SendText("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
@@ -253,7 +254,7 @@
 
 // Guards against closing the connection of a caller that reads nothing for more
 // than four seconds but is alive and acknowledges what it is sent.
-TEST(EntryServer, ACallerThatPausesIsNotTakenForGone) {
+TEST(CallerServer, ACallerThatPausesIsNotTakenForGone) {
   Fixture f;
   f.defer_replies = true;
   f.SendText("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "pinford/event_loop.h"
-#include "pinford/forwarding/peers_first.h"
+#include "pinford/forwarding/startup_peer_check.h"
 #include "pinford/peer_link.h"
 #include "pinford/testing/free_ports.h"
 
@@ -101,8 +101,8 @@
     options.interval = milliseconds(20);
     return options;
   }
-  static SourceRoster::Options RosterOptions() {
-    SourceRoster::Options options;
+  static SourceSelector::Options RosterOptions() {
+    SourceSelector::Options options;
     options.failing_period = milliseconds(200);
     return options;
   }
@@ -111,15 +111,15 @@
     events.version = [this](DocumentKind kind) {
       return kind == DocumentKind::kEndpoints ? list_version : 7;
     };
-    events.proof = [this](DocumentKind) { return fresh_as_of_; };
+    events.fresh_as_of = [this](DocumentKind) { return fresh_as_of_; };
     events.on_body = [this](DocumentKind, const DocumentState& state,
                             const std::string&) {
       bodies.push_back(state.body);
       list_version = state.version;
       return true;
     };
-    events.on_proof = [this](DocumentKind, Time proof) {
-      fresh_as_of_ = proof;
+    events.on_freshness = [this](DocumentKind, Time fresh_as_of) {
+      fresh_as_of_ = fresh_as_of;
     };
     return events;
   }
@@ -129,7 +129,7 @@
   Membership membership_;
   PeerLink link_;
   Time fresh_as_of_{};
-  SourceRoster roster_;
+  SourceSelector roster_;
   PeerSource<PeerLink, EventLoop> source_;
   std::unique_ptr<Peer> peers_[2];
 };
@@ -224,14 +224,14 @@
   EXPECT_EQ(f.other->asked_from, none);
 }
 
-TEST(PeersFirst, EndsWithAnAnswerOrAfterATimeout) {
+TEST(StartupPeerCheck, EndsWithAnAnswerOrAfterATimeout) {
   const Time now = Time{} + seconds(1);
-  EXPECT_TRUE(PeersFirst(now, false).Over(now));
-  PeersFirst asks(now, true);
-  EXPECT_FALSE(asks.Over(now + PeersFirst::kMaxWait - milliseconds(1)));
-  EXPECT_TRUE(asks.Over(now + PeersFirst::kMaxWait));
+  EXPECT_TRUE(StartupPeerCheck(now, false).Done(now));
+  StartupPeerCheck asks(now, true);
+  EXPECT_FALSE(asks.Done(now + StartupPeerCheck::kMaxWait - milliseconds(1)));
+  EXPECT_TRUE(asks.Done(now + StartupPeerCheck::kMaxWait));
   asks.OnAnswer();
-  EXPECT_TRUE(asks.Over(now));
+  EXPECT_TRUE(asks.Done(now));
 }
 
 }  // namespace
--- a/pinford/testing/prefix_mirror_test.cc
+++ b/pinford/testing/prefix_mirror_test.cc
@@ -93,7 +93,7 @@
     if (other || since < compacted_) {
       Answer(Duration(0), fn, [] {
         PrefixResult r;
-        r.status = StoreStatus::kForgotten;
+        r.status = StoreStatus::kCompacted;
         return r;
       });
       return;
@@ -108,7 +108,7 @@
       PrefixResult r;
       // The state may have changed since the check 2 ms ago.
       if (since.era() < revision_.era() || since < compacted_) {
-        r.status = StoreStatus::kForgotten;
+        r.status = StoreStatus::kCompacted;
         return r;
       }
       r.status = has_changes ? StoreStatus::kOk : StoreStatus::kTimeout;
@@ -155,7 +155,7 @@
       const Duration back =
           is_late ? milliseconds(500 + random_() % 2500) : milliseconds(2);
       clock_->After(back, [this, fn, r, answer_era = revision_.era()] {
-        fn(era.Saw(answer_era) ? r : PrefixResult());
+        fn(era.Observe(answer_era) ? r : PrefixResult());
       });
     });
   }
@@ -177,7 +177,7 @@
   MirroredCopy(FakePrefixStore* store, PausedClock* clock,
                const PrefixMirrorOptions& options = {})
       : mirror(store, clock, "p/", options, Events()) {
-    store->era.set_on_rise([this](uint64_t, uint64_t) { mirror.ListAgain(); });
+    store->era.set_on_increase([this](uint64_t, uint64_t) { mirror.Relist(); });
   }
 
   PrefixMirrorEvents Events() {
@@ -188,7 +188,7 @@
       lists++;
     };
     events.on_changes = [this](const PrefixResult& r) { Apply(r); };
-    events.on_proof = [](Time) {};
+    events.on_freshness = [](Time) {};
     events.on_reachable = [this](bool r, StoreStatus) {
       reachable = r;
       reachability_changes++;
@@ -197,7 +197,7 @@
   }
   void Apply(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
-      if (item.gone) {
+      if (item.removed) {
         copy.erase(item.key);
       } else {
         copy[item.key] = item.value;
@@ -272,7 +272,7 @@
     PausedClock clock;
     FakePrefixStore store(&clock, 1);
     PrefixMirrorOptions options;
-    options.silent_limit = milliseconds(20);
+    options.unreachable_timeout = milliseconds(20);
     MirroredCopy m(&store, &clock, options);
     m.mirror.Start();
     clock.Advance(seconds(1));
@@ -289,7 +289,7 @@
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   PrefixMirrorOptions options;
-  options.silent_limit = milliseconds(20);
+  options.unreachable_timeout = milliseconds(20);
   MirroredCopy m(&store, &clock, options);
   m.mirror.Start();
   clock.Advance(seconds(1));
@@ -323,8 +323,8 @@
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
   MirroredCopy m(&store, &clock);
-  m.mirror.Look();
-  m.mirror.Look();
+  m.mirror.ReadOnce();
+  m.mirror.ReadOnce();
   clock.Advance(seconds(5));
   EXPECT_EQ(m.copy, store.Values());
   EXPECT_EQ(store.calls, 1);
@@ -332,18 +332,18 @@
 
   // A read without an answer ends, and the next may start.
   store.lost_share = 1;
-  m.mirror.Look();
+  m.mirror.ReadOnce();
   clock.Advance(seconds(5));
   EXPECT_EQ(store.calls, 2);
   EXPECT_FALSE(m.reachable);
   store.lost_share = 0;
   store.Put("p/b", "2");
-  m.mirror.Look();
+  m.mirror.ReadOnce();
   clock.Advance(milliseconds(100));
   EXPECT_EQ(m.copy, store.Values());
 
   // An outstanding read becomes the first list of the mirror.
-  m.mirror.Look();
+  m.mirror.ReadOnce();
   m.mirror.Start();
   clock.Advance(milliseconds(100));
   EXPECT_EQ(store.calls, 5) << "a list and a watch";
@@ -386,9 +386,9 @@
         default:
           break;
       }
-      if (m.mirror.proof() == Time{}) continue;
+      if (m.mirror.fresh_as_of() == Time{}) continue;
       const int expected =
-          std::prev(newest.upper_bound(m.mirror.proof()))->second;
+          std::prev(newest.upper_bound(m.mirror.fresh_as_of()))->second;
       const auto it = m.copy.find("p/n");
       const int copied = it == m.copy.end() ? 0 : std::stoi(it->second);
       ASSERT_GE(copied, expected) << seed << " at step " << step;
@@ -397,7 +397,7 @@
     store.lost_share = store.late_share = store.refused_share = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
-    EXPECT_LE(clock.now() - m.mirror.proof(), seconds(3)) << seed;
+    EXPECT_LE(clock.now() - m.mirror.fresh_as_of(), seconds(3)) << seed;
   }
 }
 
@@ -471,15 +471,15 @@
           break;
       }
       last_present[store.Values()] = clock.now();
-      if (m.mirror.proof() == Time{}) continue;
+      if (m.mirror.fresh_as_of() == Time{}) continue;
       ASSERT_TRUE(last_present.contains(m.copy)) << seed << " at step " << step;
-      ASSERT_GE(last_present[m.copy], m.mirror.proof())
+      ASSERT_GE(last_present[m.copy], m.mirror.fresh_as_of())
           << seed << " at step " << step;
     }
     store.lost_share = store.late_share = store.refused_share = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
-    EXPECT_LE(clock.now() - m.mirror.proof(), seconds(3)) << seed;
+    EXPECT_LE(clock.now() - m.mirror.fresh_as_of(), seconds(3)) << seed;
   }
   EXPECT_GT(restores, 5000);
 }
