--- a/pinford/forwarding/forward_head.cc
+++ b/pinford/forwarding/forward_head.cc
@@ -5,7 +5,7 @@
 
 namespace pinford {
 
-// Hop-by-hop headers (RFC 9110, 7.6.1), and the length, which is written anew.
+// Hop-by-hop headers (RFC 9110, 7.6.1), and the length, which is recomputed.
 static constexpr std::string_view kConnectionHeaders[] = {
     "Connection",        "Keep-Alive", "Proxy-Connection", "TE",     "Trailer",
     "Transfer-Encoding", "Upgrade",    "Content-Length",   "Expect",
--- a/pinford/forwarding/forward_protocol.h
+++ b/pinford/forwarding/forward_protocol.h
@@ -35,7 +35,7 @@
   std::string seal = "X-Seal";  // marks a response as produced by the endpoint
   std::string load = "X-Load";  // not forwarded
   std::string at_fault = "X-At-Fault";      // the stage that refused
-  std::string retry_after = "Retry-After";  // seconds, set by whoever refuses
+  std::string retry_after = "Retry-After";  // seconds, with a refusal
   std::string leaving = "X-Leaving";        // 1: the endpoint is leaving
 };
 
--- a/pinford/forwarding/whole_list.h
+++ b/pinford/forwarding/full_list_cache.h
@@ -7,8 +7,8 @@
 // takes a bounded share of the time, and peers that receive it request the
 // changes since its snapshot.
 
-#ifndef PINFORD_FORWARDING_WHOLE_LIST_H_
-#define PINFORD_FORWARDING_WHOLE_LIST_H_
+#ifndef PINFORD_FORWARDING_FULL_LIST_CACHE_H_
+#define PINFORD_FORWARDING_FULL_LIST_CACHE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -63,4 +63,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_FORWARDING_WHOLE_LIST_H_
+#endif  // PINFORD_FORWARDING_FULL_LIST_CACHE_H_
--- a/pinford/forwarding/store_task_selector.h
+++ b/pinford/forwarding/store_task_selector.h
@@ -79,8 +79,8 @@
   // for it.
   void set_is_planner(bool is_planner) { is_planner_ = is_planner; }
 
-  // Returns the task of this box now. `proof` is when its documents were last
-  // known to be current, Time{} if it has none.
+  // Returns the task of this box now. `fresh_as_of` is when its documents were
+  // last known to be current, Time{} if it has none.
   StoreTask ChooseTask(Time now, Time fresh_as_of, SourceSelector* roster);
   // A caller waits for this box, which has no documents yet. Returns the time
   // from which ChooseTask may return kReadOnce for it.
--- a/pinford/testing/whole_list_test.cc
+++ b/pinford/testing/full_list_cache_test.cc
@@ -1,6 +1,6 @@
 // FullListCache: which peers get the cached list, and when it is rebuilt.
 
-#include "pinford/forwarding/whole_list.h"
+#include "pinford/forwarding/full_list_cache.h"
 
 #include <gtest/gtest.h>
 
