--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -69,6 +69,8 @@
   void set_configuration_parser(ConfigurationParser parser) {
     parse_ = std::move(parser);
   }
+  // Applies a configuration, unless it is not newer than the one in force.
+  // Returns false if it cannot be parsed, which changes nothing.
   bool OnConfiguration(const std::string& text, std::string_view from);
   // A configuration from the store. The first one is held back until a peer has
   // been asked (startup_peer_check.h).
@@ -88,7 +90,8 @@
   void set_update_store_task(std::function<void()> fn) {
     update_store_task_ = std::move(fn);
   }
-  // Whether the store does not answer this box although it is to mirror it.
+  // Sets whether the store fails to answer this box, whose task is to mirror
+  // it.
   void set_store_failing(bool v) { store_failing_ = v; }
   bool ready() const {
     return configuration_ && list_version_ != StoreRevision() && !stopping_;
--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -94,12 +94,12 @@
 template <FetchLink Link, typename Clk>
 class PeerSource {
  public:
-  PeerSource(Clk* clock, const Membership* membership, SourceSelector* roster,
+  PeerSource(Clk* clock, const Membership* membership, SourceSelector* selector,
              std::vector<std::string> seeds, Link* link, Random random,
              const PeerSourceOptions& options, PeerSourceEvents events)
       : clock_(clock),
         membership_(membership),
-        roster_(roster),
+        selector_(selector),
         seeds_(std::move(seeds)),
         link_(link),
         random_(random),
@@ -110,15 +110,15 @@
   // and of the list, and when it knew the configuration to be the newest.
   void OnDigest(const std::string& address, uint64_t version, uint64_t list,
                 Time fresh_as_of) {
-    const uint64_t own = events_.version(DocumentKind::kConfiguration);
-    if (version > own) newer_configuration_seen_ = true;
+    const uint64_t own_version = events_.version(DocumentKind::kConfiguration);
+    if (version > own_version) newer_configuration_seen_ = true;
     if (list > events_.version(DocumentKind::kEndpoints))
       newer_list_peer_ = address;
     const Time now = clock_->now();
     const Time own_fresh_as_of =
         events_.fresh_as_of(DocumentKind::kConfiguration);
     const bool stale = now - own_fresh_as_of > options_.max_normal_age;
-    if (stale && version >= own &&
+    if (stale && version >= own_version &&
         now - fresh_as_of < options_.max_normal_age) {
       fresher_peer_ = address;
     }
@@ -130,7 +130,7 @@
     const Duration timeout = HasAllDocuments()
                                  ? options_.answer_timeout
                                  : options_.answer_timeout_at_start;
-    const bool still_waiting = waiting_ && now - asked_at_ < timeout;
+    const bool still_waiting = waiting_ && now - sent_at_ < timeout;
     // The asked peer may be down; its answer is accepted all the same.
     if (still_waiting && (!wanted || newer_list_peer_.empty())) return;
     const bool timed_out = std::exchange(waiting_, false) && !still_waiting;
@@ -158,7 +158,7 @@
       next_at_ = now + options_.interval;
       if (!holder.empty()) return holder;
     }
-    std::string source = roster_->Next(now);
+    std::string source = selector_->Next(now);
     if (seeds_.empty() || (!source.empty() && HasAllDocuments())) {
       next_at_ = now + options_.interval;
       seed_pause_ = options_.min_seed_pause;
@@ -179,11 +179,11 @@
   // known. Members of the local hall are preferred; choosing at random spreads
   // the load of distribution over all that have it.
   std::string PickNewer(Time now, DocumentKind kind) {
-    const uint64_t own = events_.version(kind);
+    const uint64_t own_version = events_.version(kind);
     std::vector<const Membership::Member*> local;
     std::vector<const Membership::Member*> remote;
     for (const auto& [name, m] : membership_->members()) {
-      const bool newer = m.row.versions[IndexOf(kind)] > own;
+      const bool newer = m.row.versions[IndexOf(kind)] > own_version;
       if (!newer || membership_->Suspected(now, m)) continue;
       const bool same_hall = m.row.hall == membership_->self().hall;
       (same_hall ? local : remote).push_back(&m);
@@ -194,7 +194,7 @@
 
   void SendRequest(Time now, const std::string& peer) {
     waiting_ = true;
-    asked_at_ = now;
+    sent_at_ = now;
     asked_peer_ = peer;
     FetchRequest request;
     request.kind = FetchKind::kShared;
@@ -203,19 +203,19 @@
     }
     if (peer == list_source_) request.list = list_cursor_;
     const uint64_t id = ++request_id_;
-    link_->Fetch(
-        peer, request,
-        [this, id, asked = now, peer](const std::optional<FetchReply>& reply) {
-          if (id == request_id_) waiting_ = false;
-          OnReply(peer, asked, reply);
-        });
+    link_->Fetch(peer, request,
+                 [this, id, sent_at = now,
+                  peer](const std::optional<FetchReply>& reply) {
+                   if (id == request_id_) waiting_ = false;
+                   OnReply(peer, sent_at, reply);
+                 });
   }
 
   // Records the outcome of a request. A source that begins to fail is not
   // waited for.
   void RecordAnswer(const std::string& source, SourceAnswer answer) {
     const Time now = clock_->now();
-    const bool newly_failing = roster_->OnAnswer(now, source, answer);
+    const bool newly_failing = selector_->OnAnswer(now, source, answer);
     if (newly_failing)
       next_at_ = std::min(next_at_, now + options_.failover_delay);
   }
@@ -227,7 +227,7 @@
     next_at_ = std::min(next_at_, clock_->now() + FromSeconds(pause));
   }
 
-  void OnReply(const std::string& from, Time asked,
+  void OnReply(const std::string& from, Time sent_at,
                const std::optional<FetchReply>& reply) {
     if (!reply) {
       RecordAnswer(from, SourceAnswer::kNoAnswer);
@@ -241,7 +241,7 @@
     RecordAnswer(from, failing ? SourceAnswer::kFailing : SourceAnswer::kOk);
     for (int k = 0; k < kDocumentKinds; k++) {
       ApplyDocument(static_cast<DocumentKind>(k), reply->documents[k], from,
-                    asked);
+                    sent_at);
     }
     if (list_withheld_) RequestSoon();
     if (events_.on_answer) events_.on_answer();
@@ -250,18 +250,18 @@
   // Returns false if the peer has a newer version but did not send it.
   bool ApplyBody(DocumentKind kind, const DocumentState& state,
                  const std::string& from) {
-    const uint64_t own = events_.version(kind);
-    if (state.version < own) {
+    const uint64_t own_version = events_.version(kind);
+    if (state.version < own_version) {
       // Its changes would revert entries that came from elsewhere.
       if (state.changes) list_source_.clear();
       return true;
     }
-    const bool whole = !state.changes && state.version > own;
-    if (whole && state.body.empty()) {
+    const bool is_full = !state.changes && state.version > own_version;
+    if (is_full && state.body.empty()) {
       list_withheld_ = list_withheld_ || kind == DocumentKind::kEndpoints;
       return false;
     }
-    if (!whole && !state.changes) return true;
+    if (!is_full && !state.changes) return true;
     if (!events_.on_body(kind, state, from)) return false;
     if (kind == DocumentKind::kEndpoints) {
       list_source_ = from;
@@ -271,20 +271,20 @@
   }
 
   void ApplyDocument(DocumentKind kind, const DocumentState& state,
-                     const std::string& from, Time asked) {
+                     const std::string& from, Time sent_at) {
     if (!ApplyBody(kind, state, from)) return;
     // An older version says nothing about the freshness of the one held.
     if (state.version < events_.version(kind)) return;
     constexpr uint64_t kUnknownAgeMs = 3600 * 1000;
     if (state.proof_age_ms >= kUnknownAgeMs) return;
-    const Time fresh_as_of = asked - milliseconds(state.proof_age_ms);
+    const Time fresh_as_of = sent_at - milliseconds(state.proof_age_ms);
     if (fresh_as_of > events_.fresh_as_of(kind))
       events_.on_freshness(kind, fresh_as_of);
   }
 
   Clk* clock_;
   const Membership* membership_;
-  SourceSelector* roster_;
+  SourceSelector* selector_;
   std::vector<std::string> seeds_;  // addresses, without this box
   Link* link_;
   Random random_;
@@ -293,7 +293,7 @@
   bool waiting_ = false;
   uint64_t request_id_ = 0;
   std::string asked_peer_;  // the last peer that was asked
-  Time asked_at_{};
+  Time sent_at_{};
   Time next_at_{};
   Duration seed_pause_ = options_.min_seed_pause;
   bool newer_configuration_seen_ = false;
--- a/pinford/forwarding/startup_peer_check.h
+++ b/pinford/forwarding/startup_peer_check.h
@@ -18,7 +18,7 @@
 class StartupPeerCheck {
  public:
   // A running seed answers the first request within 30 ms of the start; callers
-  // wait for 100 ms (StartQueueOptions::longest).
+  // wait for 100 ms (StartQueueOptions::max_wait).
   static constexpr Duration kMaxWait = milliseconds(60);
 
   // `has_peers`: this box knows an address to ask.
--- a/pinford/forwarding/store_task_selector.cc
+++ b/pinford/forwarding/store_task_selector.cc
@@ -32,10 +32,10 @@
 }
 
 StoreTask StoreTaskSelector::ChooseTask(Time now, Time fresh_as_of,
-                                        SourceSelector* roster) {
+                                        SourceSelector* selector) {
   const bool joined = seed_ || now - started_ >= options_.join;
-  if (joined && roster->rank(now) == 0) return StoreTask::kMirror;
-  if (joined && roster->is_active_standby(now)) return StoreTask::kStandby;
+  if (joined && selector->rank(now) == 0) return StoreTask::kMirror;
+  if (joined && selector->is_active_standby(now)) return StoreTask::kStandby;
   if (is_planner_) return StoreTask::kPlan;
   const bool may_read = now - started_ >= options_.read_for_caller_after;
   if (fresh_as_of == Time{} && may_read &&
@@ -46,7 +46,7 @@
     next_read_ = Time::max();
     return StoreTask::kNone;
   }
-  const int boxes = roster->hall_boxes(now);
+  const int boxes = selector->hall_boxes(now);
   // A box that finds itself isolated has no reason to leave time for the
   // others.
   if (next_read_ == Time::max() || boxes < hall_boxes_at_draw_) {
--- a/pinford/forwarding/store_task_selector.h
+++ b/pinford/forwarding/store_task_selector.h
@@ -81,7 +81,7 @@
 
   // Returns the task of this box now. `fresh_as_of` is when its documents were
   // last known to be current, Time{} if it has none.
-  StoreTask ChooseTask(Time now, Time fresh_as_of, SourceSelector* roster);
+  StoreTask ChooseTask(Time now, Time fresh_as_of, SourceSelector* selector);
   // A caller waits for this box, which has no documents yet. Returns the time
   // from which ChooseTask may return kReadOnce for it.
   Time OnCallerWaiting() {
--- a/pinford/testing/caller_server_test.cc
+++ b/pinford/testing/caller_server_test.cc
@@ -149,7 +149,7 @@
   f.RunFor(milliseconds(50));
   EXPECT_EQ(f.disconnects, 1);
   EXPECT_FALSE(f.deferred[0]->open());
-  f.deferred[0]->Reply(200, "", {}, "not delivered");
+  f.deferred[0]->Reply(200, "", {}, "nobody hears this");
 }
 
 TEST(CallerServer, AnAnswerThatBreaksOffDoesNotLookComplete) {
--- a/pinford/testing/full_list_cache_test.cc
+++ b/pinford/testing/full_list_cache_test.cc
@@ -35,7 +35,7 @@
       {"slow build, just built", milliseconds(100), milliseconds(399), 41, 7,
        true},
       {"slow build", milliseconds(100), milliseconds(400), 41, 7, false},
-      {"slower build", milliseconds(900), milliseconds(499), 41, 7, true},
+      {"longer", milliseconds(900), milliseconds(499), 41, 7, true},
       {"slower build, maximum interval reached", milliseconds(900),
        milliseconds(500), 41, 7, false},
   };
--- a/pinford/testing/http_reader_test.cc
+++ b/pinford/testing/http_reader_test.cc
@@ -106,8 +106,8 @@
   } cases[] = {
       {"a length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
        State::kDone, State::kDone, "ab"},
-      {"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
-       State::kBody, State::kFailed, "ab"},
+      {"cut", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", State::kBody,
+       State::kFailed, "ab"},
       {"until close", "HTTP/1.1 200 OK\r\n\r\nab", State::kBody, State::kDone,
        "ab"},
       {"truncated chunks",
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -60,8 +60,8 @@
       : ports_(FreePorts(2)),
         membership_(Self(), {}, Membership::Options(), Random(1)),
         link_(&loop_, PeerCodec(kPeerKey), {}),
-        roster_(&membership_, RosterOptions()),
-        source_(&loop_, &membership_, &roster_, {}, &link_, Random(2),
+        selector_(&membership_, SelectorOptions()),
+        source_(&loop_, &membership_, &selector_, {}, &link_, Random(2),
                 Options(), Events()) {
     for (int i = 0; i < 2; i++) {
       peers_[i] = std::make_unique<Peer>(&loop_, "peer-" + std::to_string(i),
@@ -73,7 +73,7 @@
                             RendezvousWeight("peer-1", kMirrorRole);
     mirror = peers_[zero_first ? 0 : 1].get();
     other = peers_[zero_first ? 1 : 0].get();
-    EXPECT_GT(roster_.rank(loop_.now()), 0);
+    EXPECT_GT(selector_.rank(loop_.now()), 0);
     loop_.Every(milliseconds(5), [this] { source_.Tick(true); });
   }
 
@@ -82,7 +82,7 @@
     loop_.Run();
   }
   Duration FreshnessAge() const { return loop_.now() - fresh_as_of_; }
-  bool MirrorFailing() { return roster_.primary_failing(loop_.now()); }
+  bool MirrorFailing() { return selector_.primary_failing(loop_.now()); }
 
   Peer* mirror;
   Peer* other;
@@ -101,7 +101,7 @@
     options.interval = milliseconds(20);
     return options;
   }
-  static SourceSelector::Options RosterOptions() {
+  static SourceSelector::Options SelectorOptions() {
     SourceSelector::Options options;
     options.failing_period = milliseconds(200);
     return options;
@@ -129,7 +129,7 @@
   Membership membership_;
   PeerLink link_;
   Time fresh_as_of_{};
-  SourceSelector roster_;
+  SourceSelector selector_;
   PeerSource<PeerLink, EventLoop> source_;
   std::unique_ptr<Peer> peers_[2];
 };
--- a/pinford/testing/upstream_client_test.cc
+++ b/pinford/testing/upstream_client_test.cc
@@ -83,7 +83,7 @@
     std::string body;
     bool reused;  // the connection also serves the next request
   } cases[] = {
-      {"complete", {Answer("1", "ab")}, UpstreamEnd::kComplete, "ab", true},
+      {"whole", {Answer("1", "ab")}, UpstreamEnd::kComplete, "ab", true},
       {"asks to close",
        {Answer("1", "ab", "Connection: close\r\n")},
        UpstreamEnd::kComplete,
