--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -105,16 +105,16 @@
   static constexpr milliseconds kRerouteTimeout{100};
 
   void InstallRunnerCalls() {
-    core_.forward_context()->probe =
-        [this](const std::string& id, std::function<void(RunnerHealth)> fn) {
-          ProbeRunner(id, std::move(fn));
-        };
-    core_.forward_context()->reroute =
-        [this](const Address& entry, const std::string& request,
-               const std::vector<AddressedStage>& chain, RerouteHandler fn) {
-          runners_.Reroute(entry, request, chain, kRerouteTimeout,
-                           std::move(fn));
-        };
+    core_.parts()->probe = [this](const std::string& id,
+                                  std::function<void(RunnerHealth)> fn) {
+      ProbeRunner(id, std::move(fn));
+    };
+    core_.parts()->reroute = [this](const Address& entry,
+                                    const std::string& request,
+                                    const std::vector<AddressedStage>& chain,
+                                    RerouteHandler fn) {
+      runners_.Reroute(entry, request, chain, kRerouteTimeout, std::move(fn));
+    };
   }
 
   void ProbeRunner(const std::string& id,
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -108,7 +108,7 @@
   const EndpointTable* table() const { return &table_; }
   HttpClient* http() { return &http_; }
   // Holds the calls to runners (ForwardContext).
-  ForwardContext* forward_context() { return &forward_context_; }
+  ForwardContext* parts() { return &forward_context_; }
   Metrics* metrics() { return &metrics_; }
   EventLoop* loop() { return loop_; }
   const Settings& settings() const { return settings_; }
--- a/pinford/testing/store_calls_test.cc
+++ b/pinford/testing/store_calls_test.cc
@@ -191,10 +191,10 @@
 // has its documents.
 TEST_P(StoreCalls, AfterARestartOfAllBoxesDocumentsAreThereSoon) {
   fleet_.Run(seconds(10));
-  const Time begun = fleet_.clock.now();
-  const auto is_up = [this, begun](int i) {
+  const Time restart = fleet_.clock.now();
+  const auto is_up = [this, restart](int i) {
     const int starts = i < kSeeds ? 300 : i * 37 % 300;
-    return fleet_.clock.now() - begun >= milliseconds(starts);
+    return fleet_.clock.now() - restart >= milliseconds(starts);
   };
   fleet_.can_reach = [&is_up](int a, int b) { return is_up(a) && is_up(b); };
   for (int i = 0; i < fleet_.size(); i++) fleet_.Start(i);
@@ -206,7 +206,7 @@
   };
   while (!all_have()) {
     fleet_.clock.Advance(milliseconds(10));
-    ASSERT_LT(fleet_.clock.now() - begun, milliseconds(700));
+    ASSERT_LT(fleet_.clock.now() - restart, milliseconds(700));
   }
 }
 
