--- a/pinford/forwarding/admitted_request.h
+++ b/pinford/forwarding/admitted_request.h
@@ -19,9 +19,8 @@
   CallerExchangePtr exchange;
   std::shared_ptr<const RouteTable> routes;
   const Route* route = nullptr;
-  std::string customer;  // "" if there is none
-  bool requires_key =
-      false;         // admitted by a customer's key, which may be revoked
+  std::string customer;       // "" if there is none
+  bool requires_key = false;  // its key may be revoked
   int priority = 5;  // of the customer or the route; 0 is the most urgent
   RequestClass request_class;  // assigned by the policy
   std::string service;
--- a/pinford/forwarding/caller_server.cc
+++ b/pinford/forwarding/caller_server.cc
@@ -222,8 +222,7 @@
   Time last_bytes_{};
 };
 
-// --- CallerExchange
-// -----------------------------------------------------------
+// --- CallerExchange -------------------------------------------------------
 
 CallerExchange::CallerExchange(std::shared_ptr<CallerConnection> connection,
                                HttpHead head, std::string body, Time started)
@@ -353,8 +352,7 @@
   c->CloseAbruptly();
 }
 
-// --- CallerServer
-// -------------------------------------------------------------
+// --- CallerServer ---------------------------------------------------------
 
 CallerServer::CallerServer(EventLoop* loop, const Limits& limits,
                            Handler handler)
--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -340,8 +340,7 @@
   PrefixMirror<typename P::StoreClient, EventLoop> endpoints_;
   PoolPlanner<typename P::StoreClient, typename P::RunnerClient, EventLoop>
       planner_;
-  StoreTask call_reason_ =
-      StoreTask::kReadOnce;  // label of calls in the metrics
+  StoreTask call_reason_ = StoreTask::kReadOnce;  // label in the metrics
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -19,13 +19,13 @@
 static constexpr milliseconds kExitMargin{250};
 // How long a new connection is kept for its first request.
 static constexpr milliseconds kFirstRequestGrace{500};
-// Before the end of the grace period: callers may not connect any more.
+// Before the end of the grace period: the box stops listening then.
 static constexpr milliseconds kStopListeningMargin{1200};
 // Responses may still be in flight on connections that were closed.
 static constexpr milliseconds kQuietPeriod{500};
 
-// Scheduling delays of this process are logged from here on: the shortest
-// endpoint timeout that is acted on.
+// Minimum scheduling delay of this process that is logged: the shortest silence
+// of an endpoint that is acted on.
 static constexpr milliseconds kMinLoggedDelay{60};
 
 // Rejected entries are logged at most this often per interval: an invalid entry
--- a/pinford/forwarding/service_configuration.h
+++ b/pinford/forwarding/service_configuration.h
@@ -67,8 +67,7 @@
   int layers = 1;
   double layer_mb = 0;
   double token_bytes = 0;  // memory that a token occupies in all layers
-  double transfer_seconds_per_token =
-      0;                     // per token, over the links between halls
+  double transfer_seconds_per_token = 0;  // links between halls
   double step_seconds = 0;   // per token, all layers, reference accelerator
   double prefill_per_s = 0;  // prompt tokens, all layers, reference accelerator
   // One engine pass runs up to this many decode steps of the streams in
--- a/pinford/testing/caller_server_test.cc
+++ b/pinford/testing/caller_server_test.cc
@@ -69,8 +69,7 @@
   CallerServer server;
   std::vector<std::string> requests;
   std::vector<CallerExchangePtr> deferred;
-  std::shared_ptr<TcpConnection>
-      last_connection;  // the connection of the last SendText
+  std::shared_ptr<TcpConnection> last_connection;  // of the last SendText
   int disconnects = 0;
   bool defer_replies = false;
   std::string received;
