--- a/pinford/forwarding/service_configuration.h
+++ b/pinford/forwarding/service_configuration.h
@@ -74,9 +74,9 @@
   // progress, and prefills up to this many prompt tokens.
   int steps_per_pass = 1;
   int prefill_tokens_per_pass = 1;
-  double load_seconds = 0;     // time to load all layers
-  int concurrent_loads = 1;    // further concurrent loads slow each other down
-  int mean_prompt_tokens = 0;  // tokens, mean
+  double load_seconds = 0;   // time to load all layers
+  int concurrent_loads = 1;  // further concurrent loads slow each other down
+  int mean_prompt_tokens = 0;
   int mean_answer_tokens = 0;
   std::vector<AcceleratorKind> kinds;
 
