--- a/pinford/forwarding/admitted_request.h
+++ b/pinford/forwarding/admitted_request.h
@@ -32,7 +32,7 @@
 RequestFacts FactsOf(const AdmittedRequest& order);
 
 // Returns the options for choosing the request's target.
-ForwardTarget::Options TargetOptions(const ForwardContext& parts,
+ForwardTarget::Options TargetOptions(const ForwardContext& context,
                                      const AdmittedRequest& order);
 
 // How long a request may receive nothing before recovery starts: until the
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/forwarding/forwarding_options.h"
 #include "pinford/log.h"
 #include "util/deflate.h"
@@ -156,23 +156,25 @@
 bool ForwardingCore::Start(std::string* error) {
   const Settings& s = settings_;
   if (!policy_.Load(s.policy_file, error)) return false;
-  if (!ListenOr(callers_.Listen(s.callers), "callers", s.callers, error) ||
-      !ListenOr(operators_.Listen(s.operators), "operators", s.operators,
-                error)) {
+  if (!CheckListening(callers_.Listen(s.callers), "callers", s.callers,
+                      error) ||
+      !CheckListening(operators_.Listen(s.operators), "operators", s.operators,
+                      error)) {
     return false;
   }
-  if (s.ready.port != 0 &&
-      !ListenOr(readiness_.Listen(s.ready), "the balancer", s.ready, error)) {
+  if (s.ready.port != 0 && !CheckListening(readiness_.Listen(s.ready),
+                                           "the balancer", s.ready, error)) {
     return false;
   }
-  if (!ListenOr(gossip_.Listen(s.peers), "peers", s.peers, error)) return false;
+  if (!CheckListening(gossip_.Listen(s.peers), "peers", s.peers, error))
+    return false;
   LogEvent(LogPart::kBox, LogLevel::kInfo, "box_started",
            LogFields()
                .Add("hall", s.hall)
                .Add("callers", s.callers.ToString())
                .Add("store", s.store.ToString())
                .Add("off", s.mechanisms.ToString())
-               .Add("key_proof_ms", ToMillis(s.key_proof)));
+               .Add("key_proof_ms", ToMillis(s.max_key_staleness)));
   gossip_.Start();
   loop_->Every(ForwardPolicy::kUpdateEvery,
                [this] { policy_.UpdateHallWeights(loop_->now(), table_); });
@@ -191,8 +193,8 @@
   }
   SetLogLevel(settings.log_level);
   settings_.log_level = settings.log_level;
-  settings_.key_proof = settings.key_proof;
-  settings_.stop_at_latest = settings.stop_at_latest;
+  settings_.max_key_staleness = settings.max_key_staleness;
+  settings_.stop_timeout = settings.stop_timeout;
   settings_.stop_listening_after = settings.stop_listening_after;
   retries_.set_options(RetryShareOptions(settings, settings_.mechanisms));
   const bool addresses_unchanged = settings.callers == settings_.callers &&
@@ -295,8 +297,9 @@
 }
 
 bool ForwardingCore::IsFresh() const {
-  if (settings_.key_proof == Duration(0)) return configuration_ != nullptr;
-  return FreshnessAge() < settings_.key_proof - kFreshnessMargin;
+  if (settings_.max_key_staleness == Duration(0))
+    return configuration_ != nullptr;
+  return FreshnessAge() < settings_.max_key_staleness - kFreshnessMargin;
 }
 
 StoreTask ForwardingCore::ChooseStoreTask(bool is_planner) {
@@ -453,7 +456,7 @@
   stopping_ = true;
   stop_started_ = last_busy_ = loop_->now();
   forwarder_.BeginStop(stop_started_ + settings_.stop_listening_after,
-                       stop_started_ + settings_.stop_at_latest - kAbortMargin);
+                       stop_started_ + settings_.stop_timeout - kAbortMargin);
   LogEvent(LogPart::kBox, LogLevel::kInfo, "box_stopping",
            LogFields().Add("active", forwarder_.active()));
   callers_.set_close_after_reply(true);
@@ -466,18 +469,18 @@
   const Duration since = now - stop_started_;
   if (since < settings_.stop_listening_after) return;
   // Callers that connect after this could not be answered in time.
-  if (since >= settings_.stop_at_latest - kStopListeningMargin) {
+  if (since >= settings_.stop_timeout - kStopListeningMargin) {
     callers_.StopListening();
   }
   // Callers with a kept-alive connection would send on it until the end.
   callers_.CloseIdle(kFirstRequestGrace);
   if (forwarder_.active() > 0 || callers_.connections() > 0) last_busy_ = now;
-  const bool aborting = since >= settings_.stop_at_latest - kAbortMargin;
+  const bool aborting = since >= settings_.stop_timeout - kAbortMargin;
   if (aborting) {
     unfinished_ += forwarder_.active();
     forwarder_.AbortAll();
   }
-  const bool grace_over = since >= settings_.stop_at_latest - kExitMargin;
+  const bool grace_over = since >= settings_.stop_timeout - kExitMargin;
   const bool callers_informed = aborting && callers_.connections() == 0;
   const bool quiet =
       now - std::max(last_busy_, callers_.last_activity()) >= kQuietPeriod;
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -108,7 +108,7 @@
   const EndpointTable* table() const { return &table_; }
   HttpClient* http() { return &http_; }
   // Holds the calls to runners (ForwardContext).
-  ForwardContext* parts() { return &forward_context_; }
+  ForwardContext* forward_context() { return &forward_context_; }
   Metrics* metrics() { return &metrics_; }
   EventLoop* loop() { return loop_; }
   const Settings& settings() const { return settings_; }
@@ -131,9 +131,9 @@
   void ApplyPeerCounts();
   void OnCallerWaiting();
   void OnRunnerDown(const std::string& endpoint);
-  void OnFailureNotice(const DownNote& note);
+  void OnFailureNotice(const FailureNotice& note);
   void AskForRetries();
-  std::optional<RetryLoan> OnRetryAsk(const RetryAsk& ask);
+  std::optional<RetryLoan> OnRetryRequest(const RetryRequest& ask);
   void OnRetryLoan(const RetryLoan& loan);
   FetchReply OnFetch(const FetchRequest& request);
   uint64_t FreshnessAgeMs(Time fresh_as_of) const;
--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -199,7 +199,7 @@
     FetchRequest request;
     request.kind = FetchKind::kShared;
     for (int k = 0; k < kDocumentKinds; k++) {
-      request.above_versions[k] = events_.version(static_cast<DocumentKind>(k));
+      request.known_versions[k] = events_.version(static_cast<DocumentKind>(k));
     }
     if (peer == list_source_) request.list = list_cursor_;
     const uint64_t id = ++request_id_;
@@ -236,8 +236,8 @@
     const DocumentState& configuration =
         reply->documents[IndexOf(DocumentKind::kConfiguration)];
     const bool stale =
-        milliseconds(configuration.proof_age_ms) > options_.max_normal_age;
-    const bool failing = stale || reply->store_fails;
+        milliseconds(configuration.freshness_age_ms) > options_.max_normal_age;
+    const bool failing = stale || reply->store_unreachable;
     RecordAnswer(from, failing ? SourceAnswer::kFailing : SourceAnswer::kOk);
     for (int k = 0; k < kDocumentKinds; k++) {
       ApplyDocument(static_cast<DocumentKind>(k), reply->documents[k], from,
@@ -276,8 +276,8 @@
     // An older version says nothing about the freshness of the one held.
     if (state.version < events_.version(kind)) return;
     constexpr uint64_t kUnknownAgeMs = 3600 * 1000;
-    if (state.proof_age_ms >= kUnknownAgeMs) return;
-    const Time fresh_as_of = sent_at - milliseconds(state.proof_age_ms);
+    if (state.freshness_age_ms >= kUnknownAgeMs) return;
+    const Time fresh_as_of = sent_at - milliseconds(state.freshness_age_ms);
     if (fresh_as_of > events_.fresh_as_of(kind))
       events_.on_freshness(kind, fresh_as_of);
   }
