--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -145,7 +145,7 @@
   void UpdateStoreTask() {
     const StoreTask task = core_.ChooseStoreTask(planner_.planning());
     if (task != StoreTask::kNone) call_reason_ = task;
-    core_.set_store_failing(Mirrors(task) && configuration_.failing());
+    core_.set_store_unreachable(Mirrors(task) && configuration_.failing());
     if (Mirrors(task)) {
       const bool primary = task == StoreTask::kMirror;
       configuration_.set_max_retry_delay(
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -348,13 +348,13 @@
   directory_.Tick(now);
   forwarder_.Tick();
   gossip_.Tick();
-  AskForRetries();
+  RequestRetries();
   const bool waiting_for_peers = !startup_check_.Done(now);
   if (!waiting_for_peers && !pending_store_configuration_.empty()) {
     OnConfiguration(std::exchange(pending_store_configuration_, ""), "store");
   }
   // A box whose mirror gets no answer distributes what other boxes have.
-  peer_source_.Tick(!Mirrors(task_) || store_failing_ || waiting_for_peers);
+  peer_source_.Tick(!Mirrors(task_) || store_unreachable_ || waiting_for_peers);
   LogReadiness();
   if (stopping_) FinishStop();
 }
--- a/pinford/forwarding/forwarding_core.h
+++ b/pinford/forwarding/forwarding_core.h
@@ -92,7 +92,7 @@
   }
   // Sets whether the store fails to answer this box, whose task is to mirror
   // it.
-  void set_store_failing(bool v) { store_failing_ = v; }
+  void set_store_unreachable(bool v) { store_unreachable_ = v; }
   bool ready() const {
     return configuration_ && list_version_ != StoreRevision() && !stopping_;
   }
@@ -132,8 +132,8 @@
   void OnCallerWaiting();
   void OnRunnerDown(const std::string& endpoint);
   void OnFailureNotice(const FailureNotice& note);
-  void AskForRetries();
-  std::optional<RetryLoan> OnRetryRequest(const RetryRequest& ask);
+  void RequestRetries();
+  std::optional<RetryLoan> OnRetryRequest(const RetryRequest& request);
   void OnRetryLoan(const RetryLoan& loan);
   FetchReply OnFetch(const FetchRequest& request);
   uint64_t FreshnessAgeMs(Time fresh_as_of) const;
@@ -196,7 +196,7 @@
   bool endpoint_removed_ = false;  // since the last version of the list
   bool digest_received_ = false;   // since the last tick
   StoreTask task_ = StoreTask::kNone;
-  bool store_failing_ = false;
+  bool store_unreachable_ = false;
   bool caller_waited_ = false;  // for the first configuration or list
   bool was_fresh_ = false;
   bool was_ready_ = false;
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -107,29 +107,29 @@
   }
 }
 
-void ForwardingCore::AskForRetries() {
+void ForwardingCore::RequestRetries() {
   if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
-  std::vector<RetryRequest> asks = loans_.MakeAsks(loop_->now());
-  if (asks.empty()) return;
+  std::vector<RetryRequest> requests = loans_.MakeAsks(loop_->now());
+  if (requests.empty()) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_asked",
            LogFields()
-               .Add("service", asks[0].service)
-               .Add("peers", asks.size())
-               .Add("of_each", asks[0].count));
-  gossip_.SendRetryRequests(std::move(asks));
+               .Add("service", requests[0].service)
+               .Add("peers", requests.size())
+               .Add("of_each", requests[0].count));
+  gossip_.SendRetryRequests(std::move(requests));
 }
 
 std::optional<RetryLoan> ForwardingCore::OnRetryRequest(
-    const RetryRequest& ask) {
+    const RetryRequest& request) {
   if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans))
     return std::nullopt;
-  const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), ask);
+  const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), request);
   if (!loan) return std::nullopt;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_lent",
            LogFields()
-               .Add("service", ask.service)
-               .Add("to", ask.from)
-               .Add("asked", ask.count)
+               .Add("service", request.service)
+               .Add("to", request.from)
+               .Add("asked", request.count)
                .Add("count", loan->count));
   return loan;
 }
@@ -146,7 +146,7 @@
   FetchReply reply;
   reply.kind = request.kind;
   if (request.kind != FetchKind::kShared) return reply;
-  reply.store_unreachable = store_failing_;
+  reply.store_unreachable = store_unreachable_;
   DocumentState& state = reply.documents[IndexOf(DocumentKind::kConfiguration)];
   state = DocumentStateOf(DocumentKind::kConfiguration);
   const uint64_t above =
