--- a/pinford/forwarding/caller_server.cc
+++ b/pinford/forwarding/caller_server.cc
@@ -14,24 +14,24 @@
 
 namespace pinford {
 
-// How often silent connections are looked for; the timeouts are in seconds.
-static constexpr milliseconds kSweep{200};
-// Bytes of further requests that are read while one is worked on.
-static constexpr size_t kReadAhead = 64 << 10;
-static constexpr int kBacklog = 1024;
+// How often timeouts are checked; they are a few seconds long.
+static constexpr milliseconds kSweepInterval{200};
+// Bytes of pipelined requests that are read while one is in progress.
+static constexpr size_t kMaxReadAheadBytes = 64 << 10;
+static constexpr int kListenBacklog = 1024;
 
 static HttpReader::Limits ReaderLimits(const CallerServer::Limits& l) {
   return {l.head_bytes, l.body_bytes};
 }
 
-class EntryConnection : public std::enable_shared_from_this<EntryConnection> {
+class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
-  EntryConnection(CallerServer* server, std::shared_ptr<TcpConnection> tcp)
+  CallerConnection(CallerServer* server, std::shared_ptr<TcpConnection> tcp)
       : server_(server),
         tcp_(std::move(tcp)),
         reader_(HttpReader::Kind::kRequest, ReaderLimits(server->limits_)),
         opened_(server->loop_->now()),
-        quiet_since_(opened_) {}
+        idle_since_(opened_) {}
 
   void Start() {
     auto self = weak_from_this();
@@ -42,7 +42,7 @@
     handlers.on_end = [self](TcpEnd how) {
       if (auto c = self.lock()) c->OnEnd(how);
     };
-    handlers.on_lost = [id = log_id_](size_t bytes) {
+    handlers.on_undelivered = [id = log_id_](size_t bytes) {
       LogEvent(LogPart::kCallers, LogLevel::kWarn, "answer_undelivered",
                LogFields().Add("id", *id).Add("bytes", bytes));
     };
@@ -53,77 +53,77 @@
   void set_log_id(const std::string& id) { *log_id_ = id; }
   CallerServer* server() { return server_; }
   bool idle() const { return exchange_.expired() && !reader_.started(); }
-  bool ExpectsFirst(Time opened_before) const {
-    return !answered_ && opened_ > opened_before;
+  bool AwaitsFirstRequest(Time opened_after) const {
+    return !has_answered_ && opened_ > opened_after;
   }
-  // The server goes away before its connections.
-  void Orphan() { server_ = nullptr; }
+  // Called when the server is destroyed before its connections.
+  void DetachServer() { server_ = nullptr; }
   bool closes_after_reply() const {
     return closing_ || server_ == nullptr || server_->close_after_reply_;
   }
 
-  // The exchange has written its whole answer.
+  // Called when the exchange has written its complete response.
   void OnAnswered() {
     exchange_.reset();
-    answered_ = true;
+    has_answered_ = true;
     busy_ = false;
     if (server_ != nullptr) server_->last_activity_ = server_->loop_->now();
-    if (closes_after_reply() || !caller_keeps_) {
+    if (closes_after_reply() || !caller_keep_alive_) {
       Close();
       return;
     }
-    quiet_since_ = server_->loop_->now();
-    server_->last_activity_ = quiet_since_;
+    idle_since_ = server_->loop_->now();
+    server_->last_activity_ = idle_since_;
     reader_.set_limits(ReaderLimits(server_->limits_));
     reader_.Next();
     tcp_->PauseReading(false);
-    begun_ = quiet_since_;
-    // Not from within the exchange: its owner is still at work.
+    started_ = idle_since_;
+    // Deferred, because the exchange's owner is still on the call stack.
     server_->loop_->After(Duration(0), [self = weak_from_this()] {
       if (auto c = self.lock()) c->Advance();
     });
   }
 
-  // It counts among the server's connections until its answer is on its way.
+  // Stays among the server's connections until the response has been sent.
   void Close() {
     closing_ = true;
-    if (std::exchange(delivering_, true)) return;
+    if (std::exchange(flushing_, true)) return;
     tcp_->CloseGracefully([self = weak_from_this()] {
-      if (auto c = self.lock()) c->Forget();
+      if (auto c = self.lock()) c->RemoveFromServer();
     });
   }
 
-  void Break() {
+  void CloseAbruptly() {
     closing_ = true;
     tcp_->set_handlers({});
     tcp_->Close();
-    Forget();
+    RemoveFromServer();
   }
 
   void Sweep(Time now) {
     if (busy_ || closing_) return;
     const CallerServer::Limits& limits = server_->limits_;
     if (!reader_.started()) {
-      if (now - quiet_since_ >= limits.idle_timeout) Close();
+      if (now - idle_since_ >= limits.idle_timeout) Close();
       return;
     }
     const bool in_head = reader_.state() == HttpReader::State::kHead;
-    const bool late = in_head ? now - begun_ >= limits.head_timeout
-                              : now - last_bytes_ >= limits.idle_timeout;
-    if (late) Refuse(408, "timeout", "the request did not arrive in time");
+    const bool timed_out = in_head ? now - started_ >= limits.head_timeout
+                                   : now - last_bytes_ >= limits.idle_timeout;
+    if (timed_out) Refuse(408, "timeout", "the request did not arrive in time");
   }
 
  private:
   void OnBytes(std::string_view bytes) {
     const Time now = server_ != nullptr ? server_->loop_->now() : Time{};
     if (server_ != nullptr) server_->last_activity_ = now;
-    if (!reader_.started()) begun_ = now;
+    if (!reader_.started()) started_ = now;
     last_bytes_ = now;
     reader_.Feed(bytes);
     if (busy_) {
-      // Any of these bytes belong to the next request.
+      // These bytes belong to the next request.
       read_ahead_ += bytes.size();
-      if (read_ahead_ > kReadAhead) tcp_->PauseReading(true);
+      if (read_ahead_ > kMaxReadAheadBytes) tcp_->PauseReading(true);
       return;
     }
     Advance();
@@ -137,33 +137,33 @@
         Dispatch();
         return;
       case HttpReader::State::kFailed:
-        RefuseUnread();
+        RefuseReadError();
         return;
       case HttpReader::State::kBody:
-        ContinueOnce();
+        SendContinueOnce();
         return;
       case HttpReader::State::kHead:
         return;
     }
   }
 
-  void ContinueOnce() {
-    if (continued_ || reader_.head().header("Expect").empty()) return;
-    continued_ = true;
+  void SendContinueOnce() {
+    if (sent_continue_ || reader_.head().header("Expect").empty()) return;
+    sent_continue_ = true;
     tcp_->Write("HTTP/1.1 100 Continue\r\n\r\n");
   }
 
   void Dispatch() {
     busy_ = true;
-    continued_ = false;
-    caller_keeps_ = reader_.head().keep_alive;
+    sent_continue_ = false;
+    caller_keep_alive_ = reader_.head().keep_alive;
     auto exchange = std::make_shared<CallerExchange>(
-        shared_from_this(), reader_.head(), reader_.TakeBody(), begun_);
+        shared_from_this(), reader_.head(), reader_.TakeBody(), started_);
     exchange_ = exchange;
     server_->handler_(std::move(exchange));
   }
 
-  void RefuseUnread() {
+  void RefuseReadError() {
     switch (reader_.error()) {
       case HttpReadError::kHeadTooLarge:
         Refuse(431, "size", "the headers are too large");
@@ -177,27 +177,28 @@
     }
   }
 
-  // Answers a request that was not read whole, and closes.
+  // Answers a request that was not read completely, and closes.
   void Refuse(int status, std::string_view code, std::string_view message) {
     server_->refused_++;
     Log(LogPart::kCallers, LogLevel::kInfo,
-        fmt::format("A request was refused unread: status={} code={}.", status,
-                    code));
+        fmt::format(
+            "Refused a request before reading all of it: status={} code={}.",
+            status, code));
     closing_ = true;
     busy_ = true;
     auto exchange = std::make_shared<CallerExchange>(
-        shared_from_this(), reader_.head(), "", begun_);
+        shared_from_this(), reader_.head(), "", started_);
     exchange->Reply(status, "", {}, ErrorBody(code, message, Outcome::kNotRun));
   }
 
   void OnEnd(TcpEnd how) {
     auto self = shared_from_this();
     closing_ = true;
-    if (auto exchange = exchange_.lock()) exchange->OnGone(how);
-    Forget();
+    if (auto exchange = exchange_.lock()) exchange->OnDisconnect(how);
+    RemoveFromServer();
   }
 
-  void Forget() {
+  void RemoveFromServer() {
     if (server_ != nullptr) server_->connections_.erase(this);
   }
 
@@ -205,45 +206,47 @@
   std::shared_ptr<TcpConnection> tcp_;
   HttpReader reader_;
   std::weak_ptr<CallerExchange> exchange_;
-  // Outlives this, as the connection does while it delivers the last answer.
+  // Shared, because the TCP connection outlives this object while it delivers
+  // the last response.
   std::shared_ptr<std::string> log_id_ = std::make_shared<std::string>();
-  bool busy_ = false;        // a request is worked on
-  bool closing_ = false;     // no further request is taken
-  bool delivering_ = false;  // it closes once its last answer is on its way
-  bool caller_keeps_ = true;
-  bool continued_ = false;
+  bool busy_ = false;      // a request is in progress
+  bool closing_ = false;   // no further request is accepted
+  bool flushing_ = false;  // closes once the last response is sent
+  bool caller_keep_alive_ = true;
+  bool sent_continue_ = false;
   size_t read_ahead_ = 0;
   Time opened_;
-  Time quiet_since_;  // no request since
-  bool answered_ = false;
-  Time begun_{};  // the present request's first byte
+  Time idle_since_;  // when the last request ended
+  bool has_answered_ = false;
+  Time started_{};  // first byte of the current request
   Time last_bytes_{};
 };
 
-// --- the exchange ----------------------------------------------------------
+// --- CallerExchange -------------------------------------------------------
 
-CallerExchange::CallerExchange(std::shared_ptr<EntryConnection> connection,
+CallerExchange::CallerExchange(std::shared_ptr<CallerConnection> connection,
                                HttpHead head, std::string body, Time started)
     : connection_(std::move(connection)),
       head_(std::move(head)),
       body_(std::move(body)),
-      begun_(started) {}
+      started_(started) {}
 
 CallerExchange::~CallerExchange() {
-  on_hang_up_ = nullptr;
+  on_disconnect_ = nullptr;
   if (!open()) return;
-  // Nobody is left to answer it: its caller would wait in vain.
+  // Nothing will answer this request any more, so the caller would wait in
+  // vain.
   LogEvent(
       LogPart::kCallers, LogLevel::kWarn, "exchange_dropped",
       LogFields().Add("target", head_.target).Add("streaming", streaming_));
   Abort();
 }
 
-void CallerExchange::OnGone(TcpEnd how) {
+void CallerExchange::OnDisconnect(TcpEnd how) {
   connection_ = nullptr;
   caller_end_ = how;
-  std::function<void()> fn = std::move(on_hang_up_);
-  on_hang_up_ = nullptr;
+  std::function<void()> fn = std::move(on_disconnect_);
+  on_disconnect_ = nullptr;
   if (fn) fn();
 }
 
@@ -255,7 +258,7 @@
   return open() ? connection_->tcp()->unsent() : 0;
 }
 
-static std::string_view ReasonOf(int status) {
+static std::string_view ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -284,10 +287,10 @@
   }
 }
 
-std::string CallerExchange::Head(int status, std::string_view reason,
-                                 const HttpHeaders& headers) const {
+std::string CallerExchange::FormatHead(int status, std::string_view reason,
+                                       const HttpHeaders& headers) const {
   std::string out = fmt::format("HTTP/1.1 {} {}\r\n", status,
-                                reason.empty() ? ReasonOf(status) : reason);
+                                reason.empty() ? ReasonPhrase(status) : reason);
   for (const auto& [name, value] : headers) {
     out += name;
     out += ": ";
@@ -303,11 +306,11 @@
                            const HttpHeaders& headers, std::string_view body) {
   if (!open()) return;
   assert(!streaming_);
-  std::string out = Head(status, reason, headers);
-  const bool bodiless = status == 204 || status == 304;
-  if (!bodiless) out += fmt::format("Content-Length: {}\r\n", body.size());
+  std::string out = FormatHead(status, reason, headers);
+  const bool no_body = status == 204 || status == 304;
+  if (!no_body) out += fmt::format("Content-Length: {}\r\n", body.size());
   out += "\r\n";
-  if (!bodiless && head_.method != "HEAD") out += body;
+  if (!no_body && head_.method != "HEAD") out += body;
   connection_->tcp()->Write(out);
   Finish();
 }
@@ -316,7 +319,7 @@
                                  const HttpHeaders& headers) {
   if (!open()) return;
   streaming_ = true;
-  connection_->tcp()->Write(Head(status, reason, headers) +
+  connection_->tcp()->Write(FormatHead(status, reason, headers) +
                             "Transfer-Encoding: chunked\r\n\r\n");
 }
 
@@ -335,31 +338,31 @@
 }
 
 void CallerExchange::Finish() {
-  on_hang_up_ = nullptr;
-  std::shared_ptr<EntryConnection> c = std::move(connection_);
+  on_disconnect_ = nullptr;
+  std::shared_ptr<CallerConnection> c = std::move(connection_);
   connection_ = nullptr;
   c->OnAnswered();
 }
 
 void CallerExchange::Abort() {
   if (!open()) return;
-  on_hang_up_ = nullptr;
-  std::shared_ptr<EntryConnection> c = std::move(connection_);
+  on_disconnect_ = nullptr;
+  std::shared_ptr<CallerConnection> c = std::move(connection_);
   connection_ = nullptr;
-  c->Break();
+  c->CloseAbruptly();
 }
 
-// --- the server ------------------------------------------------------------
+// --- CallerServer ---------------------------------------------------------
 
 CallerServer::CallerServer(EventLoop* loop, const Limits& limits,
                            Handler handler)
     : loop_(loop), limits_(limits), handler_(std::move(handler)) {
-  loop_->Every(kSweep, [this] { Sweep(); });
+  loop_->Every(kSweepInterval, [this] { Sweep(); });
 }
 
 CallerServer::~CallerServer() {
   StopListening();
-  for (auto& [key, c] : connections_) c->Orphan();
+  for (auto& [key, c] : connections_) c->DetachServer();
 }
 
 bool CallerServer::Listen(const Address& address) {
@@ -377,7 +380,7 @@
         static_cast<CallerServer*>(arg)->Accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
-      kBacklog, reinterpret_cast<sockaddr*>(&at), size);
+      kListenBacklog, reinterpret_cast<sockaddr*>(&at), size);
   return listener_ != nullptr;
 }
 
@@ -389,30 +392,30 @@
 void CallerServer::Accept(int fd) {
   if (connections_.size() >= limits_.connections) {
     Log(LogPart::kCallers, LogLevel::kWarn,
-        fmt::format("A connection was closed unread: {} are open, the limit.",
+        fmt::format("Closed a new connection: {} are open, which is the limit.",
                     connections_.size()));
     close(fd);
     return;
   }
-  auto c = std::make_shared<EntryConnection>(
-      this, TcpConnection::Accept(loop_, fd, limits_.silent_timeout));
+  auto c = std::make_shared<CallerConnection>(
+      this, TcpConnection::Accept(loop_, fd, limits_.write_stall_timeout));
   connections_[c.get()] = c;
   c->Start();
   last_activity_ = loop_->now();
 }
 
-void CallerServer::CloseIdle(Duration for_first) {
-  const Time opened_before = loop_->now() - for_first;
-  std::vector<std::shared_ptr<EntryConnection>> idle;
+void CallerServer::CloseIdle(Duration first_request_grace) {
+  const Time opened_after = loop_->now() - first_request_grace;
+  std::vector<std::shared_ptr<CallerConnection>> idle;
   for (auto& [key, c] : connections_) {
-    if (c->idle() && !c->ExpectsFirst(opened_before)) idle.push_back(c);
+    if (c->idle() && !c->AwaitsFirstRequest(opened_after)) idle.push_back(c);
   }
   for (auto& c : idle) c->Close();
 }
 
 void CallerServer::Sweep() {
   const Time now = loop_->now();
-  std::vector<std::shared_ptr<EntryConnection>> all;
+  std::vector<std::shared_ptr<CallerConnection>> all;
   all.reserve(connections_.size());
   for (auto& [key, c] : connections_) all.push_back(c);
   for (auto& c : all) c->Sweep(now);
--- a/pinford/forwarding/forward_policy.cc
+++ b/pinford/forwarding/forward_policy.cc
@@ -17,7 +17,7 @@
   if (!file.empty()) {
     std::ifstream in(file, std::ios::binary);
     if (!in) {
-      *error = "cannot read the policy " + file + ": " + strerror(errno);
+      *error = "cannot read the policy file " + file + ": " + strerror(errno);
       return false;
     }
     files.push_back({file, {std::istreambuf_iterator<char>(in), {}}});
@@ -34,9 +34,9 @@
 }
 
 RequestClass ForwardPolicy::Classify(const RequestFacts& facts) {
-  RequestFacts seen = facts;
-  seen.hour = HourOfDay(utc_offset_minutes_);
-  RequestClass request_class = policy_->Classify(seen);
+  RequestFacts facts_with_hour = facts;
+  facts_with_hour.hour = HourOfDay(utc_offset_minutes_);
+  RequestClass request_class = policy_->Classify(facts_with_hour);
   if (policy_->errors() == errors_) return request_class;
   errors_ = policy_->errors();
   metrics_->Count("policy_errors_total");
--- a/pinford/forwarding/forwarding_box.h
+++ b/pinford/forwarding/forwarding_box.h
@@ -1,8 +1,8 @@
-// A forwarding box in a deployment: the core, what it mirrors from the
-// deployment's store, and its part in planning the pools.
+// A forwarding box of a deployment: the core, its mirrors of the deployment's
+// store, and the planner of the runner pools.
 //
-// `P` is the deployment's platform. It only translates; what to believe, and
-// what to do, is decided here and below.
+// `P` is the deployment's platform. It only translates formats and calls; which
+// data to trust and how to act on it is decided here and in the core.
 
 #ifndef PINFORD_FORWARDING_FORWARDING_BOX_H_
 #define PINFORD_FORWARDING_FORWARDING_BOX_H_
@@ -26,12 +26,12 @@
   requires Store<typename P::StoreClient>;
   requires PrefixStore<typename P::StoreClient>;
   requires PoolClient<typename P::RunnerClient>;
-  // The last is told of each call.
+  // The last argument is called for each call to the store.
   requires std::constructible_from<typename P::StoreClient, HttpClient*,
                                    Address, StoreEra*, std::function<void()>>;
   requires std::constructible_from<typename P::RunnerClient, HttpClient*>;
   { P::Protocol() } -> std::same_as<ForwardProtocol>;
-  // Where the configuration and the list of endpoints lie in the store.
+  // Keys of the configuration and of the endpoint list in the store.
   { P::ConfigurationKey() } -> std::convertible_to<std::string>;
   { P::ConfigurationPrefix() } -> std::convertible_to<std::string>;
   { P::EndpointPrefix() } -> std::convertible_to<std::string>;
@@ -50,9 +50,9 @@
   ForwardingBox(const Settings& settings, EventLoop* loop)
       : core_(settings, loop, P::Protocol()),
         store_(core_.http(), settings.store, core_.store_era(),
-               [this] { CountCall(StoreTaskName(calling_for_)); }),
+               [this] { CountStoreCall(StoreTaskName(call_reason_)); }),
         planner_store_(core_.http(), settings.store, core_.store_era(),
-                       [this] { CountCall("planner"); }),
+                       [this] { CountStoreCall("planner"); }),
         runners_(core_.http()),
         configuration_(&store_, loop, P::ConfigurationPrefix(),
                        ConfigurationOptions(), ConfigurationEvents()),
@@ -73,80 +73,84 @@
 
   bool Start(std::string* error) {
     if (!core_.Start(error)) return false;
-    core_.set_reader([](std::string_view text) {
+    core_.set_configuration_parser([](std::string_view text) {
       Findings findings;
       std::optional<ServiceConfiguration> c =
           P::ReadConfiguration(text, &findings);
-      NoteFindings(findings);
+      LogFindings(findings);
       return c;
     });
-    ServeRequests();
-    core_.set_follow_duty([this] { FollowDuty(); });
-    FollowDuty();
-    core_.loop()->Every(kDutyLook, [this] { FollowDuty(); });
-    planner_.Start(kFirstPlan);
+    InstallRunnerCalls();
+    core_.set_update_store_task([this] { UpdateStoreTask(); });
+    UpdateStoreTask();
+    core_.loop()->Every(kTaskInterval, [this] { UpdateStoreTask(); });
+    planner_.Start(kFirstPlanDelay);
     return true;
   }
   void BeginStop() { core_.BeginStop(); }
   void Reload(const Settings& settings) { core_.Reload(settings); }
 
  private:
-  // The store's first answers are there by then.
-  static constexpr milliseconds kFirstPlan{500};
+  // By then the first answers of the store have arrived.
+  static constexpr milliseconds kFirstPlanDelay{500};
 
-  static constexpr milliseconds kDutyLook{100};
-  // Between calls of a box that stands in, once the store fails it too: the
-  // first of the hall tries four times as often, and is asked.
-  static constexpr milliseconds kStandInRetry{1000};
+  static constexpr milliseconds kTaskInterval{100};
+  // Between calls of a standby that cannot reach the store either. The primary
+  // of the hall retries four times as often, and its peers ask it.
+  static constexpr milliseconds kStandbyRetryDelay{1000};
 
-  // A runner answers at once, in an idle hall within 3 ms; lost packets are
-  // sent again after 200 ms, which is too late to be of use here.
-  static constexpr milliseconds kAskLimit{30};
-  static constexpr milliseconds kRerouteLimit{100};
+  // A runner answers within 3 ms in an idle hall. Lost packets are
+  // retransmitted after 200 ms, which is too late to be useful here.
+  static constexpr milliseconds kProbeTimeout{30};
+  static constexpr milliseconds kRerouteTimeout{100};
 
-  void ServeRequests() {
+  void InstallRunnerCalls() {
     core_.forward_context()->probe =
         [this](const std::string& id, std::function<void(RunnerHealth)> fn) {
-          Ask(id, std::move(fn));
+          ProbeRunner(id, std::move(fn));
         };
     core_.forward_context()->reroute =
         [this](const Address& entry, const std::string& request,
                const std::vector<AddressedStage>& chain, RerouteHandler fn) {
-          runners_.Reroute(entry, request, chain, kRerouteLimit, std::move(fn));
+          runners_.Reroute(entry, request, chain, kRerouteTimeout,
+                           std::move(fn));
         };
   }
 
-  void Ask(const std::string& id, std::function<void(RunnerHealth)> fn) {
+  void ProbeRunner(const std::string& id,
+                   std::function<void(RunnerHealth)> fn) {
     const DirectoryEntry* entry = core_.directory()->Find(id);
     if (entry == nullptr || !entry->runner) {
       fn({});
       return;
     }
     const LayerRange listed = entry->runner->holds;
-    const uint64_t life = entry->listed.incarnation;
-    runners_.Report(
-        entry->listed.address, kAskLimit,
-        [this, id, listed, life,
-         fn = std::move(fn)](const RunnerAnswer& answer) {
-          fn(HealthOf(listed, life, answer));
-          const std::optional<RunnerReport>& r = answer.report;
-          if (!r) return;
-          const bool news = r->state.leaving ||
-                            IsNewerIncarnation(life, r->state.incarnation);
-          if (!news) return;
-          core_.directory()->OnRunnerState(core_.loop()->now(), id, r->state);
-        });
+    const uint64_t incarnation = entry->listed.incarnation;
+    runners_.Report(entry->listed.address, kProbeTimeout,
+                    [this, id, listed, incarnation,
+                     fn = std::move(fn)](const RunnerAnswer& answer) {
+                      fn(HealthOf(listed, incarnation, answer));
+                      const std::optional<RunnerReport>& r = answer.report;
+                      if (!r) return;
+                      const bool changed =
+                          r->state.leaving ||
+                          IsNewerIncarnation(incarnation, r->state.incarnation);
+                      if (!changed) return;
+                      core_.directory()->OnRunnerState(core_.loop()->now(), id,
+                                                       r->state);
+                    });
   }
 
-  // Mirrors the store or looks at it, as StoreTaskSelector says.
-  void FollowDuty() {
-    const StoreTask task = core_.StoreTaskNow(planner_.planning());
-    if (task != StoreTask::kNone) calling_for_ = task;
-    core_.set_store_fails(Mirrors(task) && configuration_.failing());
+  // Mirrors the store or reads it once, as StoreTaskSelector decides.
+  void UpdateStoreTask() {
+    const StoreTask task = core_.ChooseStoreTask(planner_.planning());
+    if (task != StoreTask::kNone) call_reason_ = task;
+    core_.set_store_unreachable(Mirrors(task) && configuration_.failing());
     if (Mirrors(task)) {
-      const bool first = task == StoreTask::kMirror;
+      const bool primary = task == StoreTask::kMirror;
       configuration_.set_max_retry_delay(
-          first ? ConfigurationOptions().most_retry : kStandInRetry);
+          primary ? ConfigurationOptions().max_retry_delay
+                  : kStandbyRetryDelay);
       configuration_.Start();
       endpoints_.Start();
       return;
@@ -156,7 +160,7 @@
     if (task == StoreTask::kReadOnce) configuration_.ReadOnce();
   }
 
-  void CountCall(std::string_view reason) {
+  void CountStoreCall(std::string_view reason) {
     core_.metrics()->Count("store_calls",
                            "reason=\"" + std::string(reason) + "\"");
   }
@@ -169,39 +173,40 @@
 
   static PrefixMirrorOptions ConfigurationOptions() {
     PrefixMirrorOptions options;
-    // With the pause between them, four lists a second while the store is
-    // silent. What lapsed is dropped 2.2 s after its return is noticed, and
-    // must be within 3 s of the return itself.
+    // With the delay between them, four lists a second while the store is
+    // unreachable. Lapsed entries are dropped 2.2 s after its recovery is
+    // noticed, and must be dropped within 3 s of the recovery itself.
     options.unreachable_timeout = milliseconds(20);
-    // A silent store is noticed 1.4 s after a watch was sent, and the hall's
-    // other boxes hear of it 0.4 s later.
+    // An unresponsive store is noticed 1.4 s after a watch was sent, and the
+    // other boxes of the hall learn of it 0.4 s later.
     options.answer_timeout = milliseconds(400);
     return options;
   }
 
   static PrefixMirrorOptions EndpointOptions() {
     PrefixMirrorOptions options;
-    // A change ends the wait at once. It only bounds how long a silent store
-    // goes unnoticed here; the configuration's mirror notices sooner.
-    options.wait = milliseconds(5000);
-    // Endpoints join and load one after the other; each change alone would
-    // cost a call. A leaving endpoint may get work for two seconds.
-    options.least_pause = milliseconds(200);
-    // The configuration's mirror hears first that the store is back, and has
-    // this one try at once.
-    options.most_retry = milliseconds(2000);
+    // A change ends a watch immediately. This only bounds how long an
+    // unresponsive store goes unnoticed here; the mirror of the configuration
+    // notices sooner.
+    options.watch_timeout = milliseconds(5000);
+    // Endpoints join and load one after the other, and without this each change
+    // would cost a call. A leaving endpoint may be sent work for two seconds.
+    options.min_watch_interval = milliseconds(200);
+    // The mirror of the configuration is the first to notice that the store
+    // recovered, and then makes this one retry immediately.
+    options.max_retry_delay = milliseconds(2000);
     return options;
   }
 
-  static void NoteFindings(const Findings& findings) {
+  static void LogFindings(const Findings& findings) {
     for (const Finding& f : findings.list()) {
       LogEvent(LogPart::kConfig, LogLevel::kError, "unreadable",
                LogFields().Add("place", f.file).Add("why", f.text));
     }
   }
 
-  static void NoteReachable(std::string_view mirror, bool reachable,
-                            StoreStatus why) {
+  static void LogReachability(std::string_view mirror, bool reachable,
+                              StoreStatus why) {
     LogEvent(
         LogPart::kBox, reachable ? LogLevel::kInfo : LogLevel::kWarn,
         reachable ? "store_regained" : "store_lost",
@@ -211,22 +216,24 @@
   PrefixMirrorEvents ConfigurationEvents() {
     PrefixMirrorEvents events;
     events.on_list = [this](const PrefixResult& r) {
-      TakeConfiguration(r);
-      // The store answers: a look at the list is worth its call.
+      ApplyConfiguration(r);
+      // The store answers, so reading the list is worth a call.
       if (!Mirrors(core_.store_task())) endpoints_.ReadOnce();
     };
-    events.on_changes = [this](const PrefixResult& r) { TakeConfiguration(r); };
+    events.on_changes = [this](const PrefixResult& r) {
+      ApplyConfiguration(r);
+    };
     events.on_freshness = [this](Time fresh_as_of) {
-      core_.OnProof(DocumentKind::kConfiguration, fresh_as_of);
+      core_.OnFreshness(DocumentKind::kConfiguration, fresh_as_of);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
-      NoteReachable("configuration", reachable, why);
+      LogReachability("configuration", reachable, why);
       if (reachable) endpoints_.RetryNow();
     };
     return events;
   }
 
-  void TakeConfiguration(const PrefixResult& r) {
+  void ApplyConfiguration(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
       if (item.key != P::ConfigurationKey() || item.removed) continue;
       core_.OnStoreConfiguration(item.value);
@@ -235,32 +242,33 @@
 
   PrefixMirrorEvents EndpointEvents() {
     PrefixMirrorEvents events;
-    events.on_list = [this](const PrefixResult& r) { TakeList(r); };
-    events.on_changes = [this](const PrefixResult& r) { TakeChanges(r); };
+    events.on_list = [this](const PrefixResult& r) { ApplyList(r); };
+    events.on_changes = [this](const PrefixResult& r) { ApplyChanges(r); };
     events.on_freshness = [this](Time fresh_as_of) {
-      core_.OnProof(DocumentKind::kEndpoints, fresh_as_of);
+      core_.OnFreshness(DocumentKind::kEndpoints, fresh_as_of);
     };
     events.on_reachable = [this](bool reachable, StoreStatus why) {
-      NoteReachable("endpoints", reachable, why);
+      LogReachability("endpoints", reachable, why);
       if (reachable) core_.directory()->OnStoreReachable(core_.loop()->now());
     };
     return events;
   }
 
-  std::optional<DirectoryEntry> ReadEntry(const StoreItem& item) {
+  std::optional<DirectoryEntry> ParseEntry(const StoreItem& item) {
     Findings findings;
     std::optional<DirectoryEntry> entry =
         P::ReadEndpoint(item.key, item.value, &findings);
-    for (const Finding& f : findings.list()) core_.OnPassedOver(f.file, f.text);
+    for (const Finding& f : findings.list())
+      core_.OnRejectedEntry(f.file, f.text);
     return entry;
   }
 
-  void TakeList(const PrefixResult& r) {
+  void ApplyList(const PrefixResult& r) {
     std::vector<DirectoryEntry> entries;
     std::vector<std::string> unreadable;
     entries.reserve(r.items.size());
     for (const StoreItem& item : r.items) {
-      if (auto entry = ReadEntry(item)) {
+      if (auto entry = ParseEntry(item)) {
         entries.push_back(std::move(*entry));
       } else {
         unreadable.push_back(P::EndpointIdOf(item.key));
@@ -270,12 +278,12 @@
     if (!r.items.empty()) core_.OnListVersion(r.at);
   }
 
-  void TakeChanges(const PrefixResult& r) {
+  void ApplyChanges(const PrefixResult& r) {
     const Time now = core_.loop()->now();
     for (const StoreItem& item : r.items) {
       if (item.removed) {
         core_.directory()->OnRemoved(now, P::EndpointIdOf(item.key));
-      } else if (auto entry = ReadEntry(item)) {
+      } else if (auto entry = ParseEntry(item)) {
         core_.directory()->OnEntry(now, *entry);
       } else {
         core_.directory()->OnUnreadable(now, P::EndpointIdOf(item.key));
@@ -287,8 +295,8 @@
   PoolPlannerEvents PlannerEvents() {
     PoolPlannerEvents events;
     events.may_plan = [this] {
-      // One box a hall tries for the lease: the one that mirrors the store, or
-      // those that stand in for it.
+      // One box per hall competes for the lease: the one that mirrors the
+      // store, or its standbys.
       return core_.configuration() != nullptr && !core_.stopping() &&
              !core_.directory()->entries().empty() &&
              (Mirrors(core_.store_task()) || planner_.planning());
@@ -332,8 +340,7 @@
   PrefixMirror<typename P::StoreClient, EventLoop> endpoints_;
   PoolPlanner<typename P::StoreClient, typename P::RunnerClient, EventLoop>
       planner_;
-  StoreTask calling_for_ =
-      StoreTask::kReadOnce;  // what calls are counted under
+  StoreTask call_reason_ = StoreTask::kReadOnce;  // label in the metrics
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/forwarding_options.cc
+++ b/pinford/forwarding/forwarding_options.cc
@@ -4,15 +4,15 @@
 
 namespace pinford {
 
-// What boxes have on runners matters in all halls alike, since a runner's
-// memory is shared by all.
-Membership::Options PeerOptions(const Settings& s) {
+// The load that boxes put on runners matters equally in all halls, since all of
+// them share a runner's memory.
+Membership::Options MembershipOptions(const Settings& s) {
   Membership::Options options = GossipOptions(s);
   options.other_hall_every = 2;
   return options;
 }
 
-CallerServer::Limits EntryLimits(const Settings& s) {
+CallerServer::Limits CallerServerLimits(const Settings& s) {
   CallerServer::Limits limits;
   limits.head_bytes = s.max_header_bytes;
   limits.body_bytes = s.max_body_bytes;
@@ -21,7 +21,7 @@
   return limits;
 }
 
-UpstreamClient::Options UpstreamOptions(const ForwardProtocol& p) {
+UpstreamClient::Options UpstreamClientOptions(const ForwardProtocol& p) {
   UpstreamClient::Options options;
   options.id_header = p.headers.request_id;
   return options;
@@ -30,18 +30,18 @@
 EndpointTable::Options TableOptions(const Settings& s) {
   EndpointTable::Options options;
   options.mechanisms = s.mechanisms;
-  // The list is mirrored: an entry holds until it changes.
+  // The list is mirrored, so a report holds until it changes.
   options.report_valid = hours(24 * 365);
   options.direct_handoff = true;
-  // A token crosses in 0.75 ms, and its part of the prompt's activations takes
-  // about 0.1 ms; the rest keeps the links between halls free for the halls
-  // that need them. Seconds a token, as the price of a layer.
+  // Seconds per token, on the scale of the cost of a layer. A token takes 0.75
+  // ms to another hall, and its share of the prompt's activations about 0.1 ms;
+  // the rest keeps the links between halls free for the halls that need them.
   options.cross_hall_seconds = 0.003;
   return options;
 }
 
-RetryShare::Options RetryOptions(const Settings& s,
-                                 const MechanismSwitches& mechanisms) {
+RetryShare::Options RetryShareOptions(const Settings& s,
+                                      const MechanismSwitches& mechanisms) {
   RetryShare::Options options;
   options.ratio = s.retry_ratio;
   options.extra = s.retry_extra;
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -1,5 +1,5 @@
-// ForwardingCore's part among its peers: what it tells them, what it takes of
-// what they tell.
+// ForwardingCore's exchange with its peers: the state it sends, and how it
+// applies the state it receives.
 
 #include <algorithm>
 #include <utility>
@@ -41,20 +41,20 @@
   PeerSourceEvents events;
   events.version = [this](DocumentKind kind) { return VersionOf(kind); };
   events.fresh_as_of = [this](DocumentKind kind) {
-    return proofs_[IndexOf(kind)];
+    return fresh_as_of_[IndexOf(kind)];
   };
   events.on_body = [this](DocumentKind kind, const DocumentState& state,
                           const std::string& peer) {
     return OnPeerBody(kind, state, peer);
   };
   events.on_freshness = [this](DocumentKind kind, Time fresh_as_of) {
-    OnProof(kind, fresh_as_of);
+    OnFreshness(kind, fresh_as_of);
   };
-  events.on_answer = [this] { peers_first_.OnAnswer(); };
+  events.on_answer = [this] { startup_check_.OnAnswer(); };
   return events;
 }
 
-// What this box has on each endpoint, for its peers' estimates.
+// Publishes this box's work on each endpoint, for its peers' estimates.
 void ForwardingCore::UpdateOwnState() {
   std::vector<EndpointCount> counts;
   for (const auto& [name, row] : table_.rows()) {
@@ -64,7 +64,7 @@
   membership_.set_counts(std::move(counts));
   membership_.set_load(static_cast<uint32_t>(forwarder_.active()), 0);
   membership_.set_leaving_endpoints(table_.LeavingMarks());
-  membership_.set_freshness_age(ProofAge());
+  membership_.set_freshness_age(FreshnessAge());
 }
 
 void ForwardingCore::OnDigest(const Digest& digest) {
@@ -72,16 +72,16 @@
   for (const auto& [endpoint, incarnation] : digest.leaving) {
     directory_.OnLeaving(now, endpoint, incarnation);
   }
-  source_.OnDigest(
+  peer_source_.OnDigest(
       digest.sender.address,
       digest.sender.versions[IndexOf(DocumentKind::kConfiguration)],
       digest.sender.versions[IndexOf(DocumentKind::kEndpoints)],
       now - milliseconds(digest.freshness_age_ms));
-  peers_told_ = true;
+  digest_received_ = true;
 }
 
-void ForwardingCore::TakeCountsOfPeers() {
-  if (!std::exchange(peers_told_, false)) return;
+void ForwardingCore::ApplyPeerCounts() {
+  if (!std::exchange(digest_received_, false)) return;
   const Time now = loop_->now();
   table_.OnPeerCounts(membership_.SumOfCounts(now));
   const int boxes = membership_.live_boxes(now);
@@ -91,43 +91,45 @@
 
 void ForwardingCore::OnRunnerDown(const std::string& endpoint) {
   if (!forward_context_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
-  if (!news_.OnDown(loop_->now(), endpoint)) return;
-  loop_->After(news_.options().batch_window, [this] {
-    gossip_.SendFailureNotice({news_.Take()}, news_.options().fanout);
+  if (!failure_gossip_.OnDown(loop_->now(), endpoint)) return;
+  loop_->After(failure_gossip_.options().batch_window, [this] {
+    gossip_.SendFailureNotice({failure_gossip_.Take()},
+                              failure_gossip_.options().fanout);
   });
 }
 
 void ForwardingCore::OnFailureNotice(const FailureNotice& note) {
   if (!forward_context_.mechanisms.enabled(Mechanism::kFailureGossip)) return;
   metrics_.Count("down_notes_total");
-  for (const std::string& id : news_.OnNotice(loop_->now(), note.endpoints)) {
+  for (const std::string& id :
+       failure_gossip_.OnNotice(loop_->now(), note.endpoints)) {
     if (directory_.Find(id) != nullptr) forwarder_.ProbeIfDue(id);
   }
 }
 
-void ForwardingCore::AskForRetries() {
+void ForwardingCore::RequestRetries() {
   if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans)) return;
-  std::vector<RetryRequest> asks = loans_.MakeAsks(loop_->now());
-  if (asks.empty()) return;
+  std::vector<RetryRequest> requests = loans_.MakeAsks(loop_->now());
+  if (requests.empty()) return;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_asked",
            LogFields()
-               .Add("service", asks[0].service)
-               .Add("peers", asks.size())
-               .Add("of_each", asks[0].count));
-  gossip_.SendRetryRequests(std::move(asks));
+               .Add("service", requests[0].service)
+               .Add("peers", requests.size())
+               .Add("of_each", requests[0].count));
+  gossip_.SendRetryRequests(std::move(requests));
 }
 
 std::optional<RetryLoan> ForwardingCore::OnRetryRequest(
-    const RetryRequest& ask) {
+    const RetryRequest& request) {
   if (!forward_context_.mechanisms.enabled(Mechanism::kRetryLoans))
     return std::nullopt;
-  const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), ask);
+  const std::optional<RetryLoan> loan = loans_.OnAsk(loop_->now(), request);
   if (!loan) return std::nullopt;
   LogEvent(LogPart::kPeers, LogLevel::kInfo, "retries_lent",
            LogFields()
-               .Add("service", ask.service)
-               .Add("to", ask.from)
-               .Add("asked", ask.count)
+               .Add("service", request.service)
+               .Add("to", request.from)
+               .Add("asked", request.count)
                .Add("count", loan->count));
   return loan;
 }
@@ -144,25 +146,25 @@
   FetchReply reply;
   reply.kind = request.kind;
   if (request.kind != FetchKind::kShared) return reply;
-  reply.store_unreachable = store_fails_;
+  reply.store_unreachable = store_unreachable_;
   DocumentState& state = reply.documents[IndexOf(DocumentKind::kConfiguration)];
-  state = StateOf(DocumentKind::kConfiguration);
+  state = DocumentStateOf(DocumentKind::kConfiguration);
   const uint64_t above =
       request.known_versions[IndexOf(DocumentKind::kConfiguration)];
-  if (state.version > above) state.body = configuration_packed_;
+  if (state.version > above) state.body = compressed_configuration_;
   reply.documents[IndexOf(DocumentKind::kEndpoints)] = ListState(request);
   return reply;
 }
 
-uint64_t ForwardingCore::ProofAgeMs(Time fresh_as_of) const {
+uint64_t ForwardingCore::FreshnessAgeMs(Time fresh_as_of) const {
   return static_cast<uint64_t>(
       std::max<int64_t>(0, ToMillis(loop_->now() - fresh_as_of) + 1));
 }
 
-DocumentState ForwardingCore::StateOf(DocumentKind kind) const {
+DocumentState ForwardingCore::DocumentStateOf(DocumentKind kind) const {
   DocumentState state;
   state.version = VersionOf(kind);
-  state.freshness_age_ms = ProofAgeMs(proofs_[IndexOf(kind)]);
+  state.freshness_age_ms = FreshnessAgeMs(fresh_as_of_[IndexOf(kind)]);
   return state;
 }
 
@@ -172,7 +174,7 @@
   if (request.list.incarnation == now.incarnation) {
     changes = directory_.ChangesSince(loop_->now(), request.list.at);
   }
-  DocumentState state = StateOf(DocumentKind::kEndpoints);
+  DocumentState state = DocumentStateOf(DocumentKind::kEndpoints);
   state.list = now;
   if (changes && now.at != request.list.at) {
     state.changes = true;
@@ -181,31 +183,33 @@
   const uint64_t above =
       request.known_versions[IndexOf(DocumentKind::kEndpoints)];
   if (changes || state.version <= above) return state;
-  const WholeList& list = ListAbove(above);
-  // Its version without its body: the peer asks another that has it.
+  const FullListCache& list = FullListAbove(above);
+  // Sends the version without the body: the peer then asks another box that has
+  // it.
   if (!list_budget_.Take(loop_->now(), list.body().size())) {
     metrics_.Count("lists_withheld_total");
     return state;
   }
-  state.version = list.moment().version;
-  state.list.at = list.moment().at;
-  state.freshness_age_ms = ProofAgeMs(list.moment().fresh_as_of);
+  state.version = list.snapshot().version;
+  state.list.at = list.snapshot().at;
+  state.freshness_age_ms = FreshnessAgeMs(list.snapshot().fresh_as_of);
   state.body = list.body();
   return state;
 }
 
-const WholeList& ForwardingCore::ListAbove(uint64_t above) {
-  const Time begun = loop_->now();
-  // What is left of a lapsed entry's time changes as it passes.
-  const bool serves = whole_list_.Serves(begun, directory_.state(), above) &&
-                      !directory_.has_timed_entries();
-  if (serves) return whole_list_;
-  const WholeList::Moment moment = {VersionOf(DocumentKind::kEndpoints),
-                                    directory_.at(), directory_.state(),
-                                    proofs_[IndexOf(DocumentKind::kEndpoints)]};
-  std::string body = Deflate(WriteDirectory(directory_.Snapshot(begun)));
-  whole_list_.Set(begun, loop_->now(), moment, std::move(body));
-  return whole_list_;
+const FullListCache& ForwardingCore::FullListAbove(uint64_t above) {
+  const Time build_start = loop_->now();
+  // The remaining time of a lapsed entry changes as time passes.
+  const bool usable =
+      full_list_.IsUsable(build_start, directory_.state(), above) &&
+      !directory_.has_timed_entries();
+  if (usable) return full_list_;
+  const FullListCache::Snapshot snapshot = {
+      VersionOf(DocumentKind::kEndpoints), directory_.at(), directory_.state(),
+      fresh_as_of_[IndexOf(DocumentKind::kEndpoints)]};
+  std::string body = Deflate(WriteDirectory(directory_.Snapshot(build_start)));
+  full_list_.Set(build_start, loop_->now(), snapshot, std::move(body));
+  return full_list_;
 }
 
 bool ForwardingCore::OnPeerBody(DocumentKind kind, const DocumentState& state,
@@ -215,19 +219,20 @@
   if (body && kind == DocumentKind::kConfiguration) {
     return OnConfiguration(*body, peer);
   }
-  const auto whole =
+  const auto full_list =
       body && !state.changes ? ParseDirectory(*body) : std::nullopt;
   const auto changes =
       body && state.changes ? ParseChanges(*body) : std::nullopt;
-  if (!whole && !changes) {
+  if (!full_list && !changes) {
     LogEvent(LogPart::kPeers, LogLevel::kError, "unreadable",
              LogFields().Add("place", "document of " + peer));
     return false;
   }
-  // Before the list is taken: what it lacks, or has again, is of a copy.
+  // Must precede the list: entries that it lacks, or has again, are due to the
+  // restore.
   const StoreRevision version = StoreRevision::FromPacked(state.version);
   if (!era_.Observe(version.era())) return false;
-  if (whole) directory_.OnList(loop_->now(), *whole);
+  if (full_list) directory_.OnList(loop_->now(), *full_list);
   if (changes) directory_.OnChanges(loop_->now(), *changes);
   OnListVersion(version);
   return true;
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -1,4 +1,4 @@
-// Whom a box asks for the age of its proof, over real sockets.
+// PeerSource over real sockets: which peer a box asks, and how fresh it stays.
 
 #include "pinford/forwarding/peer_source.h"
 
@@ -17,7 +17,7 @@
 constexpr char kPeerKey[] = "key";
 constexpr int kEndpointsIndex = IndexOf(DocumentKind::kEndpoints);
 
-// A peer that answers with a proof of a given age.
+// A peer that answers with a given freshness age.
 struct Peer {
   Peer(EventLoop* loop, const std::string& name, int port)
       : link(std::in_place, loop, PeerCodec(kPeerKey),
@@ -49,31 +49,31 @@
   int asked = 0;
   uint64_t age_ms = 0;
   bool store_unreachable = false;
-  ListCursor asked_from;              // of the last question
-  std::optional<DocumentState> list;  // what it has
+  ListCursor asked_from;              // of the last request
+  std::optional<DocumentState> list;  // sent in answers if set
 };
 
-// A box that has version 7 of all, and two peers of its hall.
+// A box with version 7 of all documents, and two peers in its hall.
 class Fixture {
  public:
   Fixture()
       : ports_(FreePorts(2)),
         membership_(Self(), {}, Membership::Options(), Random(1)),
         link_(&loop_, PeerCodec(kPeerKey), {}),
-        roster_(&membership_, RosterOptions()),
-        source_(&loop_, &membership_, &roster_, {}, &link_, Random(2),
+        selector_(&membership_, SelectorOptions()),
+        source_(&loop_, &membership_, &selector_, {}, &link_, Random(2),
                 Options(), Events()) {
     for (int i = 0; i < 2; i++) {
       peers_[i] = std::make_unique<Peer>(&loop_, "peer-" + std::to_string(i),
                                          ports_[i]);
       membership_.OnRows(loop_.now(), {peers_[i]->row});
     }
-    // The first of the hall is one of the two, not this box.
-    const bool zero_first = RendezvousWeight("peer-0", kMirrorDuty) >
-                            RendezvousWeight("peer-1", kMirrorDuty);
+    // The primary of the hall is one of the two, not this box.
+    const bool zero_first = RendezvousWeight("peer-0", kMirrorRole) >
+                            RendezvousWeight("peer-1", kMirrorRole);
     mirror = peers_[zero_first ? 0 : 1].get();
     other = peers_[zero_first ? 1 : 0].get();
-    EXPECT_GT(roster_.rank(loop_.now()), 0);
+    EXPECT_GT(selector_.rank(loop_.now()), 0);
     loop_.Every(milliseconds(5), [this] { source_.Tick(true); });
   }
 
@@ -81,13 +81,13 @@
     loop_.After(d, [this] { loop_.Stop(); });
     loop_.Run();
   }
-  Duration ProofAge() const { return loop_.now() - proof_; }
-  bool MirrorFails() { return roster_.first_fails(loop_.now()); }
+  Duration FreshnessAge() const { return loop_.now() - fresh_as_of_; }
+  bool MirrorFailing() { return selector_.primary_failing(loop_.now()); }
 
   Peer* mirror;
   Peer* other;
-  uint64_t list_version = 7;        // that the box has
-  std::vector<std::string> bodies;  // that it took
+  uint64_t list_version = 7;        // held by the box
+  std::vector<std::string> bodies;  // accepted by the box
 
  private:
   static MemberRow Self() {
@@ -101,9 +101,9 @@
     options.interval = milliseconds(20);
     return options;
   }
-  static SourceSelector::Options RosterOptions() {
+  static SourceSelector::Options SelectorOptions() {
     SourceSelector::Options options;
-    options.fails_for = milliseconds(200);
+    options.failing_period = milliseconds(200);
     return options;
   }
   PeerSourceEvents Events() {
@@ -111,7 +111,7 @@
     events.version = [this](DocumentKind kind) {
       return kind == DocumentKind::kEndpoints ? list_version : 7;
     };
-    events.fresh_as_of = [this](DocumentKind) { return proof_; };
+    events.fresh_as_of = [this](DocumentKind) { return fresh_as_of_; };
     events.on_body = [this](DocumentKind, const DocumentState& state,
                             const std::string&) {
       bodies.push_back(state.body);
@@ -119,7 +119,7 @@
       return true;
     };
     events.on_freshness = [this](DocumentKind, Time fresh_as_of) {
-      proof_ = fresh_as_of;
+      fresh_as_of_ = fresh_as_of;
     };
     return events;
   }
@@ -128,15 +128,15 @@
   std::vector<int> ports_;
   Membership membership_;
   PeerLink link_;
-  Time proof_{};
-  SourceSelector roster_;
+  Time fresh_as_of_{};
+  SourceSelector selector_;
   PeerSource<PeerLink, EventLoop> source_;
   std::unique_ptr<Peer> peers_[2];
 };
 
-// The mirror's proof stands still between two answers of the store; that is
-// no reason to ask somebody who has it second hand.
-TEST(PeerSource, AsksTheMirrorWhileItsProofIsAsOldAsUsual) {
+// The mirror's freshness does not advance between two answers of the store;
+// that is no reason to ask a box that got its documents second hand.
+TEST(PeerSource, AsksOnlyTheMirrorWhileItsFreshnessAgeIsNormal) {
   Fixture f;
   for (f.mirror->age_ms = 0; f.mirror->age_ms <= 2000;) {
     f.RunFor(milliseconds(50));
@@ -144,39 +144,42 @@
   }
   EXPECT_GT(f.mirror->asked, 10);
   EXPECT_EQ(f.other->asked, 0);
-  EXPECT_FALSE(f.MirrorFails());
+  EXPECT_FALSE(f.MirrorFailing());
 }
 
-// The others must know at once: what leaves meanwhile is in no proof's age.
+// The other boxes must learn immediately that the mirror cannot reach the
+// store, because the freshness age does not show which endpoints leave
+// meanwhile.
 TEST(PeerSource, AMirrorThatTheStoreDoesNotAnswerSaysSo) {
   Fixture f;
   f.RunFor(milliseconds(100));
-  EXPECT_FALSE(f.MirrorFails());
+  EXPECT_FALSE(f.MirrorFailing());
   f.mirror->store_unreachable = true;
   f.RunFor(milliseconds(100));
-  EXPECT_TRUE(f.MirrorFails());
-  // It is asked on, in turn with the others, so that its recovery shows.
+  EXPECT_TRUE(f.MirrorFailing());
+  // It is still asked, alternating with the others, so that its recovery is
+  // noticed.
   const int asked = f.mirror->asked;
   f.RunFor(milliseconds(400));
-  EXPECT_TRUE(f.MirrorFails());
+  EXPECT_TRUE(f.MirrorFailing());
   EXPECT_GT(f.mirror->asked, asked + 3);
   EXPECT_GT(f.other->asked, 3);
   f.mirror->store_unreachable = false;
   f.RunFor(milliseconds(400));
-  EXPECT_FALSE(f.MirrorFails());
+  EXPECT_FALSE(f.MirrorFailing());
 }
 
-TEST(PeerSource, AsksOthersWhileTheMirrorsProofIsOld) {
+TEST(PeerSource, AsksOthersWhileTheMirrorIsStale) {
   Fixture f;
   f.mirror->age_ms = 4000;
   f.other->age_ms = 500;
   f.RunFor(milliseconds(400));
   EXPECT_GT(f.other->asked, 0);
-  EXPECT_LT(f.ProofAge(), milliseconds(1000));
+  EXPECT_LT(f.FreshnessAge(), milliseconds(1000));
 }
 
-// A box that does not answer is passed over within a question, and soon ranks
-// no more.
+// A box that does not answer is skipped after one request, and soon is not
+// ranked any more.
 TEST(PeerSource, ASilentMirrorIsPassedOver) {
   Fixture f;
   f.RunFor(milliseconds(100));
@@ -184,11 +187,12 @@
   f.other->asked = 0;
   f.RunFor(milliseconds(300));
   EXPECT_GT(f.other->asked, 3);
-  EXPECT_LT(f.ProofAge(), milliseconds(200));
+  EXPECT_LT(f.FreshnessAge(), milliseconds(200));
 }
 
-// Who has the list from the peer that it asks is told what changed since: from
-// the moment that came with what it took last, and only there.
+// A box that got its list from the peer it asks receives the changes since:
+// from the cursor of the last list or changes that it applied, and only from
+// that peer.
 TEST(PeerSource, TheListIsAskedForFromTheMomentAtWhichItWasHad) {
   Fixture f;
   const auto answers = [&f](uint64_t version, const std::string& body,
@@ -198,20 +202,20 @@
   };
   const ListCursor none;
   answers(7, "", false, {5, 9});
-  EXPECT_EQ(f.mirror->asked_from, none) << "it has nothing from there";
+  EXPECT_EQ(f.mirror->asked_from, none) << "it has no list from that peer";
   answers(8, "whole", false, {5, 10});
-  f.mirror->list->body = "";  // as a peer that is asked from then answers
+  f.mirror->list->body = "";  // as a peer answers a request from its own cursor
   f.RunFor(milliseconds(60));
   EXPECT_EQ(f.mirror->asked_from, (ListCursor{5, 10}));
-  // What changed may be of no new version: what lapsed was dropped.
+  // Changes need not have a new version: a lapsed entry was dropped.
   answers(8, "changes", true, {5, 11});
   f.mirror->list = {8, 0, "", false, {5, 11}};
   f.RunFor(milliseconds(60));
   EXPECT_EQ(f.mirror->asked_from, (ListCursor{5, 11}));
   EXPECT_EQ(f.bodies.front(), "whole");
   EXPECT_EQ(f.bodies.back(), "changes");
-  // It has a newer list from elsewhere: older changes are not taken, and the
-  // peer's moment means nothing any more.
+  // The box has a newer list from elsewhere: older changes are not applied, and
+  // the peer's cursor is void.
   f.list_version = 9;
   const size_t taken = f.bodies.size();
   answers(8, "older", true, {5, 12});
@@ -220,12 +224,12 @@
   EXPECT_EQ(f.other->asked_from, none);
 }
 
-TEST(StartupPeerCheck, IsOverWithAnAnswerOrAfterAWhile) {
+TEST(StartupPeerCheck, EndsWithAnAnswerOrAfterATimeout) {
   const Time now = Time{} + seconds(1);
   EXPECT_TRUE(StartupPeerCheck(now, false).Done(now));
   StartupPeerCheck asks(now, true);
-  EXPECT_FALSE(asks.Done(now + StartupPeerCheck::kPatience - milliseconds(1)));
-  EXPECT_TRUE(asks.Done(now + StartupPeerCheck::kPatience));
+  EXPECT_FALSE(asks.Done(now + StartupPeerCheck::kMaxWait - milliseconds(1)));
+  EXPECT_TRUE(asks.Done(now + StartupPeerCheck::kMaxWait));
   asks.OnAnswer();
   EXPECT_TRUE(asks.Done(now));
 }
--- a/pinford/testing/prefix_mirror_test.cc
+++ b/pinford/testing/prefix_mirror_test.cc
@@ -1,5 +1,5 @@
-// Mirrors of the store: that a copy is complete, and that its proof never
-// claims more than is true, whatever the store does.
+// PrefixMirror: the copy is complete, and its freshness is never overstated,
+// whatever the store does.
 
 #include "pinford/forwarding/prefix_mirror.h"
 
@@ -14,20 +14,19 @@
 namespace pinford {
 namespace {
 
-// A store with watches, whose answers can be lost, late or refused, and which
-// can forget its history. Its watches may hear nothing for a while, for up to
-// a second as the platform says; then the history is forgotten too. It can go
-// back to a copy; answers of before that come later are dropped, and a watch
-// from before ends as one whose history is forgotten, as the platform's adapter
-// has it.
+// Store with watches, whose answers can be lost, late or refused, and which can
+// compact its history. Its watches may miss changes for up to a second, as the
+// platform documents; the history is compacted then. It can be restored from a
+// backup: answers from before that arrive later are dropped, and an older watch
+// ends as if its history were compacted, as in the platform's adapter.
 class FakePrefixStore {
  public:
   FakePrefixStore(PausedClock* clock, uint64_t seed)
       : clock_(clock), random_(seed) {}
 
-  double lose = 0;    // share of answers that never come
-  double late = 0;    // share that come 0.5 to 3 s late
-  double refuse = 0;  // share of calls that are refused
+  double lost_share = 0;     // share of answers that never arrive
+  double late_share = 0;     // share that arrive 0.5 to 3 s late
+  double refused_share = 0;  // share of calls that are refused
   int64_t calls = 0;
 
   void Put(const std::string& key, const std::string& value) {
@@ -40,17 +39,17 @@
     log_.push_back({key, "", Next(), true});
     copies_.push_back({items_, revision_.number()});
   }
-  void ForgetHistory() {
+  void CompactHistory() {
     log_.clear();
-    forgotten_ = Next();
-    deaf_ = false;
+    compacted_ = Next();
+    watches_stalled_ = false;
   }
-  void GoDeaf(Duration d) {
-    if (std::exchange(deaf_, true)) return;
-    clock_->After(d, [this] { ForgetHistory(); });
+  void StallWatches(Duration d) {
+    if (std::exchange(watches_stalled_, true)) return;
+    clock_->After(d, [this] { CompactHistory(); });
   }
-  bool deaf() const { return deaf_; }
-  // Goes back to what it held `n` changes ago.
+  bool watches_stalled() const { return watches_stalled_; }
+  // Restores the contents of `n` changes ago.
   void Restore(size_t n) {
     const Copy copy = copies_[copies_.size() - 1 - n];
     copies_.resize(copies_.size() - n);
@@ -59,11 +58,11 @@
     std::erase_if(log_, [&copy](const StoreItem& item) {
       return item.revision.number() > copy.number;
     });
-    forgotten_ = StoreRevision();
-    deaf_ = false;
+    compacted_ = StoreRevision();
+    watches_stalled_ = false;
   }
   size_t copies() const { return copies_.size(); }
-  StoreEra era;  // that the mirror's box knows of
+  StoreEra era;  // as known to the mirror's box
   std::map<std::string, std::string> Values() const {
     std::map<std::string, std::string> out;
     for (const auto& [key, item] : items_) out[key] = item.value;
@@ -84,14 +83,14 @@
   void WatchPrefix(const std::string&, StoreRevision since, Duration d,
                    PrefixCallback fn) {
     calls++;
-    // Looks each 50 ms, as a waiting watch would be woken.
+    // Polls every 50 ms to simulate a watch that is woken.
     Wait(since, clock_->now() + d, std::move(fn));
   }
 
  private:
   void Wait(StoreRevision since, Time until, PrefixCallback fn) {
     const bool other = since.era() < revision_.era();
-    if (other || since < forgotten_) {
+    if (other || since < compacted_) {
       Answer(Duration(0), fn, [] {
         PrefixResult r;
         r.status = StoreStatus::kCompacted;
@@ -99,23 +98,23 @@
       });
       return;
     }
-    const bool news = revision_ > since && !deaf_;
-    if (!news && clock_->now() < until) {
+    const bool has_changes = revision_ > since && !watches_stalled_;
+    if (!has_changes && clock_->now() < until) {
       clock_->After(milliseconds(50),
                     [this, since, until, fn] { Wait(since, until, fn); });
       return;
     }
-    Answer(Duration(0), fn, [this, since, news] {
+    Answer(Duration(0), fn, [this, since, has_changes] {
       PrefixResult r;
-      // Since it was looked at, 2 ms ago.
-      if (since.era() < revision_.era() || since < forgotten_) {
+      // The state may have changed since the check 2 ms ago.
+      if (since.era() < revision_.era() || since < compacted_) {
         r.status = StoreStatus::kCompacted;
         return r;
       }
-      r.status = news ? StoreStatus::kOk : StoreStatus::kTimeout;
-      r.at = news ? revision_ : since;
+      r.status = has_changes ? StoreStatus::kOk : StoreStatus::kTimeout;
+      r.at = has_changes ? revision_ : since;
       for (const StoreItem& item : log_) {
-        if (news && item.revision > since) r.items.push_back(item);
+        if (has_changes && item.revision > since) r.items.push_back(item);
       }
       return r;
     });
@@ -138,7 +137,7 @@
 
   void Answer(Duration, PrefixCallback fn,
               std::function<PrefixResult()> effect) {
-    if (Chance(refuse)) {
+    if (Chance(refused_share)) {
       clock_->After(milliseconds(4), [fn] {
         PrefixResult r;
         r.status = StoreStatus::kRefused;
@@ -146,16 +145,17 @@
       });
       return;
     }
-    const bool lost = Chance(lose);
-    const bool is_late = Chance(late);
-    // What is answered is as of the call's arrival, however late it comes.
+    const bool lost = Chance(lost_share);
+    const bool is_late = Chance(late_share);
+    // The answer reflects the arrival of the call, however late it is
+    // delivered.
     clock_->After(milliseconds(2), [=, this] {
       const PrefixResult r = effect();
       if (lost) return;
       const Duration back =
           is_late ? milliseconds(500 + random_() % 2500) : milliseconds(2);
-      clock_->After(back, [this, fn, r, told = revision_.era()] {
-        fn(era.Observe(told) ? r : PrefixResult());
+      clock_->After(back, [this, fn, r, answer_era = revision_.era()] {
+        fn(era.Observe(answer_era) ? r : PrefixResult());
       });
     });
   }
@@ -163,8 +163,8 @@
   PausedClock* clock_;
   Random random_;
   StoreRevision revision_ = StoreRevision::Make(0, 1).value();
-  StoreRevision forgotten_;
-  bool deaf_ = false;
+  StoreRevision compacted_;
+  bool watches_stalled_ = false;
   std::map<std::string, StoreItem> items_;
   std::vector<StoreItem> log_;
   std::vector<Copy> copies_ = {{}};
@@ -172,10 +172,10 @@
 
 static_assert(PrefixStore<FakePrefixStore>);
 
-// A mirror and its copy.
-struct Mirrored {
-  Mirrored(FakePrefixStore* store, PausedClock* clock,
-           const PrefixMirrorOptions& options = {})
+// A mirror together with its copy of the contents.
+struct MirroredCopy {
+  MirroredCopy(FakePrefixStore* store, PausedClock* clock,
+               const PrefixMirrorOptions& options = {})
       : mirror(store, clock, "p/", options, Events()) {
     store->era.set_on_increase([this](uint64_t, uint64_t) { mirror.Relist(); });
   }
@@ -184,18 +184,18 @@
     PrefixMirrorEvents events;
     events.on_list = [this](const PrefixResult& r) {
       copy.clear();
-      Take(r);
+      Apply(r);
       lists++;
     };
-    events.on_changes = [this](const PrefixResult& r) { Take(r); };
+    events.on_changes = [this](const PrefixResult& r) { Apply(r); };
     events.on_freshness = [](Time) {};
     events.on_reachable = [this](bool r, StoreStatus) {
       reachable = r;
-      changes_of_reach++;
+      reachability_changes++;
     };
     return events;
   }
-  void Take(const PrefixResult& r) {
+  void Apply(const PrefixResult& r) {
     for (const StoreItem& item : r.items) {
       if (item.removed) {
         copy.erase(item.key);
@@ -208,15 +208,15 @@
   std::map<std::string, std::string> copy;
   int lists = 0;
   bool reachable = false;
-  int changes_of_reach = 0;
+  int reachability_changes = 0;
   PrefixMirror<FakePrefixStore, PausedClock> mirror;
 };
 
-TEST(PrefixMirror, HearsOfChangesAtOnceAndCostsOneCallAWait) {
+TEST(PrefixMirror, ReceivesChangesAtOnceWithOneCallPerWatchTimeout) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(milliseconds(100));
   EXPECT_EQ(m.copy, store.Values());
@@ -229,17 +229,17 @@
   clock.Advance(seconds(30));
   EXPECT_LE(store.calls - before, 30);
   EXPECT_EQ(m.lists, 1);
-  EXPECT_EQ(m.changes_of_reach, 1);
+  EXPECT_EQ(m.reachability_changes, 1);
 }
 
-TEST(PrefixMirror, ListsAgainWhenHistoryIsForgotten) {
+TEST(PrefixMirror, RelistsAfterHistoryIsCompacted) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(milliseconds(100));
-  store.GoDeaf(milliseconds(900));
+  store.StallWatches(milliseconds(900));
   store.Remove("p/a");
   store.Put("p/c", "3");
   clock.Advance(milliseconds(2400));
@@ -247,42 +247,42 @@
   EXPECT_EQ(m.lists, 2);
 }
 
-TEST(PrefixMirror, SaysOnceThatTheStoreIsAwayAndAsksItSparingly) {
+TEST(PrefixMirror, ReportsAnUnreachableStoreOnceAndRetriesSparingly) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(seconds(1));
-  store.lose = 1;
+  store.lost_share = 1;
   clock.Advance(seconds(4));
   EXPECT_FALSE(m.reachable);
-  EXPECT_EQ(m.changes_of_reach, 2);
+  EXPECT_EQ(m.reachability_changes, 2);
   const int64_t before = store.calls;
   clock.Advance(seconds(10));
   EXPECT_LE(store.calls - before, 12);
-  store.lose = 0;
+  store.lost_share = 0;
   clock.Advance(milliseconds(1100));
   EXPECT_TRUE(m.reachable);
 }
 
-// A store that falls silent and is slow when it is back: its return is noticed
-// after a pause and its answer, whatever a lone call would have waited.
+// The store stops answering and is slow when it recovers: recovery is noticed
+// after one retry delay and one answer, whatever the timeout of a single call.
 TEST(PrefixMirror, NoticesTheReturnOfASilentStoreSoon) {
   for (int after = 0; after < 2000; after += 37) {
     PausedClock clock;
     FakePrefixStore store(&clock, 1);
     PrefixMirrorOptions options;
     options.unreachable_timeout = milliseconds(20);
-    Mirrored m(&store, &clock, options);
+    MirroredCopy m(&store, &clock, options);
     m.mirror.Start();
     clock.Advance(seconds(1));
-    store.lose = 1;
+    store.lost_share = 1;
     clock.Advance(seconds(4) + milliseconds(after));
     EXPECT_FALSE(m.reachable);
     const int64_t before = store.calls;
     clock.Advance(seconds(1));
     EXPECT_LE(store.calls - before, 4);
-    store.lose = 0;
+    store.lost_share = 0;
     clock.Advance(milliseconds(300));
     EXPECT_TRUE(m.reachable) << after;
   }
@@ -290,22 +290,22 @@
   FakePrefixStore store(&clock, 1);
   PrefixMirrorOptions options;
   options.unreachable_timeout = milliseconds(20);
-  Mirrored m(&store, &clock, options);
+  MirroredCopy m(&store, &clock, options);
   m.mirror.Start();
   clock.Advance(seconds(1));
-  store.lose = 1;
+  store.lost_share = 1;
   clock.Advance(seconds(4));
-  // Answers come back 0.5 to 3 s late: one of several counts.
-  store.lose = 0;
-  store.late = 1;
+  // Answers arrive 0.5 to 3 s late, and any of several is accepted.
+  store.lost_share = 0;
+  store.late_share = 1;
   clock.Advance(milliseconds(3300));
   EXPECT_TRUE(m.reachable);
 }
 
-TEST(PrefixMirror, LeavesTheStoreAloneWhileStopped) {
+TEST(PrefixMirror, MakesNoCallsWhileStopped) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.Start();
   clock.Advance(seconds(1));
   m.mirror.Stop();
@@ -318,11 +318,11 @@
   EXPECT_EQ(m.copy, store.Values());
 }
 
-TEST(PrefixMirror, LooksOnceWithoutAWatch) {
+TEST(PrefixMirror, ReadOnceListsWithoutAWatch) {
   PausedClock clock;
   FakePrefixStore store(&clock, 1);
   store.Put("p/a", "1");
-  Mirrored m(&store, &clock);
+  MirroredCopy m(&store, &clock);
   m.mirror.ReadOnce();
   m.mirror.ReadOnce();
   clock.Advance(seconds(5));
@@ -330,19 +330,19 @@
   EXPECT_EQ(store.calls, 1);
   EXPECT_TRUE(m.reachable);
 
-  // One that gets no answer ends, and the next may begin.
-  store.lose = 1;
+  // A read without an answer ends, and the next may start.
+  store.lost_share = 1;
   m.mirror.ReadOnce();
   clock.Advance(seconds(5));
   EXPECT_EQ(store.calls, 2);
   EXPECT_FALSE(m.reachable);
-  store.lose = 0;
+  store.lost_share = 0;
   store.Put("p/b", "2");
   m.mirror.ReadOnce();
   clock.Advance(milliseconds(100));
   EXPECT_EQ(m.copy, store.Values());
 
-  // A look that is under way becomes the mirror's first list.
+  // An outstanding read becomes the first list of the mirror.
   m.mirror.ReadOnce();
   m.mirror.Start();
   clock.Advance(milliseconds(100));
@@ -352,65 +352,65 @@
   EXPECT_EQ(m.copy, store.Values());
 }
 
-// Random schedules: at each moment the copy must hold whatever had been
-// written by the proof, or something newer. The store is deaf for at most
-// a second, as the platform says.
-TEST(PrefixMirror, AProofNeverClaimsMoreThanIsTrue) {
+// Random schedules: at each step the copy must hold what had been written by
+// the freshness time, or something newer. Watches miss changes for at most a
+// second, as the platform documents.
+TEST(PrefixMirror, FreshnessIsNeverOverstated) {
   for (int seed = 0; seed < 300; seed++) {
     PausedClock clock;
     Random random(seed);
     FakePrefixStore store(&clock, seed + 1000);
-    Mirrored m(&store, &clock);
+    MirroredCopy m(&store, &clock);
     m.mirror.Start();
-    // The number that was the newest from a time on.
-    std::map<Time, int> truth = {{Time{}, 0}};
+    // The newest number written, by the time from which it was so.
+    std::map<Time, int> newest = {{Time{}, 0}};
     int written = 0;
     for (int step = 0; step < 600; step++) {
       clock.Advance(milliseconds(20 + random() % 60));
       switch (random() % 24) {
         case 0:
           store.Put("p/n", std::to_string(++written));
-          truth[clock.now()] = written;
+          newest[clock.now()] = written;
           break;
         case 1:
-          store.lose = random() % 3 * 0.4;
-          store.late = random() % 3 * 0.3;
-          store.refuse = random() % 4 == 0 ? 0.5 : 0;
+          store.lost_share = random() % 3 * 0.4;
+          store.late_share = random() % 3 * 0.3;
+          store.refused_share = random() % 4 == 0 ? 0.5 : 0;
           break;
         case 2:
-          if (random() % 4 == 0) store.GoDeaf(milliseconds(900));
+          if (random() % 4 == 0) store.StallWatches(milliseconds(900));
           break;
         case 3:
-          if (!store.deaf()) store.ForgetHistory();
+          if (!store.watches_stalled()) store.CompactHistory();
           break;
         default:
           break;
       }
       if (m.mirror.fresh_as_of() == Time{}) continue;
-      const int then =
-          std::prev(truth.upper_bound(m.mirror.fresh_as_of()))->second;
+      const int expected =
+          std::prev(newest.upper_bound(m.mirror.fresh_as_of()))->second;
       const auto it = m.copy.find("p/n");
-      const int have = it == m.copy.end() ? 0 : std::stoi(it->second);
-      ASSERT_GE(have, then) << seed << " at step " << step;
+      const int copied = it == m.copy.end() ? 0 : std::stoi(it->second);
+      ASSERT_GE(copied, expected) << seed << " at step " << step;
     }
-    // Whatever went wrong, it ends up right.
-    store.lose = store.late = store.refuse = 0;
+    // After the faults end, the copy becomes correct.
+    store.lost_share = store.late_share = store.refused_share = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
     EXPECT_LE(clock.now() - m.mirror.fresh_as_of(), seconds(3)) << seed;
   }
 }
 
-// The store comes back from a copy, and the revisions of what was lost are
-// given out again: what lies between is not missed, and the mirror is soon
-// right.
-TEST(PrefixMirror, AfterARestoreTheCopyIsTheStoresAgain) {
+// The store is restored from a backup, and the revisions of the lost changes
+// are issued again: no change in between is missed, and the mirror soon is
+// correct.
+TEST(PrefixMirror, TheCopyFollowsARestoredStore) {
   for (size_t lost = 0; lost < 4; lost++) {
     for (size_t written = 0; written < 6; written++) {
       PausedClock clock;
       FakePrefixStore store(&clock, 1);
       for (int i = 0; i < 4; i++) store.Put("p/" + std::to_string(i), "old");
-      Mirrored m(&store, &clock);
+      MirroredCopy m(&store, &clock);
       m.mirror.Start();
       clock.Advance(milliseconds(100));
       store.Restore(lost);
@@ -426,24 +426,25 @@
   }
 }
 
-// As above, with restores, two in a row among them. Contents come again after
-// one: what the copy holds must have been there at the proof, or later.
-TEST(PrefixMirror, AProofNeverClaimsMoreThanIsTrueOverRestores) {
+// As above, with restores, including two in a row. Contents recur after a
+// restore: what the copy holds must have been present at the freshness time, or
+// later.
+TEST(PrefixMirror, FreshnessIsNeverOverstatedAcrossRestores) {
   int restores = 0;
   for (int seed = 0; seed < 300; seed++) {
     PausedClock clock;
     Random random(seed + 5000);
     FakePrefixStore store(&clock, seed + 6000);
-    Mirrored m(&store, &clock);
+    MirroredCopy m(&store, &clock);
     m.mirror.Start();
     using Content = std::map<std::string, std::string>;
-    // When each content was there last.
-    std::map<Content, Time> there = {{{}, clock.now()}};
+    // When each content was last present.
+    std::map<Content, Time> last_present = {{{}, clock.now()}};
     int written = 0;
     for (int step = 0; step < 600; step++) {
-      // What is there until now.
+      // The content present until now.
       clock.Advance(milliseconds(20 + random() % 60));
-      there[store.Values()] = clock.now();
+      last_present[store.Values()] = clock.now();
       switch (random() % 24) {
         case 0:
         case 1:
@@ -454,12 +455,12 @@
           store.Remove("p/" + std::to_string(random() % 3));
           break;
         case 3:
-          store.lose = random() % 3 * 0.4;
-          store.late = random() % 3 * 0.3;
-          store.refuse = random() % 4 == 0 ? 0.5 : 0;
+          store.lost_share = random() % 3 * 0.4;
+          store.late_share = random() % 3 * 0.3;
+          store.refused_share = random() % 4 == 0 ? 0.5 : 0;
           break;
         case 4:
-          if (!store.deaf()) store.ForgetHistory();
+          if (!store.watches_stalled()) store.CompactHistory();
           break;
         case 5:
           store.Restore(random() % std::min<size_t>(store.copies(), 6));
@@ -469,13 +470,13 @@
         default:
           break;
       }
-      there[store.Values()] = clock.now();
+      last_present[store.Values()] = clock.now();
       if (m.mirror.fresh_as_of() == Time{}) continue;
-      ASSERT_TRUE(there.contains(m.copy)) << seed << " at step " << step;
-      ASSERT_GE(there[m.copy], m.mirror.fresh_as_of())
+      ASSERT_TRUE(last_present.contains(m.copy)) << seed << " at step " << step;
+      ASSERT_GE(last_present[m.copy], m.mirror.fresh_as_of())
           << seed << " at step " << step;
     }
-    store.lose = store.late = store.refuse = 0;
+    store.lost_share = store.late_share = store.refused_share = 0;
     clock.Advance(seconds(5));
     EXPECT_EQ(m.copy, store.Values()) << seed;
     EXPECT_LE(clock.now() - m.mirror.fresh_as_of(), seconds(3)) << seed;
--- a/pinford/testing/send_budget_test.cc
+++ b/pinford/testing/send_budget_test.cc
@@ -1,4 +1,4 @@
-// What a box may send of what is large, and when.
+// SendBudget: bursts and rate.
 
 #include "pinford/forwarding/send_budget.h"
 
@@ -11,26 +11,27 @@
 
 const Time kStart = Time{} + seconds(100);
 
-TEST(SendBudget, ABurstAtOnceThenByTheRate) {
+TEST(SendBudget, AllowsABurstThenTheRate) {
   SendBudget budget;
   for (int i = 0; i < 3; i++) EXPECT_TRUE(budget.Take(kStart, 100'000));
   EXPECT_FALSE(budget.Take(kStart, 100'000));
-  EXPECT_FALSE(budget.Take(kStart, 1)) << "however little";
+  EXPECT_FALSE(budget.Take(kStart, 1)) << "even one byte";
   EXPECT_TRUE(budget.Take(kStart + milliseconds(1), 100'000));
-  // What that took beyond what was there is waited for.
+  // The overdraft has to be refilled first.
   EXPECT_FALSE(budget.Take(kStart + milliseconds(70), 100'000));
   EXPECT_TRUE(budget.Take(kStart + milliseconds(85), 100'000));
 }
 
-TEST(SendBudget, WhatIsLargerThanTheBurstGoesToo) {
+TEST(SendBudget, SendsMessagesLargerThanTheBurst) {
   SendBudget budget;
   EXPECT_TRUE(budget.Take(kStart, 2'000'000));
   EXPECT_FALSE(budget.Take(kStart + seconds(1), 1));
   EXPECT_TRUE(budget.Take(kStart + seconds(2), 2'000'000));
 }
 
-// In any span: the burst, the rate, and one that was begun.
-TEST(SendBudget, KeepsToTheRateInAnySpan) {
+// In any interval: at most the burst, the rate, and one message that was
+// started.
+TEST(SendBudget, KeepsToTheRateInAnyInterval) {
   std::minstd_rand random(1);
   SendBudget budget;
   std::vector<std::pair<Time, double>> sent;
--- a/pinford/testing/store_calls_test.cc
+++ b/pinford/testing/store_calls_test.cc
@@ -1,7 +1,7 @@
-// Calls to the platform's store: a fleet of many boxes on a paused clock, with
-// the real ranks, questions between boxes, mirrors and duties. Whatever fails,
-// the calls are bounded by the number of halls, and who is served by the store
-// or reaches a box that is keeps a fresh proof.
+// Calls to the platform's store by a fleet of many boxes on a paused clock,
+// with the real ranking, peer requests, mirrors and tasks. Whatever fails, the
+// calls are bounded by the number of halls, and a box stays fresh if the store
+// answers it or it reaches a box that the store answers.
 
 #include <gtest/gtest.h>
 
@@ -31,11 +31,8 @@
                            return std::to_string(info.param.boxes) + "Boxes";
                          });
 
-// Watches of a second, and a list each at the start; before the ranks are known
-// the seeds mirror.
-// All boxes lose power, and the seeds come back last. Who is asked by a caller
-// has something to answer with soon after, for one call a box; who is not asked
-// makes none.
+// All boxes lose power, and the seeds come back last. A box that a caller waits
+// for has documents soon after, for one call per box; the others make no calls.
 TEST_P(StoreCalls, WhereCallersComeBeforeTheSeeds) {
   for (int i = 0; i < kSeeds; i++) fleet_.Kill(i);
   const int asked = fleet_.size() / 2;
@@ -49,8 +46,8 @@
   }
 }
 
-// Who mirrors the store lists again, once or twice; all others hear of it from
-// them, and nobody lacks a proof meanwhile.
+// Boxes that mirror the store list again, once or twice; all others get the
+// result from them, and none becomes stale meanwhile.
 TEST_P(StoreCalls, WhenTheStoreComesBackFromACopy) {
   fleet_.Run(seconds(10));
   fleet_.CountStale(All);
@@ -58,7 +55,7 @@
     fleet_.store.Restore();
     if (round == 2) fleet_.store.Restore();
     const int64_t calls = fleet_.Run(milliseconds(2200));
-    // Three of them are what a quiet hall calls in that time.
+    // Three of them are the regular calls of a hall in that time.
     EXPECT_LE(calls, 6 * halls()) << round;
     for (int i = 0; i < fleet_.size(); i++) {
       EXPECT_EQ(fleet_.at(i).list(), fleet_.store.revision.packed())
@@ -69,9 +66,9 @@
   EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
-// A box that the store does not answer, and one that reaches no other box but
-// those of its hall: the earlier era's list convinces nobody.
-TEST_P(StoreCalls, WhoCannotReachTheRestoredStoreFollowsItsPeers) {
+// The store does not answer one box, which gets the restored list from its
+// peers: the list of the earlier era convinces no box.
+TEST_P(StoreCalls, BoxesCutOffFromTheRestoredStoreFollowTheirPeers) {
   fleet_.Run(seconds(10));
   const int cut = fleet_.MirrorBoxes()[0];
   fleet_.store.response = [cut](int box) {
@@ -86,8 +83,8 @@
   }
 }
 
-// An endpoint goes as the boxes that mirror the list are lost, killed or
-// without power: all others know within 1.5 s, which leaves half a second of
+// An endpoint is removed while the boxes that mirror the list are lost, killed
+// or without power: all others know within 1.5 s, which leaves half a second of
 // the two in which it may still get work.
 TEST_P(StoreCalls, AChangeIsKnownSoonThoughMirrorsAreLost) {
   const int step = GetParam().boxes > 100 ? 400 : 100;
@@ -108,7 +105,9 @@
   }
 }
 
-TEST_P(StoreCalls, OfAStart) {
+// Watches of one second, and a list each at the start; until the ranks are
+// known, the seeds mirror.
+TEST_P(StoreCalls, AtStartup) {
   const int64_t calls = fleet_.Run(seconds(10));
   EXPECT_LE(calls, 15 * halls() + 15 * kSeeds);
   for (int i = 0; i < fleet_.size(); i++) {
@@ -117,14 +116,14 @@
   EXPECT_EQ(fleet_.MirrorBoxes().size(), halls());
 }
 
-TEST_P(StoreCalls, WhileAllIsWell) {
+TEST_P(StoreCalls, InSteadyState) {
   fleet_.Run(seconds(10));
   fleet_.CountStale(All);
   EXPECT_LE(fleet_.Run(seconds(20)), 22 * halls());
   EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
-// A first of a hall that is gone, cut off or turned away, alone.
+// The primary of each hall is killed.
 TEST_P(StoreCalls, WhenMirrorsAreLost) {
   fleet_.Run(seconds(10));
   fleet_.CountStale(All);
@@ -134,16 +133,16 @@
   EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
-TEST_P(StoreCalls, WhenTheStoreTurnsMirrorsAway) {
+TEST_P(StoreCalls, WhenTheStoreRefusesMirrors) {
   using Response = FleetStore::Response;
   for (const Response how : {Response::kRefuse, Response::kNone}) {
     fleet_.Run(seconds(10));
     fleet_.CountStale(All);
-    const std::vector<int> away = fleet_.MirrorBoxes();
-    fleet_.store.response = [&away, how](int box) {
-      const bool is_away =
-          std::find(away.begin(), away.end(), box) != away.end();
-      return is_away ? how : Response::kAnswer;
+    const std::vector<int> rejected = fleet_.MirrorBoxes();
+    fleet_.store.response = [&rejected, how](int box) {
+      const bool is_rejected =
+          std::find(rejected.begin(), rejected.end(), box) != rejected.end();
+      return is_rejected ? how : Response::kAnswer;
     };
     EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
     EXPECT_EQ(fleet_.CountStale(All), 0);
@@ -151,16 +150,17 @@
   }
 }
 
-// Half of all boxes, drawn: somebody near a mirror is served.
-TEST_P(StoreCalls, WhenTheStoreTurnsHalfAway) {
+// The store ignores a random half of all boxes; every box still reaches one
+// that the store answers.
+TEST_P(StoreCalls, WhenTheStoreIgnoresHalfTheBoxes) {
   using Response = FleetStore::Response;
   fleet_.Run(seconds(10));
   fleet_.CountStale(All);
   Random random(5);
-  std::vector<bool> away(fleet_.size());
-  for (int i = 0; i < fleet_.size(); i++) away[i] = random() % 2 == 0;
-  fleet_.store.response = [&away](int box) {
-    return away[box] ? Response::kNone : Response::kAnswer;
+  std::vector<bool> rejected(fleet_.size());
+  for (int i = 0; i < fleet_.size(); i++) rejected[i] = random() % 2 == 0;
+  fleet_.store.response = [&rejected](int box) {
+    return rejected[box] ? Response::kNone : Response::kAnswer;
   };
   EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
   EXPECT_EQ(fleet_.CountStale(All), 0);
@@ -172,7 +172,7 @@
   fleet_.store.response = [](int) { return Response::kNone; };
   EXPECT_LE(fleet_.Run(seconds(20)), 160 * halls());
   fleet_.store.response = [](int) { return Response::kAnswer; };
-  // All have a proof again a second and a half after its return.
+  // All are fresh again 1.5 s after its recovery.
   fleet_.Run(milliseconds(1500));
   fleet_.CountStale(All);
   fleet_.Run(seconds(5));
@@ -188,14 +188,14 @@
   EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
-// Boxes come back within 0.3 s, the seeds last: callers are refused until a box
+// Boxes restart within 0.3 s, the seeds last: callers are refused until a box
 // has its documents.
 TEST_P(StoreCalls, AfterARestartOfAllBoxesDocumentsAreThereSoon) {
   fleet_.Run(seconds(10));
-  const Time begun = fleet_.clock.now();
-  const auto is_up = [this, begun](int i) {
+  const Time restart = fleet_.clock.now();
+  const auto is_up = [this, restart](int i) {
     const int starts = i < kSeeds ? 300 : i * 37 % 300;
-    return fleet_.clock.now() - begun >= milliseconds(starts);
+    return fleet_.clock.now() - restart >= milliseconds(starts);
   };
   fleet_.can_reach = [&is_up](int a, int b) { return is_up(a) && is_up(b); };
   for (int i = 0; i < fleet_.size(); i++) fleet_.Start(i);
@@ -207,15 +207,15 @@
   };
   while (!all_have()) {
     fleet_.clock.Advance(milliseconds(10));
-    ASSERT_LT(fleet_.clock.now() - begun, milliseconds(700));
+    ASSERT_LT(fleet_.clock.now() - restart, milliseconds(700));
   }
 }
 
-// Ten runners a box, so that at 300 boxes the list has 100 KB. All boxes are
-// killed and ask for it at once: links of 20 Mbit/s were full for 14 s more of
-// answers to questions that had been asked again elsewhere meanwhile. Nine in
-// ten boxes are to serve again within two seconds; those that lack the list
-// when three have passed would count as in touch without it.
+// Ten runners per box, so that the list has 100 KB at 300 boxes. All boxes are
+// killed and request it together: links of 20 Mbit/s used to be busy for
+// another 14 s with answers to requests that had been repeated elsewhere
+// meanwhile. Nine in ten boxes must serve again within two seconds; those that
+// lack the list after three would count as connected without it.
 TEST_P(StoreCalls, AfterARestartOfAllBoxesTheListIsThereSoon) {
   fleet_.list_bytes = 340 * fleet_.size();
   fleet_.Run(seconds(10));
@@ -231,18 +231,18 @@
   EXPECT_EQ(lacking(), 0);
   for (int i = 0; i < fleet_.size(); i++) {
     const Duration full = fleet_.at(i).link_free_at - fleet_.clock.now();
-    EXPECT_LE(full, milliseconds(150)) << "what waits for its link, " << i;
+    EXPECT_LE(full, milliseconds(150)) << "bytes queued for its link, " << i;
   }
 }
 
-// Who plans the pools is the last of its hall, and its peers are busy handing
-// the list on: it has each change at once all the same.
+// The planner is the last of its hall, and its peers are busy distributing the
+// list: it receives each change at once all the same.
 TEST_P(StoreCalls, WhoPlansHasTheListAtOnce) {
   fleet_.list_bytes = 340 * fleet_.size();
   fleet_.Run(seconds(10));
   for (int i = 0; i < fleet_.size(); i++) fleet_.Start(i);
   int planner = fleet_.size() - 1;
-  fleet_.at(planner).task_selector.set_plans(true);
+  fleet_.at(planner).task_selector.set_is_planner(true);
   fleet_.Run(seconds(1));
   for (int change = 0; change < 10; change++) {
     fleet_.store.BumpRevision();
@@ -252,8 +252,8 @@
   }
 }
 
-// A hall that reaches the store but no other hall.
-TEST_P(StoreCalls, WhenAHallIsAlone) {
+// One hall reaches the store but no other hall.
+TEST_P(StoreCalls, WhenAHallIsIsolated) {
   fleet_.Run(seconds(10));
   fleet_.CountStale(All);
   fleet_.can_reach = [this](int a, int b) {
@@ -263,19 +263,21 @@
   EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
-// Single boxes that reach the store but nobody else.
-TEST_P(StoreCalls, OfABoxAlone) {
+// A single box reaches the store but no other box.
+TEST_P(StoreCalls, WhenABoxIsIsolated) {
   fleet_.Run(seconds(10));
   fleet_.CountStale(All);
-  const int alone = fleet_.size() - 1;
-  fleet_.can_reach = [alone](int a, int b) { return a != alone && b != alone; };
+  const int isolated = fleet_.size() - 1;
+  fleet_.can_reach = [isolated](int a, int b) {
+    return a != isolated && b != isolated;
+  };
   EXPECT_LE(fleet_.Run(seconds(20)), 80 * (halls() + 1));
   EXPECT_EQ(fleet_.CountStale(All), 0);
 }
 
-// The store turns all away that rank near the top of their hall, and serves
-// one box somewhere: its proof reaches its own hall by digests, which are not
-// played here, and looks stay bounded.
+// The store refuses all highly ranked boxes and answers a single low-ranked
+// one: its freshness reaches its own hall by digests, which are not simulated
+// here, and single reads stay bounded.
 TEST_P(StoreCalls, WhenOnlyOneBoxIsServed) {
   using Response = FleetStore::Response;
   fleet_.Run(seconds(10));
