--- a/app/main.cc
+++ b/app/main.cc
@@ -164,16 +164,16 @@
 // operator who changes settings does not know how far a box has come with its
 // start.
 template <typename B>
-leaf::result<int> Serve(const Arguments& args, HeldSignals* held) {
+leaf::result<int> Serve(const Arguments& args, SignalBlocker* signal_blocker) {
   const std::string file = args.at("--settings").asString();
   BOOST_LEAF_AUTO(settings, ReadSettings(file));
   if (!settings) return kFailed;
   SetUpLogs(settings->box, settings->log_level, settings->log_format);
   signal(SIGPIPE, SIG_IGN);
   // Once it listens, callers may have come.
-  held->Hold({SIGTERM, SIGINT});
+  signal_blocker->Block({SIGTERM, SIGINT});
   EventLoop loop;
-  loop.Every(kLogFlush, FlushLogs);
+  loop.Every(kLogFlushInterval, FlushLogs);
   B box(*settings, &loop);
   std::string error;
   if (!box.Start(&error)) {
@@ -191,7 +191,7 @@
     });
   }
   loop.OnSignal(SIGHUP, [&] { ReloadSettings(file, &box); });
-  held->Release();
+  signal_blocker->Unblock();
   loop.Run();
   FlushLogs();
   return kDone;
@@ -216,7 +216,7 @@
 }
 
 // Prints why a call to a box failed.
-int Failure(const HttpResult& r) {
+int PrintFailure(const HttpResult& r) {
   if (r.transport != Transport::kOk) {
     std::cerr << "The box did not answer: " << TransportName(r.transport)
               << ".\n";
@@ -247,7 +247,7 @@
   }
   const HttpResult r = client.Get("/v1/configuration");
   if (!r.ok()) {
-    Failure(r);
+    PrintFailure(r);
     return leaf::new_error(
         ArgumentError{"the generation in force is not known"});
   }
@@ -263,7 +263,7 @@
       args.at("--id") ? args.at("--id").asString() : NewId(random);
   const HttpResult r =
       client.Submit(id, args.at("--author").asString(), expected, files);
-  if (r.transport == Transport::kNotSent) return Failure(r);
+  if (r.transport == Transport::kNotSent) return PrintFailure(r);
   if (r.transport != Transport::kOk) {
     std::cerr << "No answer. Submission " << id
               << " may be accepted: ask for its status, or submit again with "
@@ -273,7 +273,7 @@
   const Json v = ParseJson(r.body);
   const std::string status = JsonField<std::string>(v, "status", "");
   const uint64_t generation = JsonField<uint64_t>(v, "generation", 0);
-  if (status.empty()) return Failure(r);
+  if (status.empty()) return PrintFailure(r);
   std::cout << "submission " << id << "\nstatus " << status << "\ngeneration "
             << generation << "\n";
   if (status == "accepted") return kDone;
@@ -284,7 +284,7 @@
 leaf::result<int> ShowPolicy(const Arguments& args) {
   BOOST_LEAF_AUTO(client, MakeClient(args));
   const HttpResult r = client.Get("/v1/configuration");
-  if (!r.ok()) return Failure(r);
+  if (!r.ok()) return PrintFailure(r);
   const std::optional<Configuration> c = ParseConfiguration(r.body);
   if (!c) {
     std::cout << "No configuration was submitted yet.\n";
@@ -303,7 +303,7 @@
   const HttpResult r =
       client.Get("/v1/submissions?id=" + args.at("ID").asString());
   if (r.transport != Transport::kOk || (r.status != 200 && r.status != 503)) {
-    return Failure(r);
+    return PrintFailure(r);
   }
   const Json v = ParseJson(r.body);
   const std::string status = JsonField<std::string>(v, "status", "");
@@ -320,7 +320,7 @@
     target += "?request=" + args.at("--request").asString();
   }
   const HttpResult r = client.Get(target);
-  if (!r.ok()) return Failure(r);
+  if (!r.ok()) return PrintFailure(r);
   if (args.at("--json").asBool()) {
     std::cout << r.body << "\n";
     return kDone;
@@ -361,7 +361,7 @@
     digest.Read(text, file);
   }
   if (args.at("--request")) {
-    std::cout << digest.Story(args.at("--request").asString());
+    std::cout << digest.RequestTrace(args.at("--request").asString());
   } else if (args.at("--json").asBool()) {
     std::cout << DumpJson(digest.Windows()) << "\n";
   } else {
@@ -369,18 +369,20 @@
   }
   // Broken lines change no figure but by their absence.
   std::cerr << digest.findings().ToString();
-  if (digest.left_out() > 0) {
-    std::cerr << digest.left_out() << " lines were left out by the boxes.\n";
+  if (digest.dropped_lines() > 0) {
+    std::cerr << digest.dropped_lines()
+              << " lines were left out by the boxes.\n";
   }
   return kDone;
 }
 
-leaf::result<int> Run(const Arguments& args, HeldSignals* held) {
-  if (args.at("serve").asBool()) return Serve<Box>(args, held);
+leaf::result<int> Run(const Arguments& args, SignalBlocker* signal_blocker) {
+  if (args.at("serve").asBool()) return Serve<Box>(args, signal_blocker);
   if (args.at("forward").asBool()) {
-    return Serve<ForwardingBox<platform::MetadataPlatform>>(args, held);
+    return Serve<ForwardingBox<platform::MetadataPlatform>>(args,
+                                                            signal_blocker);
   }
-  held->Release();
+  signal_blocker->Unblock();
   if (args.at("check").asBool()) return Check(args);
   if (args.at("explain").asBool()) return Explain(args);
   if (args.at("submit").asBool()) return SubmitPolicy(args);
@@ -392,7 +394,7 @@
 }
 
 int Main(int argc, char** argv) {
-  HeldSignals held({SIGHUP});
+  SignalBlocker signal_blocker({SIGHUP});
   Arguments args;
   try {
     const std::vector<std::string> words(argv + 1, argv + argc);
@@ -406,7 +408,7 @@
     return kUsageError;
   }
   return leaf::try_handle_all(
-      [&]() -> leaf::result<int> { return Run(args, &held); },
+      [&]() -> leaf::result<int> { return Run(args, &signal_blocker); },
       [](const FileError& e) {
         std::cerr << e.file << ": " << e.why << "\n";
         return static_cast<int>(kFailed);
--- a/pinford/event_loop.cc
+++ b/pinford/event_loop.cc
@@ -10,7 +10,7 @@
 
 // A poll reads 32 sockets at first, and twice as many after each that was
 // full: three read those of 200 streams.
-static constexpr int kPolls = 3;
+static constexpr int kPollsBeforeLateTimer = 3;
 
 struct EventLoop::Timer {
   EventLoop* loop;
@@ -27,7 +27,7 @@
 
 EventLoop::EventLoop() : base_(event_base_new()) {
   assert(base_ != nullptr);
-  polled_ = evtimer_new(base_, OnPolled, this);
+  poll_event_ = evtimer_new(base_, OnPolled, this);
 }
 
 EventLoop::~EventLoop() {
@@ -39,7 +39,7 @@
     event_free(owned->ev);
   }
   for (auto& watch : watches_) event_free(watch->ev);
-  event_free(polled_);
+  event_free(poll_event_);
   event_base_free(base_);
 }
 
@@ -53,7 +53,7 @@
   EventLoop* loop = timer->loop;
   const Time now = loop->now();
   loop->delays_.OnTimer(timer->due, now);
-  const bool late = now - timer->due >= LoopDelays::kLeast;
+  const bool late = now - timer->due >= LoopDelays::kMinDelay;
   if (late || !loop->postponed_.empty()) {
     loop->Postpone(timer->id);
   } else {
@@ -63,7 +63,7 @@
 
 void EventLoop::Postpone(TimerId id) {
   if (postponed_.empty()) {
-    polls_left_ = kPolls;
+    polls_left_ = kPollsBeforeLateTimer;
     PollAgain();
   }
   postponed_.push_back(id);
@@ -73,7 +73,7 @@
 // served after what that has found.
 void EventLoop::PollAgain() {
   constexpr timeval kNow = {0, 0};
-  evtimer_add(polled_, &kNow);
+  evtimer_add(poll_event_, &kNow);
 }
 
 void EventLoop::OnPolled(int, short, void* arg) {
@@ -86,14 +86,14 @@
 }
 
 void EventLoop::RunPostponed() {
-  const Time begun = now();
+  const Time started = now();
   while (!postponed_.empty()) {
     const TimerId id = postponed_.front();
     postponed_.pop_front();
     RunTimer(id);
     // One of them took long: more has come for the others.
-    if (postponed_.empty() || now() - begun < LoopDelays::kLeast) continue;
-    polls_left_ = kPolls;
+    if (postponed_.empty() || now() - started < LoopDelays::kMinDelay) continue;
+    polls_left_ = kPollsBeforeLateTimer;
     PollAgain();
     return;
   }
--- a/pinford/event_loop.h
+++ b/pinford/event_loop.h
@@ -72,7 +72,7 @@
   LoopDelays delays_;
   std::unordered_map<TimerId, std::unique_ptr<Timer>> timers_;
   std::deque<TimerId> postponed_;
-  event* polled_;  // fires after the next poll
+  event* poll_event_;  // fires after the next poll
   int polls_left_ = 0;
   std::vector<std::unique_ptr<Watch>> watches_;
 };
--- a/pinford/http_client.cc
+++ b/pinford/http_client.cc
@@ -38,7 +38,7 @@
   evhttp_request* request;
   TimerId timer = 0;
   Time sent{};
-  Duration limit{};
+  Duration timeout{};
   bool extended = false;
   bool fresh;
 };
@@ -73,10 +73,10 @@
   for (auto& [address, connections] : idle_) {
     for (evhttp_connection* c : connections) evhttp_connection_free(c);
   }
-  for (evhttp_connection* c : doomed_) evhttp_connection_free(c);
+  for (evhttp_connection* c : pending_free_) evhttp_connection_free(c);
 }
 
-evhttp_connection* HttpClient::TakeConnection(const HttpCall& call) {
+evhttp_connection* HttpClient::AcquireConnection(const HttpCall& call) {
   auto it = idle_.find(call.to);
   if (!call.fresh_connection && it != idle_.end() && !it->second.empty()) {
     evhttp_connection* c = it->second.back();
@@ -91,7 +91,7 @@
   return c;
 }
 
-void HttpClient::KeepConnection(const Address& to, evhttp_connection* c) {
+void HttpClient::ReleaseConnection(const Address& to, evhttp_connection* c) {
   std::vector<evhttp_connection*>& idle = idle_[to];
   if (idle.size() < options_.max_idle_per_address) {
     idle.push_back(c);
@@ -101,14 +101,14 @@
 }
 
 void HttpClient::FreeLater(evhttp_connection* connection) {
-  if (doomed_.empty()) {
+  if (pending_free_.empty()) {
     loop_->After(Duration(0), [this] {
-      std::vector<evhttp_connection*> doomed;
-      doomed.swap(doomed_);
-      for (evhttp_connection* c : doomed) evhttp_connection_free(c);
+      std::vector<evhttp_connection*> to_free;
+      to_free.swap(pending_free_);
+      for (evhttp_connection* c : to_free) evhttp_connection_free(c);
     });
   }
-  doomed_.push_back(connection);
+  pending_free_.push_back(connection);
 }
 
 CallId HttpClient::Send(HttpCall call, Callback fn) {
@@ -120,7 +120,7 @@
   c->to = call.to;
   c->fn = std::move(fn);
   c->fresh = call.fresh_connection;
-  c->connection = TakeConnection(call);
+  c->connection = AcquireConnection(call);
   c->request = evhttp_request_new(OnDone, c);
 
   evkeyvalq* headers = evhttp_request_get_output_headers(c->request);
@@ -134,11 +134,13 @@
   calls_.emplace(id, std::move(state));
   // evhttp has a timeout of its own, 50 s unless it is set. Ours comes first,
   // also when it is extended.
-  const auto limit = std::chrono::ceil<seconds>(2 * call.timeout) + seconds(1);
-  evhttp_connection_set_timeout(c->connection, static_cast<int>(limit.count()));
+  const auto evhttp_timeout =
+      std::chrono::ceil<seconds>(2 * call.timeout) + seconds(1);
+  evhttp_connection_set_timeout(c->connection,
+                                static_cast<int>(evhttp_timeout.count()));
   c->sent = loop_->now();
-  c->limit = call.timeout;
-  c->timer = loop_->After(c->limit, [this, id] { OnLimit(id); });
+  c->timeout = call.timeout;
+  c->timer = loop_->After(c->timeout, [this, id] { OnTimeout(id); });
   if (evhttp_make_request(c->connection, c->request, CommandOf(call.method),
                           call.target.c_str()) != 0) {
     // evhttp has freed the request and will not call back.
@@ -150,15 +152,15 @@
   return id;
 }
 
-void HttpClient::OnLimit(CallId id) {
+void HttpClient::OnTimeout(CallId id) {
   auto it = calls_.find(id);
   if (it == calls_.end()) return;
   Call* call = it->second.get();
   call->timer = 0;
-  const Duration held_up = loop_->delays().LongestSince(call->sent);
-  if (held_up > Duration(0) && !std::exchange(call->extended, true)) {
-    const Duration more = std::min(held_up, call->limit);
-    call->timer = loop_->After(more, [this, id] { OnLimit(id); });
+  const Duration loop_delay = loop_->delays().LongestSince(call->sent);
+  if (loop_delay > Duration(0) && !std::exchange(call->extended, true)) {
+    const Duration extension = std::min(loop_delay, call->timeout);
+    call->timer = loop_->After(extension, [this, id] { OnTimeout(id); });
     return;
   }
   Callback done = std::move(call->fn);
@@ -186,7 +188,7 @@
   if (call->timer != 0) loop_->Cancel(call->timer);
   bool keep = result.transport == Transport::kOk && !call->fresh;
   if (keep) {
-    KeepConnection(call->to, call->connection);
+    ReleaseConnection(call->to, call->connection);
   } else {
     FreeLater(call->connection);
   }
--- a/pinford/http_client.h
+++ b/pinford/http_client.h
@@ -89,9 +89,9 @@
   struct Call;
   static void OnDone(evhttp_request* request, void* arg);
 
-  evhttp_connection* TakeConnection(const HttpCall& call);
-  void KeepConnection(const Address& to, evhttp_connection* connection);
-  void OnLimit(CallId id);
+  evhttp_connection* AcquireConnection(const HttpCall& call);
+  void ReleaseConnection(const Address& to, evhttp_connection* connection);
+  void OnTimeout(CallId id);
   void Finish(CallId id, HttpResult result);
   void FreeLater(evhttp_connection* connection);
 
@@ -100,7 +100,7 @@
   CallId next_id_ = 1;
   std::unordered_map<CallId, std::unique_ptr<Call>> calls_;
   std::map<Address, std::vector<evhttp_connection*>> idle_;
-  std::vector<evhttp_connection*> doomed_;
+  std::vector<evhttp_connection*> pending_free_;
 };
 
 }  // namespace pinford
--- a/pinford/http_server.cc
+++ b/pinford/http_server.cc
@@ -82,21 +82,21 @@
     const unsigned char* raw = request->uri->query_raw;
     if (raw != nullptr) query_text_ = reinterpret_cast<const char*>(raw);
   }
-  evhtp_request_set_hook(request, evhtp_hook_on_request_fini, Hook(RequestGone),
-                         this);
+  evhtp_request_set_hook(request, evhtp_hook_on_request_fini,
+                         Hook(OnRequestFreed), this);
 }
 
 HttpExchange::~HttpExchange() {
-  on_hang_up_ = nullptr;
+  on_disconnect_ = nullptr;
   // An exchange nobody will answer would leave its caller waiting.
   if (open()) Abort();
 }
 
-uint16_t HttpExchange::RequestGone(evhtp_request_t*, void* arg) {
+uint16_t HttpExchange::OnRequestFreed(evhtp_request_t*, void* arg) {
   auto* exchange = static_cast<HttpExchange*>(arg);
   exchange->request_ = nullptr;
-  std::function<void()> fn = std::move(exchange->on_hang_up_);
-  exchange->on_hang_up_ = nullptr;
+  std::function<void()> fn = std::move(exchange->on_disconnect_);
+  exchange->on_disconnect_ = nullptr;
   if (fn) fn();
   return EVHTP_RES_OK;
 }
@@ -114,7 +114,7 @@
   SetReadTimeout(idle_timeout_);
   evhtp_request_unset_hook(request_, evhtp_hook_on_request_fini);
   request_ = nullptr;
-  on_hang_up_ = nullptr;
+  on_disconnect_ = nullptr;
 }
 
 std::string HttpExchange::header(const char* name) const {
@@ -204,7 +204,7 @@
   size_t header_bytes = 0;
   size_t body_bytes = 0;
 
-  static constexpr size_t kCutFactor = 16;
+  static constexpr size_t kAbortFactor = 16;
 
   // The status that refuses the request, or 0.
   int Refusal() const {
@@ -223,21 +223,24 @@
                             void* arg) {
     auto* connection = static_cast<Connection*>(arg);
     connection->header_bytes += header->klen + header->vlen;
-    const size_t cut =
-        connection->server->options_.max_header_bytes * kCutFactor;
-    return connection->header_bytes > cut ? EVHTP_RES_ERROR : EVHTP_RES_OK;
+    const size_t abort_threshold =
+        connection->server->options_.max_header_bytes * kAbortFactor;
+    return connection->header_bytes > abort_threshold ? EVHTP_RES_ERROR
+                                                      : EVHTP_RES_OK;
   }
 
-  static evhtp_res OnBody(evhtp_request_t*, evbuffer* piece, void* arg) {
+  static evhtp_res OnBody(evhtp_request_t*, evbuffer* chunk, void* arg) {
     auto* connection = static_cast<Connection*>(arg);
-    connection->body_bytes += evbuffer_get_length(piece);
+    connection->body_bytes += evbuffer_get_length(chunk);
     if (connection->Refusal() == 0) return EVHTP_RES_OK;
-    evbuffer_drain(piece, evbuffer_get_length(piece));
-    const size_t cut = connection->server->options_.max_body_bytes * kCutFactor;
-    return connection->body_bytes > cut ? EVHTP_RES_ERROR : EVHTP_RES_OK;
+    evbuffer_drain(chunk, evbuffer_get_length(chunk));
+    const size_t abort_threshold =
+        connection->server->options_.max_body_bytes * kAbortFactor;
+    return connection->body_bytes > abort_threshold ? EVHTP_RES_ERROR
+                                                    : EVHTP_RES_OK;
   }
 
-  static evhtp_res OnGone(evhtp_connection_t* c, void* arg) {
+  static evhtp_res OnConnectionClosed(evhtp_connection_t* c, void* arg) {
     auto* connection = static_cast<Connection*>(arg);
     connection->server->connections_.erase(c);
     return EVHTP_RES_OK;
@@ -287,7 +290,7 @@
       {evhtp_hook_on_headers_start, Hook(Connection::OnHeadersStart)},
       {evhtp_hook_on_header, Hook(Connection::OnHeader)},
       {evhtp_hook_on_read, Hook(Connection::OnBody)},
-      {evhtp_hook_on_connection_fini, Hook(Connection::OnGone)},
+      {evhtp_hook_on_connection_fini, Hook(Connection::OnConnectionClosed)},
   };
   for (const auto& h : hooks) {
     evhtp_connection_set_hook(c, h.type, h.hook, state);
--- a/pinford/http_server.h
+++ b/pinford/http_server.h
@@ -69,12 +69,12 @@
 
   // Called once if the caller goes away before the answer is finished.
   void set_on_disconnect(std::function<void()> fn) {
-    on_hang_up_ = std::move(fn);
+    on_disconnect_ = std::move(fn);
   }
 
  private:
   friend class HttpServer;
-  static uint16_t RequestGone(evhtp_request* request, void* arg);
+  static uint16_t OnRequestFreed(evhtp_request* request, void* arg);
   void Detach();
   void SetReadTimeout(Duration d);
   void AddHeaders(std::string_view type, const HttpHeaders& headers);
@@ -88,7 +88,7 @@
   HttpHeaders query_;
   std::string query_text_;
   bool streaming_ = false;
-  std::function<void()> on_hang_up_;
+  std::function<void()> on_disconnect_;
 };
 
 using ExchangePtr = std::shared_ptr<HttpExchange>;
--- a/pinford/log.cc
+++ b/pinford/log.cc
@@ -53,13 +53,13 @@
   // PIPE_BUF bytes at once.
   void Write() {
     lines_ = warnings_ = 0;
-    NoteLeftOut();
-    constexpr size_t kAtOnce = 4096;
+    LogDroppedLines();
+    constexpr size_t kMaxWriteBytes = 4096;
     size_t done = 0;
     while (done < buffer_.size()) {
       pollfd out{STDOUT_FILENO, POLLOUT, 0};
       if (poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) break;
-      const size_t n = std::min(kAtOnce, buffer_.size() - done);
+      const size_t n = std::min(kMaxWriteBytes, buffer_.size() - done);
       const ssize_t written = write(STDOUT_FILENO, buffer_.data() + done, n);
       if (written <= 0) break;
       done += static_cast<size_t>(written);
@@ -69,14 +69,14 @@
 
  protected:
   void sink_it_(const spdlog::details::log_msg& msg) override {
-    if (!CountLine(msg.level)) {
-      left_out_++;
+    if (!AdmitLine(msg.level)) {
+      dropped_lines_++;
       return;
     }
     spdlog::memory_buf_t line;
     formatter_->format(msg, line);
-    if (buffer_.size() + line.size() > kMostLogBytes) {
-      left_out_++;
+    if (buffer_.size() + line.size() > kMaxLogBytes) {
+      dropped_lines_++;
       return;
     }
     buffer_.append(line.data(), line.size());
@@ -86,18 +86,18 @@
 
  private:
   // Counts a line if one more of its level may be written before the flush.
-  bool CountLine(spdlog::level::level_enum level) {
+  bool AdmitLine(spdlog::level::level_enum level) {
     if (level >= spdlog::level::err) return true;
     const bool warning = level == spdlog::level::warn;
     int& lines = warning ? warnings_ : lines_;
-    if (lines >= (warning ? kMostLogWarnings : kMostLogLines)) return false;
+    if (lines >= (warning ? kMaxLogWarnings : kMaxLogLines)) return false;
     lines++;
     return true;
   }
 
-  void NoteLeftOut() {
-    if (left_out_ == 0) return;
-    const int64_t n = std::exchange(left_out_, 0);
+  void LogDroppedLines() {
+    if (dropped_lines_ == 0) return;
+    const int64_t n = std::exchange(dropped_lines_, 0);
     LogEvent(LogPart::kBox, LogLevel::kWarn, "log_lines_left_out",
              LogFields().Add("lines", n));
   }
@@ -105,7 +105,7 @@
   std::string buffer_;
   int lines_ = 0;  // below warnings, since the last flush
   int warnings_ = 0;
-  int64_t left_out_ = 0;
+  int64_t dropped_lines_ = 0;
 };
 
 }  // namespace
--- a/pinford/log.h
+++ b/pinford/log.h
@@ -7,7 +7,7 @@
 //
 // Lines go to standard output, as text or as one JSON object a line. They
 // never block: a line is put into a buffer of bounded size, which FlushLogs
-// writes as far as the other side takes it. More lines than kMostLogLines
+// writes as far as the other side takes it. More lines than kMaxLogLines
 // between two flushes, or more than fit, are left out, and a line tells how
 // many. Warnings have a bound of their own, so that a flood of refusals does
 // not push out why an answer was cut.
@@ -52,15 +52,15 @@
   std::string text_;
 };
 
-// Lines between two flushes; a flush comes each kLogFlush. At 10 requests a
-// second a box writes about 30 lines a second.
-inline constexpr int kMostLogLines = 60;
+// Lines between two flushes; a flush comes each kLogFlushInterval. At 10
+// requests a second a box writes about 30 lines a second.
+inline constexpr int kMaxLogLines = 60;
 // The same for warnings.
-inline constexpr int kMostLogWarnings = 60;
-inline constexpr std::chrono::milliseconds kLogFlush{100};
-inline constexpr size_t kMostLogBytes = 256 << 10;
+inline constexpr int kMaxLogWarnings = 60;
+inline constexpr std::chrono::milliseconds kLogFlushInterval{100};
+inline constexpr size_t kMaxLogBytes = 256 << 10;
 
-// Writes what the other side takes now. Call it every kLogFlush.
+// Writes what the other side takes now. Call it every kLogFlushInterval.
 void FlushLogs();
 
 void SetUpLogs(std::string_view box, LogLevel level, LogFormat format);
--- a/pinford/log_digest.cc
+++ b/pinford/log_digest.cc
@@ -13,8 +13,8 @@
 
 static constexpr EnumName<DelayCause> kDelayCauseNames[] = {
     {DelayCause::kStageReplaced, "stage replaced"},
-    {DelayCause::kBegunAnew, "begun anew"},
-    {DelayCause::kStoodStill, "stood still"},
+    {DelayCause::kRestarted, "begun anew"},
+    {DelayCause::kStalled, "stood still"},
     {DelayCause::kAttemptFailed, "attempt failed"},
     {DelayCause::kNone, "none of these"},
 };
@@ -45,15 +45,15 @@
 }
 
 // The `part` quantile of `values`; 0 of none.
-static double Quantile(std::vector<double> values, double part) {
+static double Quantile(std::vector<double> values, double q) {
   if (values.empty()) return 0;
   const size_t i =
-      std::min(values.size() - 1, static_cast<size_t>(part * values.size()));
+      std::min(values.size() - 1, static_cast<size_t>(q * values.size()));
   std::nth_element(values.begin(), values.begin() + i, values.end());
   return values[i];
 }
 
-static double PartAbove(const std::vector<double>& values, double bound) {
+static double FractionAbove(const std::vector<double>& values, double bound) {
   if (values.empty()) return 0;
   const auto n = std::count_if(values.begin(), values.end(),
                                [bound](double v) { return v > bound; });
@@ -80,23 +80,23 @@
     event.ms = *ms;
     event.box = JsonField<std::string>(event.fields, "box", "");
     event.name = JsonField<std::string>(event.fields, "event", "");
-    Take(std::move(event));
+    AddEvent(std::move(event));
   }
 }
 
-void LogDigest::Take(Event event) {
+void LogDigest::AddEvent(Event event) {
   const Json& f = event.fields;
   if (event.name == "box_started") {
-    hall_of_box_[event.box] = JsonField<std::string>(f, "hall", "");
+    hall_by_box_[event.box] = JsonField<std::string>(f, "hall", "");
   } else if (event.name == "endpoint_joined") {
-    kind_of_endpoint_[JsonField<std::string>(f, "endpoint", "")] =
+    kind_by_endpoint_[JsonField<std::string>(f, "endpoint", "")] =
         JsonField<std::string>(f, "kind", "");
   } else if (event.name == "log_lines_left_out") {
-    left_out_ += JsonField<int64_t>(f, "lines", 0);
+    dropped_lines_ += JsonField<int64_t>(f, "lines", 0);
   }
   const std::string id = JsonField<std::string>(f, "id", "");
   if (id.empty()) return;
-  names_of_[id].insert(event.name);
+  event_names_by_request_[id].insert(event.name);
   events_.push_back(std::move(event));
 }
 
@@ -104,13 +104,13 @@
 
 DelayCause LogDigest::CauseOf(const std::string& request) const {
   static const std::pair<const char*, DelayCause> kCauses[] = {
-      {"attempt_abandoned", DelayCause::kBegunAnew},
-      {"attempt_stalled", DelayCause::kStoodStill},
+      {"attempt_abandoned", DelayCause::kRestarted},
+      {"attempt_stalled", DelayCause::kStalled},
       {"stages_replaced", DelayCause::kStageReplaced},
       {"attempt_failed", DelayCause::kAttemptFailed},
   };
-  const auto it = names_of_.find(request);
-  if (it == names_of_.end()) return DelayCause::kNone;
+  const auto it = event_names_by_request_.find(request);
+  if (it == event_names_by_request_.end()) return DelayCause::kNone;
   for (const auto& [event, cause] : kCauses) {
     if (it->second.contains(event)) return cause;
   }
@@ -127,13 +127,13 @@
     const std::string runner(stage.substr(0, stage.rfind(':')));
     stages++;
     tally->runners[runner]++;
-    const auto kind = kind_of_endpoint_.find(runner);
-    if (kind != kind_of_endpoint_.end()) tally->kinds[kind->second]++;
+    const auto kind = kind_by_endpoint_.find(runner);
+    if (kind != kind_by_endpoint_.end()) tally->kinds[kind->second]++;
   }
   if (stages > 0) tally->stages[stages]++;
 }
 
-void LogDigest::Count(const Event& end, Tally* tally) const {
+void LogDigest::CountRequest(const Event& end, Tally* tally) const {
   const Json& f = end.fields;
   if (end.name == "request_refused") {
     tally->outcomes["refused: " + JsonField<std::string>(f, "code", "")]++;
@@ -141,8 +141,8 @@
   }
   tally->outcomes[JsonField<std::string>(f, "outcome", "")]++;
   if (f.contains("short_layer")) {
-    tally->short_layers[JsonField(f, "short_layer", 0)]++;
-    tally->short_taken.push_back(Number(f, "short_taken"));
+    tally->bottleneck_layers[JsonField(f, "short_layer", 0)]++;
+    tally->bottleneck_memory_used.push_back(Number(f, "short_taken"));
   }
   const std::string target = JsonField<std::string>(f, "target", "");
   if (target.find(':') != std::string::npos) {
@@ -160,20 +160,20 @@
   if (late) tally->late[CauseOf(JsonField<std::string>(f, "id", ""))]++;
 }
 
-std::map<LogDigest::Place, LogDigest::Tally> LogDigest::Tallies() const {
+std::map<LogDigest::Group, LogDigest::Tally> LogDigest::Tallies() const {
   int64_t begin = 0;
   for (const Event& e : events_) {
     if (begin == 0 || e.ms < begin) begin = e.ms;
   }
-  std::map<Place, Tally> tallies;
+  std::map<Group, Tally> tallies;
   for (const Event& e : events_) {
     if (e.name != "request_ended" && e.name != "request_refused") continue;
-    const auto hall = hall_of_box_.find(e.box);
-    const Place place = {
+    const auto hall = hall_by_box_.find(e.box);
+    const Group group = {
         (e.ms - begin) / options_.window_ms * options_.window_ms,
         JsonField<std::string>(e.fields, "service", ""),
-        hall == hall_of_box_.end() ? "" : hall->second};
-    Count(e, &tallies[place]);
+        hall == hall_by_box_.end() ? "" : hall->second};
+    CountRequest(e, &tallies[group]);
   }
   return tallies;
 }
@@ -182,13 +182,13 @@
   return Json{{"p50", Quantile(values, 0.5)},
               {"p90", Quantile(values, 0.9)},
               {"p99", Quantile(values, 0.99)},
-              {"late", PartAbove(values, bound)}};
+              {"late", FractionAbove(values, bound)}};
 }
 
 // The keys of the greatest counts, at most `n`, greatest first.
 template <typename K>
-static std::vector<std::pair<K, int>> Most(const std::map<K, int>& counts,
-                                           size_t n) {
+static std::vector<std::pair<K, int>> LargestCounts(
+    const std::map<K, int>& counts, size_t n) {
   std::vector<std::pair<K, int>> rows(counts.begin(), counts.end());
   std::stable_sort(rows.begin(), rows.end(), [](const auto& a, const auto& b) {
     return a.second > b.second;
@@ -197,14 +197,14 @@
   return rows;
 }
 
-Json LogDigest::JsonOf(const Place& place, const Tally& tally) const {
-  constexpr size_t kMostRunners = 3;
+Json LogDigest::JsonOf(const Group& group, const Tally& tally) const {
+  constexpr size_t kMaxRunners = 3;
   Json late = Json::object();
   for (const auto& [cause, n] : tally.late) {
     late[std::string(DelayCauseName(cause))] = n;
   }
   Json runners = Json::array();
-  for (const auto& [runner, n] : Most(tally.runners, kMostRunners)) {
+  for (const auto& [runner, n] : LargestCounts(tally.runners, kMaxRunners)) {
     runners.push_back({{"runner", runner}, {"chains", n}});
   }
   Json stages = Json::object();
@@ -212,9 +212,9 @@
     stages[std::to_string(n)] = chains;
   }
   Json row = {
-      {"from_ms", place.window},
-      {"service", place.service},
-      {"hall", place.hall},
+      {"from_ms", group.window},
+      {"service", group.service},
+      {"hall", group.hall},
       {"outcomes", tally.outcomes},
       {"streams", tally.first_ms.size()},
       {"first_ms",
@@ -226,18 +226,18 @@
       {"runners", runners},
       {"fullest_p50", Quantile(tally.fullest, 0.5)},
       {"busiest_p50", Quantile(tally.busiest, 0.5)}};
-  if (tally.short_layers.empty()) return row;
-  const auto [layer, n] = Most(tally.short_layers, 1).front();
+  if (tally.bottleneck_layers.empty()) return row;
+  const auto [layer, n] = LargestCounts(tally.bottleneck_layers, 1).front();
   row["short"] = {{"layer", layer},
                   {"refused", n},
-                  {"taken_p50", Quantile(tally.short_taken, 0.5)}};
+                  {"taken_p50", Quantile(tally.bottleneck_memory_used, 0.5)}};
   return row;
 }
 
 Json LogDigest::Windows() const {
   Json rows = Json::array();
-  for (const auto& [place, tally] : Tallies()) {
-    rows.push_back(JsonOf(place, tally));
+  for (const auto& [group, tally] : Tallies()) {
+    rows.push_back(JsonOf(group, tally));
   }
   return rows;
 }
@@ -246,7 +246,7 @@
 template <typename K>
 static std::string CountsText(const std::map<K, int>& counts) {
   std::string text;
-  for (const auto& [key, n] : Most(counts, counts.size())) {
+  for (const auto& [key, n] : LargestCounts(counts, counts.size())) {
     if (!text.empty()) text += ", ";
     text += fmt::format("{} {}", key, n);
   }
@@ -265,25 +265,26 @@
   };
   constexpr double kPercent = 100;
   constexpr double kMillis = 1000;
-  for (const auto& [place, t] : Tallies()) {
+  for (const auto& [group, t] : Tallies()) {
     std::map<std::string_view, int> late;
     for (const auto& [cause, n] : t.late) late[DelayCauseName(cause)] = n;
     text += fmt::format(
         "{:>7.1f} {:<12} {:<14} {:>7} {:>15} {:>6.1f} {:>15} {:>6.1f} "
         "{:>5.2f} {:>5.2f}  {}",
-        place.window / kMillis, place.service, place.hall, t.first_ms.size(),
+        group.window / kMillis, group.service, group.hall, t.first_ms.size(),
         row_of(t.first_ms),
         kPercent *
-            PartAbove(t.first_ms, static_cast<double>(options_.first_ms)),
+            FractionAbove(t.first_ms, static_cast<double>(options_.first_ms)),
         row_of(t.gap_ms),
-        kPercent * PartAbove(t.gap_ms, static_cast<double>(options_.gap_ms)),
+        kPercent *
+            FractionAbove(t.gap_ms, static_cast<double>(options_.gap_ms)),
         Quantile(t.fullest, 0.5), Quantile(t.busiest, 0.5),
         CountsText(t.outcomes));
     if (!late.empty()) text += "; late: " + CountsText(late);
-    if (!t.short_layers.empty()) {
-      const auto [layer, n] = Most(t.short_layers, 1).front();
+    if (!t.bottleneck_layers.empty()) {
+      const auto [layer, n] = LargestCounts(t.bottleneck_layers, 1).front();
       text += fmt::format("; layer {} short {} times, {:.2f} taken", layer, n,
-                          Quantile(t.short_taken, 0.5));
+                          Quantile(t.bottleneck_memory_used, 0.5));
     }
     text += '\n';
   }
@@ -292,24 +293,25 @@
 
 // --- one request -----------------------------------------------------------
 
-std::string LogDigest::Story(const std::string& request) const {
-  std::vector<const Event*> story;
+std::string LogDigest::RequestTrace(const std::string& request) const {
+  std::vector<const Event*> trace;
   for (const Event& e : events_) {
     if (JsonField<std::string>(e.fields, "id", "") == request) {
-      story.push_back(&e);
+      trace.push_back(&e);
     }
   }
   std::stable_sort(
-      story.begin(), story.end(),
+      trace.begin(), trace.end(),
       [](const Event* a, const Event* b) { return a->ms < b->ms; });
   std::string text;
-  for (const Event* e : story) {
-    Json rest = e->fields;
-    const std::string time = JsonField<std::string>(rest, "time", "");
+  for (const Event* e : trace) {
+    Json other_fields = e->fields;
+    const std::string time = JsonField<std::string>(other_fields, "time", "");
     for (const char* key : {"time", "box", "level", "part", "event", "id"}) {
-      rest.erase(key);
+      other_fields.erase(key);
     }
-    text += fmt::format("{} {} {} {}\n", time, e->box, e->name, DumpJson(rest));
+    text += fmt::format("{} {} {} {}\n", time, e->box, e->name,
+                        DumpJson(other_fields));
   }
   return text;
 }
--- a/pinford/log_digest.h
+++ b/pinford/log_digest.h
@@ -28,8 +28,8 @@
 // What came between, where a stream paused for too long or began too late.
 enum class DelayCause {
   kStageReplaced,  // a stage was down or slow; another took its part
-  kBegunAnew,      // a stage was down or slow; the stream began anew
-  kStoodStill,     // nothing came for too long; it began anew
+  kRestarted,      // a stage was down or slow; the stream began anew
+  kStalled,        // nothing came for too long; it began anew
   kAttemptFailed,  // an attempt ended, and another followed
   kNone,           // none of these
 };
@@ -54,12 +54,12 @@
   // The same as a table for people.
   std::string Table() const;
   // All that names the request, in order of time, a line each.
-  std::string Story(const std::string& request) const;
+  std::string RequestTrace(const std::string& request) const;
 
   // Lines that are no events of a log.
   const Findings& findings() const { return findings_; }
   // Lines that boxes left out when too many came at once, as they say.
-  int64_t left_out() const { return left_out_; }
+  int64_t dropped_lines() const { return dropped_lines_; }
 
  private:
   struct Event {
@@ -69,11 +69,11 @@
     Json fields;
   };
   // A window of time, a service, and the hall of the boxes.
-  struct Place {
+  struct Group {
     int64_t window = 0;
     std::string service;
     std::string hall;
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const Group&) const = default;
   };
   struct Tally {
     std::map<std::string, int> outcomes;
@@ -85,24 +85,25 @@
     std::map<int, int> stages;
     std::map<std::string, int> kinds;    // stages on each
     std::map<std::string, int> runners;  // chains through each
-    std::map<int, int> short_layers;
-    std::vector<double> short_taken;
+    std::map<int, int> bottleneck_layers;
+    std::vector<double> bottleneck_memory_used;
   };
 
-  void Take(Event event);
-  void Count(const Event& end, Tally* tally) const;
+  void AddEvent(Event event);
+  void CountRequest(const Event& end, Tally* tally) const;
   void CountChain(std::string_view chain, Tally* tally) const;
   DelayCause CauseOf(const std::string& request) const;
-  std::map<Place, Tally> Tallies() const;
-  Json JsonOf(const Place& place, const Tally& tally) const;
+  std::map<Group, Tally> Tallies() const;
+  Json JsonOf(const Group& group, const Tally& tally) const;
 
   LogDigestOptions options_;
   std::vector<Event> events_;  // that name a request, in the order read
-  std::map<std::string, std::set<std::string>> names_of_;  // of each request
-  std::map<std::string, std::string> hall_of_box_;
-  std::map<std::string, std::string> kind_of_endpoint_;
+  std::map<std::string, std::set<std::string>>
+      event_names_by_request_;  // of each request
+  std::map<std::string, std::string> hall_by_box_;
+  std::map<std::string, std::string> kind_by_endpoint_;
   Findings findings_;
-  int64_t left_out_ = 0;
+  int64_t dropped_lines_ = 0;
 };
 
 }  // namespace pinford
--- a/pinford/loop_delays.cc
+++ b/pinford/loop_delays.cc
@@ -6,12 +6,12 @@
 
 void LoopDelays::OnTimer(Time due, Time now) {
   const Duration length = now - due;
-  if (length < kLeast) return;
+  if (length < kMinDelay) return;
   while (!delays_.empty() && delays_.back().length <= length) {
     delays_.pop_back();
   }
   delays_.push_back({now, length});
-  if (delays_.size() > kMostKept) delays_.pop_front();
+  if (delays_.size() > kMaxKept) delays_.pop_front();
 }
 
 Duration LoopDelays::LongestSince(Time t) const {
--- a/pinford/loop_delays.h
+++ b/pinford/loop_delays.h
@@ -5,7 +5,7 @@
 // for silence asks here how much of that silence was this process's own.
 //
 // Memory is bounded: a delay is forgotten once a longer one has ended after
-// it, and beyond kMostKept the oldest goes.
+// it, and beyond kMaxKept the oldest goes.
 
 #ifndef PINFORD_LOOP_DELAYS_H_
 #define PINFORD_LOOP_DELAYS_H_
@@ -20,8 +20,8 @@
 class LoopDelays {
  public:
   // Timers fire a little late on an idle machine too; less is no delay.
-  static constexpr Duration kLeast = milliseconds(5);
-  static constexpr size_t kMostKept = 32;
+  static constexpr Duration kMinDelay = milliseconds(5);
+  static constexpr size_t kMaxKept = 32;
 
   // A timer that was due at `due` runs at `now`.
   void OnTimer(Time due, Time now);
--- a/pinford/metrics.cc
+++ b/pinford/metrics.cc
@@ -16,9 +16,9 @@
 
 // Upper bounds of the buckets, in seconds: close where a token, a pause or a
 // first event is on time, wide where it is late anyway.
-static constexpr double kBounds[] = {0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2,
-                                     0.25,  0.35, 0.5,  0.75, 1,   1.5,  2,
-                                     3,     5,    10,   20,   60};
+static constexpr double kBucketBounds[] = {
+    0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.25, 0.35, 0.5,
+    0.75,  1,    1.5,  2,    3,   5,    10,  20,   60};
 
 class Distribution {
  public:
@@ -26,12 +26,12 @@
     totals_(v);
     buckets_(v);
   }
-  // How many were at most kBounds[i].
-  double AtMost(size_t i) const {
+  // How many were at most kBucketBounds[i].
+  double CountAtMost(size_t i) const {
     // The first cell takes what lies below all bounds.
     double n = 0;
-    for (int cell = -1; cell < static_cast<int>(i); cell++) {
-      n += buckets_.at(cell);
+    for (int bucket = -1; bucket < static_cast<int>(i); bucket++) {
+      n += buckets_.at(bucket);
     }
     return n;
   }
@@ -48,8 +48,9 @@
       double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::max>>
       totals_;
   decltype(bh::make_histogram(
-      Axis(std::begin(kBounds), std::end(kBounds)))) buckets_ =
-      bh::make_histogram(Axis(std::begin(kBounds), std::end(kBounds)));
+      Axis(std::begin(kBucketBounds), std::end(kBucketBounds)))) buckets_ =
+      bh::make_histogram(
+          Axis(std::begin(kBucketBounds), std::end(kBucketBounds)));
 };
 
 Metrics::Metrics() = default;
@@ -78,15 +79,15 @@
   return it == counters_.end() ? 0 : it->second;
 }
 
-static std::string Line(const std::string& name, const std::string& labels,
-                        double value) {
+static std::string SampleLine(const std::string& name,
+                              const std::string& labels, double value) {
   if (labels.empty()) return fmt::format("pinford_{} {}\n", name, value);
   return fmt::format("pinford_{}{{{}}} {}\n", name, labels, value);
 }
 
 // Prometheus wants one TYPE line ahead of all series of a name.
-static void Type(const std::string& name, const char* type, std::string* last,
-                 std::string* out) {
+static void AppendTypeLine(const std::string& name, const char* type,
+                           std::string* last, std::string* out) {
   if (*last == name) return;
   *last = name;
   *out += fmt::format("# TYPE pinford_{} {}\n", name, type);
@@ -96,26 +97,27 @@
   std::string out;
   std::string last;
   for (const auto& [series, v] : counters_) {
-    Type(series.first, "counter", &last, &out);
-    out += Line(series.first, series.second, static_cast<double>(v));
+    AppendTypeLine(series.first, "counter", &last, &out);
+    out += SampleLine(series.first, series.second, static_cast<double>(v));
   }
   for (const auto& [series, v] : gauges_) {
-    Type(series.first, "gauge", &last, &out);
-    out += Line(series.first, series.second, v);
+    AppendTypeLine(series.first, "gauge", &last, &out);
+    out += SampleLine(series.first, series.second, v);
   }
   for (const auto& [series, d] : distributions_) {
     const auto& [name, labels] = series;
-    Type(name, "histogram", &last, &out);
+    AppendTypeLine(name, "histogram", &last, &out);
     const std::string comma = labels.empty() ? "" : ",";
-    for (size_t i = 0; i < std::size(kBounds); i++) {
-      const std::string le = fmt::format("le=\"{}\"", kBounds[i]);
-      out += Line(name + "_bucket", labels + comma + le, d->AtMost(i));
+    for (size_t i = 0; i < std::size(kBucketBounds); i++) {
+      const std::string le = fmt::format("le=\"{}\"", kBucketBounds[i]);
+      out +=
+          SampleLine(name + "_bucket", labels + comma + le, d->CountAtMost(i));
     }
-    out += Line(name + "_bucket", labels + comma + "le=\"+Inf\"",
-                static_cast<double>(d->count()));
-    out += Line(name + "_sum", labels, d->sum());
-    out += Line(name + "_count", labels, static_cast<double>(d->count()));
-    out += Line(name + "_max", labels, d->max());
+    out += SampleLine(name + "_bucket", labels + comma + "le=\"+Inf\"",
+                      static_cast<double>(d->count()));
+    out += SampleLine(name + "_sum", labels, d->sum());
+    out += SampleLine(name + "_count", labels, static_cast<double>(d->count()));
+    out += SampleLine(name + "_max", labels, d->max());
   }
   return out;
 }
--- a/pinford/policy.cc
+++ b/pinford/policy.cc
@@ -27,34 +27,35 @@
 std::string_view TierName(Tier t) { return NameIn(kTierNames, t); }
 
 // Counts what a program holds and refuses what goes over the limit.
-struct Policy::Memory {
+struct Policy::LimitedAllocator {
   size_t limit;
   size_t used = 0;
 
   static void* Allocate(void* ud, void* block, size_t old_size,
                         size_t new_size) {
-    auto* memory = static_cast<Memory*>(ud);
-    const size_t held = block != nullptr ? old_size : 0;
+    auto* allocator = static_cast<LimitedAllocator*>(ud);
+    const size_t previous = block != nullptr ? old_size : 0;
     if (new_size == 0) {
-      memory->used -= held;
+      allocator->used -= previous;
       free(block);
       return nullptr;
     }
-    if (memory->used - held + new_size > memory->limit) return nullptr;
+    if (allocator->used - previous + new_size > allocator->limit)
+      return nullptr;
     void* p = realloc(block, new_size);
-    if (p != nullptr) memory->used += new_size - held;
+    if (p != nullptr) allocator->used += new_size - previous;
     return p;
   }
 };
 
 // One call of a policy function. `push` puts the arguments on the stack and
 // returns their number; `take` reads the result, which is on top.
-struct Policy::Job {
+struct Policy::Invocation {
   const char* function = nullptr;
   const void* in = nullptr;
   void* out = nullptr;
-  int (*push)(lua_State* lua, const void* in) = nullptr;
-  void (*take)(lua_State* lua, void* out) = nullptr;
+  int (*push_arguments)(lua_State* lua, const void* in) = nullptr;
+  void (*read_result)(lua_State* lua, void* out) = nullptr;
   bool defined = false;  // set if the program has the function
 };
 
@@ -62,24 +63,24 @@
   luaL_error(lua, "the call runs for too many instructions");
 }
 
-static int RunJob(lua_State* lua) {
-  auto* job = static_cast<Policy::Job*>(lua_touserdata(lua, 1));
+static int RunInvocation(lua_State* lua) {
+  auto* invocation = static_cast<Policy::Invocation*>(lua_touserdata(lua, 1));
   lua_settop(lua, 0);
-  lua_getglobal(lua, job->function);
+  lua_getglobal(lua, invocation->function);
   if (lua_isnil(lua, -1)) return 0;
-  job->defined = true;
+  invocation->defined = true;
   if (!lua_isfunction(lua, -1)) {
-    return luaL_error(lua, "%s is not a function", job->function);
+    return luaL_error(lua, "%s is not a function", invocation->function);
   }
-  const int arguments = job->push(lua, job->in);
+  const int arguments = invocation->push_arguments(lua, invocation->in);
   lua_call(lua, arguments, 1);
-  job->take(lua, job->out);
+  invocation->read_result(lua, invocation->out);
   return 0;
 }
 
 Policy::Policy(const Options& options)
-    : options_(options), memory_(std::make_unique<Memory>()) {
-  memory_->limit = options.max_bytes;
+    : options_(options), allocator_(std::make_unique<LimitedAllocator>()) {
+  allocator_->limit = options.max_bytes;
 }
 
 Policy::~Policy() {
@@ -111,26 +112,26 @@
 }
 
 bool Policy::Open() {
-  lua_ = lua_newstate(Memory::Allocate, memory_.get());
+  lua_ = lua_newstate(LimitedAllocator::Allocate, allocator_.get());
   if (lua_ == nullptr) return false;
   lua_pushcfunction(lua_, OpenLibraries);
   return lua_pcall(lua_, 0, 0, 0) == LUA_OK;
 }
 
-static std::string TopText(lua_State* lua) {
+static std::string ErrorText(lua_State* lua) {
   const char* text = lua_tostring(lua, -1);
   return text != nullptr ? text : "an error without a text";
 }
 
-bool Policy::Run(Job* job) {
+bool Policy::Run(Invocation* invocation) {
   lua_settop(lua_, 0);
   lua_sethook(lua_, StopAtLimit, LUA_MASKCOUNT, options_.max_instructions);
-  lua_pushcfunction(lua_, RunJob);
-  lua_pushlightuserdata(lua_, job);
+  lua_pushcfunction(lua_, RunInvocation);
+  lua_pushlightuserdata(lua_, invocation);
   const bool ok = lua_pcall(lua_, 1, 0, 0) == LUA_OK;
   if (!ok) {
     errors_++;
-    last_error_ = TopText(lua_);
+    last_error_ = ErrorText(lua_);
   }
   lua_settop(lua_, 0);
   return ok;
@@ -185,13 +186,13 @@
   return 1;
 }
 
-static void TakeTextField(lua_State* lua, const char* key, std::string* out) {
+static void ReadTextField(lua_State* lua, const char* key, std::string* out) {
   const char* text = TextField(lua, key);
   if (text != nullptr) *out = text;
   lua_pop(lua, 1);
 }
 
-static void TakeTier(lua_State* lua, Tier* out) {
+static void ReadTier(lua_State* lua, Tier* out) {
   const char* name = TextField(lua, "tier");
   if (name != nullptr) {
     const std::optional<Tier> tier = ValueIn(kTierNames, name);
@@ -205,16 +206,16 @@
   lua_pop(lua, 1);
 }
 
-static void TakeClass(lua_State* lua, void* out) {
+static void ReadClass(lua_State* lua, void* out) {
   auto* c = static_cast<RequestClass*>(out);
   if (!lua_istable(lua, -1)) luaL_error(lua, "classify must return a table");
   constexpr double kMaxWeight = 1e6;
   constexpr double kMaxDeadlineSeconds = 24 * 3600;
-  TakeTier(lua, &c->tier);
+  ReadTier(lua, &c->tier);
   NumberField(lua, "weight", 1e-6, kMaxWeight, &c->weight);
-  TakeTextField(lua, "group", &c->group);
-  TakeTextField(lua, "model", &c->model);
-  TakeTextField(lua, "version", &c->version);
+  ReadTextField(lua, "group", &c->group);
+  ReadTextField(lua, "model", &c->model);
+  ReadTextField(lua, "version", &c->version);
   double deadline = 0;
   if (NumberField(lua, "deadline", 0, kMaxDeadlineSeconds, &deadline)) {
     c->deadline = FromSeconds(deadline);
@@ -234,7 +235,7 @@
   return 1;
 }
 
-static void TakeBool(lua_State* lua, void* out) {
+static void ReadBool(lua_State* lua, void* out) {
   if (!lua_isboolean(lua, -1)) {
     luaL_error(lua, "repeatable must return true or false");
   }
@@ -263,50 +264,50 @@
 
 // Reads a table of hall -> number from 0 to `most`.
 template <typename Number>
-static void TakeHalls(lua_State* lua, void* out, const char* function,
-                      double most) {
+static void ReadHalls(lua_State* lua, void* out, const char* function,
+                      double max_value) {
   auto* halls = static_cast<std::map<std::string, Number>*>(out);
   if (!lua_istable(lua, -1))
     luaL_error(lua, "%s must return a table", function);
   lua_pushnil(lua);
   while (lua_next(lua, -2) != 0) {
-    const bool good =
+    const bool valid =
         lua_type(lua, -2) == LUA_TSTRING && lua_type(lua, -1) == LUA_TNUMBER;
-    const double v = good ? lua_tonumber(lua, -1) : -1;
-    if (!(v >= 0 && v <= most)) {
+    const double v = valid ? lua_tonumber(lua, -1) : -1;
+    if (!(v >= 0 && v <= max_value)) {
       luaL_error(lua, "%s must return halls with numbers from 0 to %f",
-                 function, most);
+                 function, max_value);
     }
     (*halls)[lua_tostring(lua, -2)] = static_cast<Number>(v);
     lua_pop(lua, 1);
   }
 }
 
-static void TakeShare(lua_State* lua, void* out) {
+static void ReadShare(lua_State* lua, void* out) {
   constexpr double kMaxWeight = 1e6;
-  TakeHalls<double>(lua, out, "share", kMaxWeight);
+  ReadHalls<double>(lua, out, "share", kMaxWeight);
 }
 
-static void TakePlacement(lua_State* lua, void* out) {
+static void ReadPlacement(lua_State* lua, void* out) {
   constexpr double kMaxReplicas = 10000;
-  TakeHalls<int>(lua, out, "placement", kMaxReplicas);
+  ReadHalls<int>(lua, out, "placement", kMaxReplicas);
 }
 
 // --- the functions ---------------------------------------------------------
 
 RequestClass Policy::Classify(const RequestFacts& facts) {
   RequestClass out;
-  Job job{"classify", &facts, &out, PushRequest, TakeClass};
-  return Run(&job) ? out : RequestClass();
+  Invocation invocation{"classify", &facts, &out, PushRequest, ReadClass};
+  return Run(&invocation) ? out : RequestClass();
 }
 
 bool Policy::Repeatable(const CallFacts& facts) {
   const bool fallback = facts.method == "GET";
   bool out = fallback;
-  Job job{"repeatable", &facts, &out, PushCall, TakeBool};
+  Invocation invocation{"repeatable", &facts, &out, PushCall, ReadBool};
   // A failing rule must not lead to a second run: the safe answer is no.
-  if (!Run(&job)) return false;
-  return job.defined ? out : fallback;
+  if (!Run(&invocation)) return false;
+  return invocation.defined ? out : fallback;
 }
 
 std::map<std::string, double> Policy::Share(
@@ -314,8 +315,8 @@
     double hour) {
   PoolFacts facts{&pool, &halls, hour};
   std::map<std::string, double> out;
-  Job job{"share", &facts, &out, PushPool, TakeShare};
-  if (!Run(&job)) out.clear();
+  Invocation invocation{"share", &facts, &out, PushPool, ReadShare};
+  if (!Run(&invocation)) out.clear();
   return out;
 }
 
@@ -324,8 +325,8 @@
     double hour) {
   PoolFacts facts{&pool, &halls, hour};
   std::map<std::string, int> out;
-  Job job{"placement", &facts, &out, PushPool, TakePlacement};
-  if (!Run(&job)) out.clear();
+  Invocation invocation{"placement", &facts, &out, PushPool, ReadPlacement};
+  if (!Run(&invocation)) out.clear();
   return out;
 }
 
@@ -357,7 +358,7 @@
         luaL_loadbufferx(lua_, file.source.data(), file.source.size(),
                          chunk.c_str(), "t") == LUA_OK &&
         lua_pcall(lua_, 0, 0, 0) == LUA_OK;
-    if (!ok) AddLuaError(TopText(lua_), file.name, findings);
+    if (!ok) AddLuaError(ErrorText(lua_), file.name, findings);
   }
   lua_settop(lua_, 0);
 }
--- a/pinford/policy.h
+++ b/pinford/policy.h
@@ -115,8 +115,8 @@
   const std::string& last_error() const { return last_error_; }
 
   // Of the implementation.
-  struct Memory;
-  struct Job;
+  struct LimitedAllocator;
+  struct Invocation;
 
  private:
   explicit Policy(const Options& options);
@@ -124,10 +124,10 @@
   void LoadFiles(const std::vector<PolicyFile>& files, Findings* findings);
   void TrySamples(const std::string& file, Findings* findings);
   // Runs `job` under the limits. False, with last_error_ set, on an error.
-  bool Run(Job* job);
+  bool Run(Invocation* invocation);
 
   Options options_;
-  std::unique_ptr<Memory> memory_;
+  std::unique_ptr<LimitedAllocator> allocator_;
   lua_State* lua_ = nullptr;
   int64_t errors_ = 0;
   std::string last_error_;
--- a/pinford/settings.cc
+++ b/pinford/settings.cc
@@ -16,16 +16,16 @@
 namespace pinford {
 
 // Takes a scalar's text. Returns what is wrong with it, or "".
-using Taker = std::function<std::string(const std::string&, Settings*)>;
+using ValueParser = std::function<std::string(const std::string&, Settings*)>;
 
 struct Key {
   std::string path;  // "listen.callers"
   bool required;
   bool list;  // the value is a list of scalars
-  Taker take;
+  ValueParser parse;
 };
 
-static Taker Text(std::string Settings::*field) {
+static ValueParser TextParser(std::string Settings::*field) {
   return [field](const std::string& text, Settings* s) -> std::string {
     if (text.empty()) return "must not be empty";
     s->*field = text;
@@ -33,16 +33,17 @@
   };
 }
 
-static Taker Secret(std::string Settings::*field) {
+static ValueParser SecretParser(std::string Settings::*field) {
   return [field](const std::string& text, Settings* s) -> std::string {
-    constexpr size_t kLeastKey = 16;
-    if (text.size() < kLeastKey) return "must have at least 16 characters";
+    constexpr size_t kMinSecretLength = 16;
+    if (text.size() < kMinSecretLength)
+      return "must have at least 16 characters";
     s->*field = text;
     return "";
   };
 }
 
-static Taker At(Address Settings::*field) {
+static ValueParser AddressParser(Address Settings::*field) {
   return [field](const std::string& text, Settings* s) -> std::string {
     std::optional<Address> a = Address::Parse(text);
     if (!a) return "must be an IP address and a port, as 127.0.0.1:8000";
@@ -51,14 +52,14 @@
   };
 }
 
-static std::string Seed(const std::string& text, Settings* s) {
+static std::string ParseSeed(const std::string& text, Settings* s) {
   std::optional<Address> a = Address::Parse(text);
   if (!a) return "must be an IP address and a port, as 127.0.0.1:8000";
   s->seeds.push_back(*a);
   return "";
 }
 
-static std::optional<int> Whole(const std::string& text) {
+static std::optional<int> ParseInt(const std::string& text) {
   int v = 0;
   const char* end = text.data() + text.size();
   auto [p, ec] = std::from_chars(text.data(), end, v);
@@ -66,15 +67,15 @@
   return v;
 }
 
-static std::string OutOf(int low, int high) {
+static std::string RangeError(int low, int high) {
   return "must be a whole number from " + std::to_string(low) + " to " +
          std::to_string(high);
 }
 
-static Taker Number(int Settings::*field, int low, int high) {
+static ValueParser IntParser(int Settings::*field, int low, int high) {
   return [=](const std::string& text, Settings* s) -> std::string {
-    std::optional<int> v = Whole(text);
-    if (!v || *v < low || *v > high) return OutOf(low, high);
+    std::optional<int> v = ParseInt(text);
+    if (!v || *v < low || *v > high) return RangeError(low, high);
     s->*field = *v;
     return "";
   };
@@ -82,8 +83,8 @@
 
 // The number that a text begins with, and what follows it. Nothing without one,
 // or for one that is not finite.
-static std::optional<double> Leading(std::string_view text,
-                                     std::string_view* rest) {
+static std::optional<double> ParseLeadingNumber(std::string_view text,
+                                                std::string_view* rest) {
   double v = 0;
   const char* end = text.data() + text.size();
   const auto [p, ec] = std::from_chars(text.data(), end, v);
@@ -92,10 +93,11 @@
   return v;
 }
 
-static Taker Fraction(double Settings::*field, double low, double high) {
+static ValueParser DoubleParser(double Settings::*field, double low,
+                                double high) {
   return [=](const std::string& text, Settings* s) -> std::string {
     std::string_view rest;
-    const std::optional<double> v = Leading(text, &rest);
+    const std::optional<double> v = ParseLeadingNumber(text, &rest);
     if (!v || !rest.empty() || *v < low || *v > high) {
       return fmt::format("must be a number from {} to {}", low, high);
     }
@@ -104,46 +106,48 @@
   };
 }
 
-static constexpr double kMillisOfSecond = 1000;
+static constexpr double kMillisPerSecond = 1000;
 
 // A number of milliseconds, or of what its unit says: "1500", "1.5 s".
-static std::optional<double> MillisOf(const std::string& text) {
+static std::optional<double> ParseMillis(const std::string& text) {
   std::string_view unit;
-  const std::optional<double> v = Leading(text, &unit);
+  const std::optional<double> v = ParseLeadingNumber(text, &unit);
   while (!unit.empty() && unit.front() == ' ') unit.remove_prefix(1);
-  if (v && unit == "s") return *v * kMillisOfSecond;
+  if (v && unit == "s") return *v * kMillisPerSecond;
   if (unit.empty() || unit == "ms") return v;
   return std::nullopt;
 }
 
-static Taker Millis(Duration Settings::*field, int low, int high) {
+static ValueParser DurationParser(Duration Settings::*field, int low,
+                                  int high) {
   return [=](const std::string& text, Settings* s) -> std::string {
-    const std::optional<double> ms = MillisOf(text);
+    const std::optional<double> ms = ParseMillis(text);
     if (!ms || *ms < low || *ms > high) {
       return fmt::format(
           "must be from {} to {} milliseconds, as 1500, 1.5 s or 1500 ms", low,
           high);
     }
-    s->*field = FromSeconds(*ms / kMillisOfSecond);
+    s->*field = FromSeconds(*ms / kMillisPerSecond);
     return "";
   };
 }
 
-static std::string Level(const std::string& text, Settings* s) {
+static std::string ParseLevel(const std::string& text, Settings* s) {
   std::optional<LogLevel> v = LogLevelNamed(text);
   if (!v) return "must be debug, info, warn or error";
   s->log_level = *v;
   return "";
 }
 
-static std::string Format(const std::string& text, Settings* s) {
+static std::string ParseFormat(const std::string& text, Settings* s) {
   std::optional<LogFormat> v = LogFormatNamed(text);
   if (!v) return "must be text or json";
   s->log_format = *v;
   return "";
 }
 
-static std::string Off(const std::string& text, Settings* s) {
+static std::string ParseDisabledMechanism(const std::string& text,
+                                          Settings* s) {
   const std::optional<Mechanism> m = MechanismNamed(text);
   if (!m) return "is no mechanism's name (docs/OPERATIONS.md lists them)";
   s->mechanisms.Add(*m);
@@ -154,62 +158,62 @@
   constexpr int kMiB = 1 << 20;
   constexpr int kHourMs = 3600 * 1000;
   static const std::vector<Key> keys = {
-      {"box", true, false, Text(&Settings::box)},
-      {"hall", true, false, Text(&Settings::hall)},
-      {"listen.callers", true, false, At(&Settings::callers)},
-      {"listen.operators", true, false, At(&Settings::operators)},
-      {"listen.peers", true, false, At(&Settings::peers)},
-      {"listen.ready", false, false, At(&Settings::ready)},
-      {"keys.operators", true, false, Secret(&Settings::operator_key)},
-      {"keys.peers", true, false, Secret(&Settings::peer_key)},
-      {"store", true, false, At(&Settings::store)},
-      {"seeds", false, true, Seed},
-      {"log.level", false, false, Level},
-      {"log.format", false, false, Format},
+      {"box", true, false, TextParser(&Settings::box)},
+      {"hall", true, false, TextParser(&Settings::hall)},
+      {"listen.callers", true, false, AddressParser(&Settings::callers)},
+      {"listen.operators", true, false, AddressParser(&Settings::operators)},
+      {"listen.peers", true, false, AddressParser(&Settings::peers)},
+      {"listen.ready", false, false, AddressParser(&Settings::ready)},
+      {"keys.operators", true, false, SecretParser(&Settings::operator_key)},
+      {"keys.peers", true, false, SecretParser(&Settings::peer_key)},
+      {"store", true, false, AddressParser(&Settings::store)},
+      {"seeds", false, true, ParseSeed},
+      {"log.level", false, false, ParseLevel},
+      {"log.format", false, false, ParseFormat},
       {"limits.body_bytes", false, false,
-       Number(&Settings::max_body_bytes, 1024, 64 * kMiB)},
+       IntParser(&Settings::max_body_bytes, 1024, 64 * kMiB)},
       {"limits.header_bytes", false, false,
-       Number(&Settings::max_header_bytes, 1024, kMiB)},
+       IntParser(&Settings::max_header_bytes, 1024, kMiB)},
       {"limits.idle_ms", false, false,
-       Millis(&Settings::idle_timeout, 100, kHourMs)},
+       DurationParser(&Settings::idle_timeout, 100, kHourMs)},
       {"limits.waiting", false, false,
-       Number(&Settings::max_waiting, 1, 1000000)},
+       IntParser(&Settings::max_waiting, 1, 1000000)},
       {"limits.waiting_bytes", false, false,
-       Number(&Settings::max_waiting_bytes, 65536, 1024 * kMiB)},
+       IntParser(&Settings::max_waiting_bytes, 65536, 1024 * kMiB)},
       {"limits.unsent_bytes", false, false,
-       Number(&Settings::max_unsent_bytes, 4096, 64 * kMiB)},
+       IntParser(&Settings::max_unsent_bytes, 4096, 64 * kMiB)},
       {"limits.tokens", false, false,
-       Number(&Settings::max_tokens, 1, 1000000)},
+       IntParser(&Settings::max_tokens, 1, 1000000)},
       {"limits.journal_bytes", false, false,
-       Number(&Settings::journal_bytes, 0, 64 * kMiB)},
+       IntParser(&Settings::journal_bytes, 0, 64 * kMiB)},
       {"limits.call_ms", false, false,
-       Millis(&Settings::call_timeout, 10, kHourMs)},
+       DurationParser(&Settings::call_timeout, 10, kHourMs)},
       {"stop.listen_ms", false, false,
-       Millis(&Settings::stop_listening_after, 0, kHourMs)},
+       DurationParser(&Settings::stop_listening_after, 0, kHourMs)},
       {"stop.latest_ms", false, false,
-       Millis(&Settings::stop_at_latest, 0, kHourMs)},
+       DurationParser(&Settings::stop_at_latest, 0, kHourMs)},
       {"endpoints.report_ms", false, false,
-       Millis(&Settings::report_interval, 50, 60000)},
+       DurationParser(&Settings::report_interval, 50, 60000)},
       {"gossip.bytes_per_second", false, false,
-       Number(&Settings::gossip_bytes_per_second, 100, kMiB)},
+       IntParser(&Settings::gossip_bytes_per_second, 100, kMiB)},
       {"planner.load_ms", false, false,
-       Millis(&Settings::load_spacing, 100, kHourMs)},
+       DurationParser(&Settings::load_spacing, 100, kHourMs)},
       {"timeline.events", false, false,
-       Number(&Settings::timeline_events, 100, 10000000)},
+       IntParser(&Settings::timeline_events, 100, 10000000)},
       {"utc_offset_minutes", false, false,
-       Number(&Settings::utc_offset_minutes, -12 * 60, 14 * 60)},
-      {"policy", false, false, Text(&Settings::policy_file)},
+       IntParser(&Settings::utc_offset_minutes, -12 * 60, 14 * 60)},
+      {"policy", false, false, TextParser(&Settings::policy_file)},
       {"forward.key_proof_ms", false, false,
-       Millis(&Settings::key_proof, 0, kHourMs)},
+       DurationParser(&Settings::key_proof, 0, kHourMs)},
       {"forward.retry_ratio", false, false,
-       Fraction(&Settings::retry_ratio, 0, 10)},
+       DoubleParser(&Settings::retry_ratio, 0, 10)},
       {"forward.retry_extra", false, false,
-       Fraction(&Settings::retry_extra, 0, 1e9)},
+       DoubleParser(&Settings::retry_extra, 0, 1e9)},
       {"forward.retry_window_ms", false, false,
-       Millis(&Settings::retry_window, 100, kHourMs)},
-      {"forward.off", false, true, Off},
+       DurationParser(&Settings::retry_window, 100, kHourMs)},
+      {"forward.off", false, true, ParseDisabledMechanism},
       {"limits.connections", false, false,
-       Number(&Settings::max_connections, 1, 1000000)},
+       IntParser(&Settings::max_connections, 1, 1000000)},
   };
   return keys;
 }
@@ -228,14 +232,14 @@
       const std::string name = entry.first.as<std::string>("");
       const std::string full = path.empty() ? name : path + "." + name;
       if (!seen.insert(name).second) {
-        Add(entry.first, full + " is given twice");
+        AddFinding(entry.first, full + " is given twice");
         continue;
       }
-      Value(full, entry.first, entry.second);
+      CheckValue(full, entry.first, entry.second);
     }
   }
 
-  void Missing() {
+  void CheckRequired() {
     for (const Key& key : Keys()) {
       if (key.required && !lines_.contains(key.path)) {
         findings_->Add(file_, 0, key.path + " is missing");
@@ -244,30 +248,30 @@
   }
 
   // A box cannot listen twice in one place, nor on the store's address.
-  void Clashes() {
-    const std::pair<const char*, const Address*> listened[] = {
+  void CheckAddressConflicts() {
+    const std::pair<const char*, const Address*> addresses[] = {
         {"listen.callers", &settings_->callers},
         {"listen.operators", &settings_->operators},
         {"listen.peers", &settings_->peers},
         {"listen.ready", &settings_->ready},
         {"store", &settings_->store},
     };
-    std::map<Address, std::string> taken;
-    for (const auto& [path, address] : listened) {
-      if (!good_.contains(path)) continue;
-      auto [it, fresh] = taken.emplace(*address, path);
-      if (fresh) continue;
+    std::map<Address, std::string> path_by_address;
+    for (const auto& [path, address] : addresses) {
+      if (!valid_.contains(path)) continue;
+      auto [it, inserted] = path_by_address.emplace(*address, path);
+      if (inserted) continue;
       findings_->Add(file_, lines_[path],
                      std::string(path) + " clashes with " + it->second);
     }
   }
 
  private:
-  void Add(const YAML::Node& node, const std::string& text) {
+  void AddFinding(const YAML::Node& node, const std::string& text) {
     findings_->Add(file_, node.Mark().line + 1, text);
   }
 
-  static const Key* Find(const std::string& path) {
+  static const Key* FindKey(const std::string& path) {
     for (const Key& key : Keys()) {
       if (key.path == path) return &key;
     }
@@ -281,44 +285,44 @@
     return false;
   }
 
-  void Value(const std::string& path, const YAML::Node& name,
-             const YAML::Node& value) {
+  void CheckValue(const std::string& path, const YAML::Node& name,
+                  const YAML::Node& value) {
     lines_[path] = name.Mark().line + 1;
-    const Key* key = Find(path);
+    const Key* key = FindKey(path);
     if (key == nullptr && IsGroup(path)) {
       if (value.IsMap()) {
         Walk(value, path);
       } else {
-        Add(name, path + " must hold keys");
+        AddFinding(name, path + " must hold keys");
       }
       return;
     }
     if (key == nullptr) {
-      Add(name, path + " is not a setting");
+      AddFinding(name, path + " is not a setting");
       return;
     }
     if (!key->list) {
-      Scalar(*key, path, value);
+      ApplyScalar(*key, path, value);
       return;
     }
     if (!value.IsSequence()) {
-      Add(name, path + " must be a list");
+      AddFinding(name, path + " must be a list");
       return;
     }
-    for (const auto& item : value) Scalar(*key, path, item);
+    for (const auto& item : value) ApplyScalar(*key, path, item);
   }
 
-  void Scalar(const Key& key, const std::string& path,
-              const YAML::Node& value) {
+  void ApplyScalar(const Key& key, const std::string& path,
+                   const YAML::Node& value) {
     if (!value.IsScalar()) {
-      Add(value, path + " must be a single value");
+      AddFinding(value, path + " must be a single value");
       return;
     }
-    const std::string wrong = key.take(value.Scalar(), settings_);
-    if (wrong.empty()) {
-      good_.insert(path);
+    const std::string error = key.parse(value.Scalar(), settings_);
+    if (error.empty()) {
+      valid_.insert(path);
     } else {
-      Add(value, path + " " + wrong);
+      AddFinding(value, path + " " + error);
     }
   }
 
@@ -326,7 +330,7 @@
   Settings* settings_;
   Findings* findings_;
   std::map<std::string, int> lines_;
-  std::set<std::string> good_;
+  std::set<std::string> valid_;
 };
 
 }  // namespace
@@ -343,8 +347,8 @@
     } else {
       Checker checker(file, &settings, &own);
       checker.Walk(root, "");
-      checker.Missing();
-      checker.Clashes();
+      checker.CheckRequired();
+      checker.CheckAddressConflicts();
     }
   } catch (const YAML::Exception& e) {
     own.Add(file, e.mark.line + 1, e.msg);
--- a/pinford/testing/event_loop_test.cc
+++ b/pinford/testing/event_loop_test.cc
@@ -11,9 +11,9 @@
 namespace {
 
 // The kernel's coarse clock, which timers go by, is so much behind.
-constexpr Duration kCoarse = milliseconds(4);
+constexpr Duration kClockGranularity = milliseconds(4);
 
-void Busy(Duration d) { std::this_thread::sleep_for(d); }
+void BlockFor(Duration d) { std::this_thread::sleep_for(d); }
 
 // Bytes that come to the loop's process.
 class Pipe {
@@ -22,7 +22,7 @@
     EXPECT_EQ(pipe(ends_), 0);
     loop->OnReadable(ends_[0], [this] {
       char byte;
-      if (read(ends_[0], &byte, 1) == 1) came++;
+      if (read(ends_[0], &byte, 1) == 1) received++;
     });
   }
   ~Pipe() {
@@ -31,7 +31,7 @@
   }
   void Send() { EXPECT_EQ(write(ends_[1], "x", 1), 1); }
 
-  int came = 0;
+  int received = 0;
 
  private:
   int ends_[2];
@@ -41,13 +41,13 @@
 // out of time before it was sent: its limit counted from the handler's
 // beginning, so that boxes took runners for down each time they had read a
 // large configuration.
-TEST(EventLoop, ATimerCountsFromWhenItWasSet) {
+TEST(EventLoop, TimerDelayStartsWhenScheduled) {
   EventLoop loop;
   Pipe pipe(&loop);
   Time set;
   Time ran;
   loop.After(Duration(0), [&] {
-    Busy(milliseconds(80));
+    BlockFor(milliseconds(80));
     pipe.Send();  // else the loop sleeps as long as was asked for
     set = loop.now();
     loop.After(milliseconds(40), [&] {
@@ -56,24 +56,24 @@
     });
   });
   loop.Run();
-  EXPECT_GE(ran - set, milliseconds(40) - kCoarse);
+  EXPECT_GE(ran - set, milliseconds(40) - kClockGranularity);
 }
 
 // A box that had been stopped looked at its streams before it had read what
 // their runners had sent, and took all of them for silent.
-TEST(EventLoop, ALateTimerRunsAfterWhatCameMeanwhile) {
+TEST(EventLoop, LateTimerRunsAfterPendingReads) {
   EventLoop loop;
   Pipe pipe(&loop);
-  int came_before = -1;
+  int received_before = -1;
   loop.After(milliseconds(10), [&] {
     pipe.Send();
-    Busy(milliseconds(10));
+    BlockFor(milliseconds(10));
   });
-  loop.After(milliseconds(20), [&] { came_before = pipe.came; });
+  loop.After(milliseconds(20), [&] { received_before = pipe.received; });
   loop.After(milliseconds(60), [&] { loop.Stop(); });
-  loop.After(Duration(0), [&] { Busy(milliseconds(40)); });
+  loop.After(Duration(0), [&] { BlockFor(milliseconds(40)); });
   loop.Run();
-  EXPECT_EQ(came_before, 1);
+  EXPECT_EQ(received_before, 1);
 }
 
 TEST(EventLoop, LateTimersRunInOrderAndCanBeCancelled) {
@@ -88,13 +88,13 @@
     ran.push_back(2);
     loop.Cancel(cancelled);
     at(0, 5);
-    Busy(milliseconds(30));
+    BlockFor(milliseconds(30));
   });
   at(12, 3);
   cancelled = at(13, -1);
   at(14, 4);
   loop.After(milliseconds(100), [&] { loop.Stop(); });
-  loop.After(Duration(0), [&] { Busy(milliseconds(40)); });
+  loop.After(Duration(0), [&] { BlockFor(milliseconds(40)); });
   loop.Run();
   EXPECT_EQ(ran, (std::vector<int>{1, 2, 3, 4, 5}));
 }
@@ -108,18 +108,18 @@
   for (int i = 0; i < kSockets; i++) {
     pipes.push_back(std::make_unique<Pipe>(&loop));
   }
-  int came_before = 0;
+  int received_before = 0;
   loop.After(milliseconds(10), [&] {
     for (auto& pipe : pipes) pipe->Send();
-    Busy(milliseconds(10));
+    BlockFor(milliseconds(10));
   });
   loop.After(milliseconds(20), [&] {
-    for (auto& pipe : pipes) came_before += pipe->came;
+    for (auto& pipe : pipes) received_before += pipe->received;
   });
   loop.After(milliseconds(80), [&] { loop.Stop(); });
-  loop.After(Duration(0), [&] { Busy(milliseconds(40)); });
+  loop.After(Duration(0), [&] { BlockFor(milliseconds(40)); });
   loop.Run();
-  EXPECT_EQ(came_before, kSockets);
+  EXPECT_EQ(received_before, kSockets);
 }
 
 }  // namespace
--- a/pinford/testing/examples_test.cc
+++ b/pinford/testing/examples_test.cc
@@ -48,7 +48,7 @@
   EXPECT_EQ(policy->errors(), 0) << policy->last_error();
 }
 
-TEST(Examples, TablewisePutsTheDoorFirstAndReportsOutOfMeals) {
+TEST(Examples, TablewisePrioritizesHostsAndRefusesReportsAtMeals) {
   auto policy = LoadExample("tablewise.lua");
   CheckClasses(policy.get(),
                {{"host", 19, Tier::kCritical, seconds(5), false},
@@ -74,7 +74,7 @@
   EXPECT_EQ(policy->errors(), 0) << policy->last_error();
 }
 
-TEST(Examples, TurbineWatchHasTheNightReadyByMorning) {
+TEST(Examples, TurbineWatchFinishesNightAlarmsByMorning) {
   auto policy = LoadExample("turbine-watch.lua");
   CheckClasses(policy.get(),
                {{"alarm", 10, Tier::kCritical, seconds(10), false},
--- a/pinford/testing/http_client_test.cc
+++ b/pinford/testing/http_client_test.cc
@@ -18,7 +18,7 @@
 namespace pinford {
 namespace {
 
-constexpr char kWhole[] =
+constexpr char kCompleteReply[] =
     "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: "
     "5\r\n\r\nhello";
 
@@ -101,8 +101,8 @@
   return result;
 }
 
-TEST(HttpClient, TellsWhatBecameOfACall) {
-  const std::string whole = kWhole;
+TEST(HttpClient, ReportsTransportOutcome) {
+  const std::string complete_reply = kCompleteReply;
   struct Case {
     std::string name;
     bool reads;
@@ -114,14 +114,14 @@
       {"closed before it is read", false, "", true, Transport::kLost},
       {"closed after it is read", true, "", true, Transport::kLost},
       {"silent", true, "", false, Transport::kTimeout},
-      {"silent in the middle of a reply", true, whole.substr(0, 30), false,
-       Transport::kTimeout},
-      {"whole", true, whole, true, Transport::kOk},
+      {"silent in the middle of a reply", true, complete_reply.substr(0, 30),
+       false, Transport::kTimeout},
+      {"whole", true, complete_reply, true, Transport::kOk},
   };
   // Cut after each byte of the reply.
-  for (size_t n = 1; n < whole.size(); n += n < 20 ? 1 : 7) {
-    cases.push_back({"cut after " + std::to_string(n), true, whole.substr(0, n),
-                     true, Transport::kLost});
+  for (size_t n = 1; n < complete_reply.size(); n += n < 20 ? 1 : 7) {
+    cases.push_back({"cut after " + std::to_string(n), true,
+                     complete_reply.substr(0, n), true, Transport::kLost});
   }
   for (const Case& c : cases) {
     for (bool fresh : {false, true}) {
@@ -156,7 +156,7 @@
 TEST(HttpClient, AKeptConnectionIsNeverUsedToSendTwice) {
   EventLoop loop;
   HttpClient http(&loop, HttpClient::Options());
-  RawServer server(true, kWhole, true);
+  RawServer server(true, kCompleteReply, true);
   int answered = 0;
   int lost = 0;
   constexpr int kCalls = 30;
@@ -174,12 +174,12 @@
 // A runner that was asked counted as down: the box was busy for longer than the
 // question's limit before it wrote the question. Only the box's own delay is
 // made up for: a silent server is told of as soon as before.
-TEST(HttpClient, ALimitLeavesOutWhatThisProcessWasHeldUp) {
+TEST(HttpClient, TimeoutExcludesOwnSchedulingDelay) {
   constexpr Duration kLimit = milliseconds(50);
   constexpr Duration kSlack = milliseconds(20);  // of timers and threads
   const struct {
     bool answers;
-    Duration held_up;
+    Duration block_for;
     Transport transport;
     Duration at_least;
   } cases[] = {
@@ -188,11 +188,11 @@
       {false, milliseconds(0), Transport::kTimeout, milliseconds(46)},
   };
   for (const auto& c : cases) {
-    RawServer server(true, c.answers ? kWhole : "", c.answers);
+    RawServer server(true, c.answers ? kCompleteReply : "", c.answers);
     EventLoop loop;
     HttpClient http(&loop, HttpClient::Options());
     Time sent;
-    Time told;
+    Time completed_at;
     HttpResult result;
     loop.After(Duration(0), [&] {
       HttpCall call;
@@ -201,22 +201,23 @@
       call.timeout = kLimit;
       sent = loop.now();
       http.Send(call, [&](HttpResult r) {
-        told = loop.now();
+        completed_at = loop.now();
         result = std::move(r);
         loop.Stop();
       });
-      std::this_thread::sleep_for(c.held_up);
+      std::this_thread::sleep_for(c.block_for);
     });
     loop.Run();
     EXPECT_EQ(result.transport, c.transport) << TransportName(result.transport);
-    EXPECT_GE(told - sent, c.at_least) << c.answers;
+    EXPECT_GE(completed_at - sent, c.at_least) << c.answers;
     // The machine may hold this test up, too.
-    const Duration held_up = loop.delays().LongestSince(sent);
-    EXPECT_LE(told - sent, kLimit + 2 * held_up + kSlack) << c.answers;
+    const Duration loop_delay = loop.delays().LongestSince(sent);
+    EXPECT_LE(completed_at - sent, kLimit + 2 * loop_delay + kSlack)
+        << c.answers;
   }
 }
 
-TEST(HttpClient, ACancelledCallIsNotToldOf) {
+TEST(HttpClient, CancelledCallHasNoCallback) {
   EventLoop loop;
   HttpClient http(&loop, HttpClient::Options());
   RawServer server(true, "", false);
@@ -224,13 +225,13 @@
   call.to = server.address();
   call.target = "/";
   call.timeout = milliseconds(50);
-  bool told = false;
+  bool called = false;
   const CallId id =
-      http.Send(call, [&told](const HttpResult&) { told = true; });
+      http.Send(call, [&called](const HttpResult&) { called = true; });
   loop.After(milliseconds(10), [&] { http.Cancel(id); });
   loop.After(milliseconds(150), [&] { loop.Stop(); });
   loop.Run();
-  EXPECT_FALSE(told);
+  EXPECT_FALSE(called);
   EXPECT_EQ(http.in_progress(), 0u);
 }
 
--- a/pinford/testing/inputs_test.cc
+++ b/pinford/testing/inputs_test.cc
@@ -228,7 +228,7 @@
   return step;
 }
 
-TEST(EngineProtocol, ComesBackAsItWent) {
+TEST(EngineProtocol, RoundTrips) {
   const std::optional<StepRequest> step =
       ParseStepRequest(WriteStepRequest(SampleStep()));
   ASSERT_TRUE(step.has_value());
@@ -264,7 +264,7 @@
   return d;
 }
 
-TEST(PeerMessages, ComeBackAsTheyWentAndOnlyWithTheKey) {
+TEST(PeerMessages, RoundTripOnlyWithTheKey) {
   const PeerCodec codec("key");
   const std::optional<Digest> d =
       codec.DecodeDigest(codec.Encode(SampleDigest()));
--- a/pinford/testing/log_digest_test.cc
+++ b/pinford/testing/log_digest_test.cc
@@ -42,7 +42,7 @@
     Line("b2", 2500, "request_ended", End("r4", "complete", 900, 20)) +
     Line("b2", 2600, "log_lines_left_out", R"("lines":12)");
 
-LogDigest Both() {
+LogDigest ReadBothLogs() {
   LogDigest digest{LogDigestOptions()};
   digest.Read(kFirstBox, "b1.log");
   digest.Read(kSecondBox, "b2.log");
@@ -50,7 +50,7 @@
 }
 
 TEST(LogDigest, CountsByWindowServiceAndHall) {
-  const LogDigest digest = Both();
+  const LogDigest digest = ReadBothLogs();
   const Json rows = digest.Windows();
   ASSERT_EQ(rows.size(), 2u);
   const Json& first = rows[0];
@@ -71,27 +71,27 @@
   EXPECT_EQ(second["from_ms"], 2000);
   EXPECT_EQ(second["hall"], "h2");
   EXPECT_EQ(second["late"]["stood still"], 1);
-  EXPECT_EQ(digest.left_out(), 12);
+  EXPECT_EQ(digest.dropped_lines(), 12);
   EXPECT_TRUE(digest.findings().empty());
   EXPECT_NE(digest.Table().find("layer 7 short 1 times"), std::string::npos);
 }
 
-TEST(LogDigest, TellsOneRequestsStoryInOrderOfTime) {
+TEST(LogDigest, RequestTraceIsInTimeOrder) {
   LogDigest digest{LogDigestOptions()};
   digest.Read(Line("b2", 900, "request_ended", End("r", "complete", 1, 1)),
               "b2.log");
   digest.Read(Line("b1", 300, "attempt_failed", R"("id":"r","ms":5)"),
               "b1.log");
-  const std::string story = digest.Story("r");
-  const size_t failed = story.find("b1 attempt_failed {\"ms\":5}");
-  const size_t ended = story.find("b2 request_ended");
-  ASSERT_NE(failed, std::string::npos) << story;
-  ASSERT_NE(ended, std::string::npos) << story;
+  const std::string trace = digest.RequestTrace("r");
+  const size_t failed = trace.find("b1 attempt_failed {\"ms\":5}");
+  const size_t ended = trace.find("b2 request_ended");
+  ASSERT_NE(failed, std::string::npos) << trace;
+  ASSERT_NE(ended, std::string::npos) << trace;
   EXPECT_LT(failed, ended);
-  EXPECT_EQ(digest.Story("other"), "");
+  EXPECT_EQ(digest.RequestTrace("other"), "");
 }
 
-TEST(LogDigest, CountsWhatIsNoLineWithItsPlace) {
+TEST(LogDigest, ReportsInvalidLinesWithLocation) {
   for (const char* bad :
        {"not JSON", "[]", "{}", R"({"time":"yesterday","event":"x"})",
         R"({"time":5})"}) {
--- a/pinford/testing/loop_delays_test.cc
+++ b/pinford/testing/loop_delays_test.cc
@@ -12,7 +12,7 @@
 
 Time At(int ms) { return Time{} + milliseconds(ms); }
 
-TEST(LoopDelays, TheLongestThatEndedAfterAMoment) {
+TEST(LoopDelays, LongestSinceIgnoresDelaysThatEndedBefore) {
   LoopDelays delays;
   EXPECT_EQ(delays.LongestSince(At(0)), Duration(0));
   delays.OnTimer(At(100), At(104));  // as on an idle machine
@@ -26,7 +26,7 @@
 }
 
 // Against all delays, kept without a bound.
-TEST(LoopDelays, AgreesWithAllThatWere) {
+TEST(LoopDelays, MatchesUnboundedHistory) {
   struct Delay {
     Time end;
     Duration length;
@@ -40,7 +40,7 @@
       now += milliseconds(random() % 50);
       const Duration length = milliseconds(random() % 100);
       delays.OnTimer(now - length, now);
-      if (length >= LoopDelays::kLeast) all.push_back({now, length});
+      if (length >= LoopDelays::kMinDelay) all.push_back({now, length});
       const Time since = now - milliseconds(random() % 600);
       Duration longest{};
       for (const Delay& d : all) {
--- a/pinford/testing/util_test.cc
+++ b/pinford/testing/util_test.cc
@@ -9,30 +9,30 @@
 namespace pinford {
 namespace {
 
-constexpr size_t kMost = 1 << 20;
+constexpr size_t kMaxSize = 1 << 20;
 
-TEST(Deflate, ComesBackAsItWent) {
+TEST(Deflate, RoundTrips) {
   Random random(1);
   for (size_t size : {0u, 1u, 100u, 65536u, 400000u}) {
     std::string text;
     while (text.size() < size)
       text += "{\"name\":\"r-" + Hex64(random()) + "\"},";
     text.resize(size);
-    EXPECT_EQ(Inflate(Deflate(text), kMost), text) << size;
+    EXPECT_EQ(Inflate(Deflate(text), kMaxSize), text) << size;
   }
   EXPECT_LT(Deflate(std::string(400000, 'x')).size(), 4000u);
 }
 
-TEST(Deflate, WhatIsDamagedOrTooLargeGivesNothing) {
+TEST(Deflate, RejectsCorruptOrOversizedInput) {
   const std::string text(100000, 'y');
-  const std::string packed = Deflate(text);
-  EXPECT_FALSE(Inflate(packed, text.size() - 1));
-  EXPECT_TRUE(Inflate(packed, text.size() + 1));
-  EXPECT_FALSE(Inflate(packed + "z", kMost));
-  EXPECT_FALSE(Inflate("", kMost));
-  EXPECT_FALSE(Inflate("no such thing", kMost));
-  for (size_t i = 0; i < packed.size(); i++) {
-    EXPECT_FALSE(Inflate(packed.substr(0, i), kMost)) << i;
+  const std::string compressed = Deflate(text);
+  EXPECT_FALSE(Inflate(compressed, text.size() - 1));
+  EXPECT_TRUE(Inflate(compressed, text.size() + 1));
+  EXPECT_FALSE(Inflate(compressed + "z", kMaxSize));
+  EXPECT_FALSE(Inflate("", kMaxSize));
+  EXPECT_FALSE(Inflate("no such thing", kMaxSize));
+  for (size_t i = 0; i < compressed.size(); i++) {
+    EXPECT_FALSE(Inflate(compressed.substr(0, i), kMaxSize)) << i;
   }
 }
 
--- a/util/decaying_sum.h
+++ b/util/decaying_sum.h
@@ -13,13 +13,13 @@
 
 class DecayingSum {
  public:
-  void Add(Time now, double x, Duration span) {
-    sum_ = At(now, span) + x;
+  void Add(Time now, double x, Duration time_constant) {
+    sum_ = At(now, time_constant) + x;
     at_ = now;
   }
-  double At(Time now, Duration span) const {
+  double At(Time now, Duration time_constant) const {
     if (sum_ == 0) return 0;
-    return sum_ * std::exp(-ToSeconds(now - at_) / ToSeconds(span));
+    return sum_ * std::exp(-ToSeconds(now - at_) / ToSeconds(time_constant));
   }
 
  private:
--- a/util/deflate.cc
+++ b/util/deflate.cc
@@ -23,7 +23,7 @@
   return out;
 }
 
-std::optional<std::string> Inflate(std::string_view bytes, size_t most) {
+std::optional<std::string> Inflate(std::string_view bytes, size_t max_size) {
   constexpr size_t kStep = 64 << 10;
   z_stream stream{};
   if (inflateInit(&stream) != Z_OK) return std::nullopt;
@@ -31,9 +31,9 @@
   stream.avail_in = static_cast<uInt>(bytes.size());
   std::string out;
   int rc = Z_OK;
-  while (rc == Z_OK && out.size() < most) {
+  while (rc == Z_OK && out.size() < max_size) {
     const size_t done = out.size();
-    out.resize(std::min(most, done + kStep));
+    out.resize(std::min(max_size, done + kStep));
     stream.next_out = BytesOf(out) + done;
     stream.avail_out = static_cast<uInt>(out.size() - done);
     rc = inflate(&stream, Z_NO_FLUSH);
--- a/util/deflate.h
+++ b/util/deflate.h
@@ -14,7 +14,7 @@
 std::string Deflate(std::string_view text);
 
 // Nothing for bytes that Deflate did not make, or that hold more than `most`.
-std::optional<std::string> Inflate(std::string_view bytes, size_t most);
+std::optional<std::string> Inflate(std::string_view bytes, size_t max_size);
 
 }  // namespace pinford
 
--- a/util/held_signals.cc
+++ b/util/held_signals.cc
@@ -2,18 +2,20 @@
 
 namespace pinford {
 
-HeldSignals::HeldSignals(std::initializer_list<int> signals) {
-  pthread_sigmask(SIG_BLOCK, nullptr, &before_);
-  Hold(signals);
+SignalBlocker::SignalBlocker(std::initializer_list<int> signals) {
+  pthread_sigmask(SIG_BLOCK, nullptr, &previous_mask_);
+  Block(signals);
 }
 
-void HeldSignals::Hold(std::initializer_list<int> signals) {
-  sigset_t held;
-  sigemptyset(&held);
-  for (const int signal : signals) sigaddset(&held, signal);
-  pthread_sigmask(SIG_BLOCK, &held, nullptr);
+void SignalBlocker::Block(std::initializer_list<int> signals) {
+  sigset_t blocked;
+  sigemptyset(&blocked);
+  for (const int signal : signals) sigaddset(&blocked, signal);
+  pthread_sigmask(SIG_BLOCK, &blocked, nullptr);
 }
 
-void HeldSignals::Release() { pthread_sigmask(SIG_SETMASK, &before_, nullptr); }
+void SignalBlocker::Unblock() {
+  pthread_sigmask(SIG_SETMASK, &previous_mask_, nullptr);
+}
 
 }  // namespace pinford
--- a/util/held_signals.h
+++ b/util/held_signals.h
@@ -13,19 +13,19 @@
 
 namespace pinford {
 
-class HeldSignals {
+class SignalBlocker {
  public:
-  explicit HeldSignals(std::initializer_list<int> signals);
+  explicit SignalBlocker(std::initializer_list<int> signals);
   // An early end of the program keeps its exit code: nothing is released here.
-  ~HeldSignals() = default;
-  HeldSignals(const HeldSignals&) = delete;
-  HeldSignals& operator=(const HeldSignals&) = delete;
+  ~SignalBlocker() = default;
+  SignalBlocker(const SignalBlocker&) = delete;
+  SignalBlocker& operator=(const SignalBlocker&) = delete;
 
-  void Hold(std::initializer_list<int> signals);
-  void Release();
+  void Block(std::initializer_list<int> signals);
+  void Unblock();
 
  private:
-  sigset_t before_;
+  sigset_t previous_mask_;
 };
 
 }  // namespace pinford
--- a/util/json.h
+++ b/util/json.h
@@ -16,7 +16,7 @@
 using Json = nlohmann::json;
 
 // Whether brackets outside of strings are nested deeper than `most`.
-inline bool NestedDeeperThan(std::string_view text, int most) {
+inline bool NestedDeeperThan(std::string_view text, int max_depth) {
   int depth = 0;
   bool in_string = false;
   for (size_t i = 0; i < text.size(); i++) {
@@ -27,7 +27,7 @@
       continue;
     }
     if (c == '"') in_string = true;
-    if ((c == '{' || c == '[') && ++depth > most) return true;
+    if ((c == '{' || c == '[') && ++depth > max_depth) return true;
     if (c == '}' || c == ']') depth--;
   }
   return false;
