--- a/pinford/event_loop.cc
+++ b/pinford/event_loop.cc
@@ -8,8 +8,8 @@
 
 namespace pinford {
 
-// A poll reads 32 sockets at first, and twice as many after each that was
-// full: three read those of 200 streams.
+// libevent's first poll returns up to 32 events and the limit doubles after
+// each full one, so three polls (32 + 64 + 128) cover 200 streams.
 static constexpr int kPollsBeforeLateTimer = 3;
 
 struct EventLoop::Timer {
@@ -31,7 +31,7 @@
 }
 
 EventLoop::~EventLoop() {
-  // What a timer holds may have events of its own on this base.
+  // Callbacks may own events of this base, so destroy them before it.
   while (!timers_.empty()) {
     auto first = timers_.begin();
     const std::unique_ptr<Timer> owned = std::move(first->second);
@@ -69,8 +69,8 @@
   postponed_.push_back(id);
 }
 
-// A timer that is due already makes the loop poll without a wait, and is
-// served after what that has found.
+// A timer that is already due makes the loop poll without blocking, and runs
+// after the events which that poll returns.
 void EventLoop::PollAgain() {
   constexpr timeval kNow = {0, 0};
   evtimer_add(poll_event_, &kNow);
@@ -91,7 +91,7 @@
     const TimerId id = postponed_.front();
     postponed_.pop_front();
     RunTimer(id);
-    // One of them took long: more has come for the others.
+    // This callback took long, so poll again before running the others.
     if (postponed_.empty() || now() - started < LoopDelays::kMinDelay) continue;
     polls_left_ = kPollsBeforeLateTimer;
     PollAgain();
@@ -101,7 +101,7 @@
 
 void EventLoop::RunTimer(TimerId id) {
   auto it = timers_.find(id);
-  if (it == timers_.end()) return;  // it was cancelled while it waited
+  if (it == timers_.end()) return;  // cancelled while postponed
   std::unique_ptr<Timer> owned = std::move(it->second);
   timers_.erase(it);
   event_free(owned->ev);
@@ -120,8 +120,8 @@
   timeval tv;
   tv.tv_sec = d.count() / 1000000;
   tv.tv_usec = d.count() % 1000000;
-  // libevent counts from when this turn of the loop began, unless it is told
-  // of the time.
+  // Without this, libevent measures the timeout from the start of the current
+  // loop iteration.
   event_base_update_cache_time(base_);
   evtimer_add(timer->ev, &tv);
   timers_.emplace(id, std::move(timer));
--- a/pinford/event_loop.h
+++ b/pinford/event_loop.h
@@ -1,13 +1,13 @@
-// The process's one event loop, over libevent.
+// The process's event loop, over libevent.
 //
-// Every connection, timer and signal of a process is served by one EventLoop
-// on one thread, so no state of pinford's needs a lock. It is also the Clock
-// of the running program.
+// One EventLoop on one thread serves all connections, timers and signals of a
+// process, so pinford needs no locks. It is also the Clock in production.
 //
-// A timer that comes late means that this process was held up, and what others
-// sent meanwhile lies unread. Most timers judge others by what they have not
-// sent. So a late timer, and each that fires while one waits, runs only after
-// the sockets have been read once more, and in the order in which they fired.
+// A late timer means that this process was stalled and that data received
+// meanwhile is still unread. Most timers check whether another process has sent
+// something in time. So a late timer, and every timer that fires while one is
+// postponed, runs only after the sockets have been polled again; the order in
+// which the timers fired is kept.
 
 #ifndef PINFORD_EVENT_LOOP_H_
 #define PINFORD_EVENT_LOOP_H_
@@ -41,16 +41,16 @@
   // Runs `fn` every `period`, until the loop ends.
   void Every(Duration period, std::function<void()> fn);
 
-  // Calls `fn` each time `fd` can be read.
+  // Calls `fn` each time `fd` becomes readable.
   void OnReadable(int fd, std::function<void()> fn);
   void OnSignal(int signal, std::function<void()> fn);
 
-  // Serves events until Stop().
+  // Handles events until Stop().
   void Run();
   void Stop();
 
   event_base* base() { return base_; }
-  // How late it has run timers: what this process was held up by itself.
+  // Recent scheduling delays of this process.
   const LoopDelays& delays() const { return delays_; }
 
  private:
@@ -60,7 +60,7 @@
   static void OnTimer(int fd, short what, void* arg);
   static void OnPolled(int fd, short what, void* arg);
   void RunTimer(TimerId id);
-  // Runs the timer once the sockets have been read.
+  // Defers the timer until the sockets have been polled again.
   void Postpone(TimerId id);
   void PollAgain();
   void RunPostponed();
--- a/pinford/finding.h
+++ b/pinford/finding.h
@@ -1,7 +1,7 @@
-// Findings: what is wrong with an input, each with its place.
+// Validation errors of an input, each with its location.
 //
-// Checks collect every finding of an input before they report, so that an
-// operator mends a file in one round rather than one error at a time.
+// Checks report all findings of an input at once, so that an operator can fix a
+// file in one pass instead of one error at a time.
 
 #ifndef PINFORD_FINDING_H_
 #define PINFORD_FINDING_H_
@@ -14,10 +14,10 @@
 
 struct Finding {
   std::string file;
-  int line = 0;  // from 1; 0 when the finding has no line
+  int line = 0;  // 1-based; 0 if the finding has no line
   std::string text;
 
-  // "FILE:LINE: TEXT", or "FILE: TEXT" without a line.
+  // "FILE:LINE: TEXT", or "FILE: TEXT" if there is no line.
   std::string ToString() const;
 };
 
@@ -26,7 +26,7 @@
   void Add(std::string_view file, int line, std::string text);
   bool empty() const { return list_.empty(); }
   const std::vector<Finding>& list() const { return list_; }
-  // One finding a line, in order of file and line.
+  // One finding per line, sorted by file and line.
   std::string ToString() const;
 
  private:
--- a/pinford/http.h
+++ b/pinford/http.h
@@ -1,5 +1,4 @@
-// What both HTTP sides share: headers and the names used between pinford,
-// its callers and its endpoints.
+// Types and header names shared by the HTTP client and servers.
 
 #ifndef PINFORD_HTTP_H_
 #define PINFORD_HTTP_H_
@@ -13,22 +12,22 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-// Names of headers have no case.
+// Compares header names, ignoring case.
 bool SameHeaderName(std::string_view a, std::string_view b);
-// The first header of that name; "" without one.
+// Returns the value of the first header with that name, or "" if there is none.
 std::string_view HeaderIn(const HttpHeaders& headers, std::string_view name);
 
 enum class HttpMethod { kGet, kPost, kPut, kDelete, kOther };
 
-// "GET" and so on; kOther has no name of its own.
+// "GET" etc.; "?" for kOther.
 std::string_view HttpMethodName(HttpMethod m);
 HttpMethod HttpMethodNamed(std::string_view name);
 
 inline constexpr std::string_view kJsonType = "application/json";
 
-// The id of a request, given to its caller and kept in the time line.
+// The request id, returned to the caller and recorded in the timeline.
 inline constexpr char kRequestIdHeader[] = "X-Pinford-Request";
-// The Outcome of a request by name (outcome.h).
+// The name of the request's Outcome (outcome.h).
 inline constexpr char kOutcomeHeader[] = "X-Pinford-Outcome";
 inline constexpr char kIdempotencyHeader[] = "Idempotency-Key";
 inline constexpr char kCustomerHeader[] = "X-Customer";
--- a/pinford/http_client.cc
+++ b/pinford/http_client.cc
@@ -1,8 +1,8 @@
-// How libevent 2.1.12 reports the end of a call, which OnDone tells apart: an
-// answer calls the request's callback with a response code; a connection that
-// could not be made calls it with a request whose code is 0; any failure after
-// that calls it with a null request. Connections are freed from a timer of
-// their own, because evhttp does not allow it from within its callbacks.
+// OnDone relies on how libevent 2.1.12 reports the end of a call: the request's
+// callback receives a response code for a response, a request with code 0 if
+// the connection could not be established, and a null request for any later
+// failure. Connections are freed from a timer because evhttp does not allow
+// that within its callbacks.
 
 #include "pinford/http_client.h"
 
@@ -132,8 +132,8 @@
   evbuffer_add(evhttp_request_get_output_buffer(c->request), call.body.data(),
                call.body.size());
   calls_.emplace(id, std::move(state));
-  // evhttp has a timeout of its own, 50 s unless it is set. Ours comes first,
-  // also when it is extended.
+  // evhttp has its own timeout, 50 s by default. Set it so that this client's
+  // timeout, even when extended, always fires first.
   const auto evhttp_timeout =
       std::chrono::ceil<seconds>(2 * call.timeout) + seconds(1);
   evhttp_connection_set_timeout(c->connection,
@@ -143,7 +143,7 @@
   c->timer = loop_->After(c->timeout, [this, id] { OnTimeout(id); });
   if (evhttp_make_request(c->connection, c->request, CommandOf(call.method),
                           call.target.c_str()) != 0) {
-    // evhttp has freed the request and will not call back.
+    // evhttp has freed the request and will not call OnDone.
     c->request = nullptr;
     loop_->After(Duration(0), [this, id] {
       if (calls_.contains(id)) Finish(id, HttpResult());
--- a/pinford/http_client.h
+++ b/pinford/http_client.h
@@ -1,11 +1,12 @@
-// HTTP towards endpoints and the platform, over libevent's evhttp.
+// HTTP client for endpoints and the platform's services, over libevent's
+// evhttp.
 //
-// Each connection carries one call at a time and is kept for the next. The
-// client itself never sends a call twice. What matters most to its users is
-// what may be said of a call that got no answer: kNotSent means that no byte
-// of it left this process; kLost and kTimeout mean that it may have arrived.
-// A call that asks for a fresh connection never meets the race in which a
-// kept connection is closed by the other side as the call is written.
+// Each connection carries one call at a time and is kept alive for the next.
+// The client never retries a call. The result distinguishes calls that cannot
+// have had an effect from those that may have: kNotSent means that no byte of
+// the call was sent; kLost and kTimeout mean that the server may have received
+// it. A call on a fresh connection avoids the race with a server that closes a
+// kept-alive connection while the call is being written.
 
 #ifndef PINFORD_HTTP_CLIENT_H_
 #define PINFORD_HTTP_CLIENT_H_
@@ -28,10 +29,10 @@
 namespace pinford {
 
 enum class Transport {
-  kOk,       // a whole answer came back
-  kNotSent,  // the connection could not be made: nothing was sent
+  kOk,       // a complete response was received
+  kNotSent,  // could not connect: nothing was sent
   kLost,     // the connection broke after sending may have begun
-  kTimeout,  // no answer in time; it may still be worked on
+  kTimeout,  // no response in time; the server may still be working
 };
 
 std::string_view TransportName(Transport t);
@@ -42,15 +43,15 @@
   std::string target;  // path and query
   std::string body;
   HttpHeaders headers;
-  // A delay of this process's own adds to it, up to as long again: the other
-  // side has had no time to answer meanwhile.
+  // Extended by this process's own scheduling delay, at most doubled: during
+  // the delay the server had no chance to be heard.
   Duration timeout = seconds(5);
   bool fresh_connection = false;
 };
 
 struct HttpResult {
   Transport transport = Transport::kNotSent;
-  int status = 0;  // 0 without an answer
+  int status = 0;  // 0 if there was no response
   HttpHeaders headers;
   std::string body;
 
@@ -61,7 +62,7 @@
   bool ok() const { return transport == Transport::kOk && status == 200; }
 };
 
-// Identifies a call in progress. 0 is never given out.
+// Identifies a call in progress. Never 0.
 using CallId = uint64_t;
 
 class HttpClient {
@@ -77,10 +78,10 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // `fn` is called once, never from within Send, unless the call is
-  // cancelled first.
+  // Starts a call. Calls `fn` exactly once, never from within Send, unless the
+  // call is cancelled first.
   CallId Send(HttpCall call, Callback fn);
-  // Closes the call's connection. Its callback is not called.
+  // Closes the call's connection without calling its callback.
   void Cancel(CallId id);
 
   size_t in_progress() const { return calls_.size(); }
--- a/pinford/http_server.cc
+++ b/pinford/http_server.cc
@@ -1,7 +1,7 @@
-// Notes on libevhtp 1.2.18 that shape this file: a request belongs to its
-// connection and dies with it, announced only by the request-fini hook; that
-// hook also runs after an answer is complete. Hooks set on a connection run
-// before a request's own.
+// Behavior of libevhtp 1.2.18 that this file depends on: a request is owned by
+// its connection and freed with it, which only the request-fini hook reports;
+// that hook also runs after a complete response. Hooks of a connection run
+// before those of its requests.
 
 #include "pinford/http_server.h"
 
@@ -22,7 +22,7 @@
     R"({"error":{"code":"size","message":"the headers are too large"},)"
     R"("outcome":"not_run"})";
 
-// libevhtp takes every kind of hook as one function type and casts it back.
+// libevhtp takes hooks of all types as one function type and casts them back.
 template <typename F>
 static evhtp_hook Hook(F* fn) {
   return reinterpret_cast<evhtp_hook>(reinterpret_cast<void (*)()>(fn));
@@ -88,7 +88,7 @@
 
 HttpExchange::~HttpExchange() {
   on_disconnect_ = nullptr;
-  // An exchange nobody will answer would leave its caller waiting.
+  // Without a response, the caller would wait forever.
   if (open()) Abort();
 }
 
@@ -101,7 +101,7 @@
   return EVHTP_RES_OK;
 }
 
-// 0 means none.
+// 0 means no timeout.
 void HttpExchange::SetReadTimeout(Duration d) {
   evhtp_connection_t* connection = evhtp_request_get_connection(request_);
   const timeval read = TimevalOf(d);
@@ -121,7 +121,7 @@
   return Find(headers_, name);
 }
 
-// libevhtp leaves a query as it was sent.
+// libevhtp does not decode the query.
 std::string HttpExchange::query(const char* name) const {
   size_t n = 0;
   char* decoded = evhttp_uridecode(Find(query_, name).c_str(), 1, &n);
@@ -183,8 +183,8 @@
   evhtp_connection_t* connection = evhtp_request_get_connection(request_);
   bufferevent* bev = evhtp_connection_get_bev(connection);
   Detach();
-  // libevhtp may be at work on the connection further up the stack, so it is
-  // not freed here: it ends by itself once it sees that the socket is shut.
+  // libevhtp may be using the connection further up the stack, so it is not
+  // freed here. libevhtp closes it when it sees that the socket is shut down.
   shutdown(bufferevent_getfd(bev), SHUT_RDWR);
 }
 
@@ -195,10 +195,10 @@
   return evbuffer_get_length(bufferevent_get_output(bev));
 }
 
-// Counts what one connection's current request takes, and throws away what is
-// beyond the limits. The refusal itself waits for the request's end, since a
-// reply sent ahead of it would be lost when the connection closes on unread
-// bytes; a sender that goes on for too long is cut.
+// Counts the bytes of a connection's current request and discards body data
+// over the limits. The refusal is sent only at the end of the request: an
+// earlier reply would be lost when the connection closes with unread data. A
+// request that exceeds a limit by kAbortFactor is aborted.
 struct HttpServer::Connection {
   HttpServer* server;
   size_t header_bytes = 0;
@@ -206,7 +206,7 @@
 
   static constexpr size_t kAbortFactor = 16;
 
-  // The status that refuses the request, or 0.
+  // The status with which the request is refused, or 0.
   int Refusal() const {
     if (header_bytes > server->options_.max_header_bytes) return 431;
     if (body_bytes > server->options_.max_body_bytes) return 413;
--- a/pinford/http_server.h
+++ b/pinford/http_server.h
@@ -1,15 +1,15 @@
-// HTTP towards callers and operators, over libevhtp.
+// HTTP server for callers and operators, over libevhtp.
 //
-// A request is handed over whole, as an HttpExchange that the handler may
-// answer now or later, at once or in chunks. The exchange outlives the
-// connection: libevhtp frees its request when a caller hangs up, so the
-// exchange detaches itself first (a write to a detached exchange is dropped)
-// and tells its owner, who cancels the work upstream.
+// The handler receives each complete request as an HttpExchange, which it may
+// answer immediately or later, in one reply or in chunks. The exchange may
+// outlive its connection: libevhtp frees the request when the caller
+// disconnects, and the exchange then detaches, ignores further writes and
+// notifies its owner, who cancels the upstream work.
 //
-// Bounds: bodies and headers over their limits are refused with 413 or 431, a
-// connection that owes bytes of a request is closed after the idle timeout
-// (one that waits for its answer is not), and writers are told how much is
-// waiting so that a slow caller bounds its own answer.
+// Limits: bodies and headers over their limits are refused with 413 or 431. A
+// connection with an incomplete request is closed after the idle timeout; one
+// that waits for its response is not. unsent() reports the bytes still
+// buffered, so that the owner can limit the memory used by a slow caller.
 
 #ifndef PINFORD_HTTP_SERVER_H_
 #define PINFORD_HTTP_SERVER_H_
@@ -30,10 +30,10 @@
 
 namespace pinford {
 
-// One request and the answer to it.
+// One request and its response.
 class HttpExchange {
  public:
-  // The connection's idle timeout stands still until the answer is finished.
+  // Suspends the connection's idle timeout until the response is finished.
   HttpExchange(evhtp_request* request, Duration idle_timeout);
   ~HttpExchange();
   HttpExchange(const HttpExchange&) = delete;
@@ -43,13 +43,14 @@
   // The path without the query.
   const std::string& path() const { return path_; }
   const std::string& body() const { return body_; }
-  // "" when there is none.
+  // The value of a header or query parameter, or "" if there is none.
   std::string header(const char* name) const;
   std::string query(const char* name) const;
-  // The query as it was sent, without the '?'.
+  // The raw query string, without the '?'.
   const std::string& query_text() const { return query_text_; }
 
-  // Sends the whole answer. Once per exchange, instead of a stream.
+  // Sends a complete response. At most once per exchange, and not after
+  // StartStream.
   void Reply(int status, std::string_view type, std::string_view body,
              const HttpHeaders& headers = {});
 
@@ -57,17 +58,18 @@
                    const HttpHeaders& headers = {});
   void Write(std::string_view chunk);
   void EndStream();
-  // Closes the connection mid-answer, so that the caller sees a cut rather
-  // than an end.
+  // Closes the connection, so that the caller can tell a truncated response
+  // from a complete one.
   void Abort();
 
-  // False once the caller has gone or the answer was finished.
+  // False once the caller has disconnected or the response is finished.
   bool open() const { return request_ != nullptr; }
   bool streaming() const { return streaming_; }
-  // Bytes written that the caller's side has not yet taken.
+  // Bytes written but not yet sent to the caller.
   size_t unsent() const;
 
-  // Called once if the caller goes away before the answer is finished.
+  // `fn` is called once if the caller disconnects before the response is
+  // finished.
   void set_on_disconnect(std::function<void()> fn) {
     on_disconnect_ = std::move(fn);
   }
@@ -107,14 +109,14 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // False, with errno set, when the address cannot be bound.
+  // Returns false, with errno set, if the address cannot be bound.
   bool Listen(const Address& address);
-  // Refuses new connections; those open are served on.
+  // Stops accepting connections. Open ones are still served.
   void StopListening();
-  // From now on each answer closes its connection.
+  // If set, each response closes its connection.
   void set_close_after_reply(bool v) { close_after_reply_ = v; }
 
-  // Connections open now.
+  // Number of open connections.
   size_t connections() const { return connections_.size(); }
 
  private:
--- a/pinford/loop_delays.h
+++ b/pinford/loop_delays.h
@@ -1,11 +1,12 @@
-// How late an event loop has served its timers of late.
+// Recent scheduling delays of an event loop: how late it has run its timers.
 //
-// A process that is stopped, gets no processor or is busy in one handler
-// serves its timers late and reads nothing meanwhile. Whoever blames another
-// for silence asks here how much of that silence was this process's own.
+// A process that is stopped, gets no CPU time or is busy in one handler runs
+// its timers late and reads nothing meanwhile. Code that is about to report a
+// peer or endpoint as unresponsive checks here how much of the idle time was
+// this process's own delay.
 //
-// Memory is bounded: a delay is forgotten once a longer one has ended after
-// it, and beyond kMaxKept the oldest goes.
+// Memory is bounded: a delay is dropped once one at least as long has ended
+// after it, and the oldest is dropped when there are more than kMaxKept.
 
 #ifndef PINFORD_LOOP_DELAYS_H_
 #define PINFORD_LOOP_DELAYS_H_
@@ -19,13 +20,14 @@
 
 class LoopDelays {
  public:
-  // Timers fire a little late on an idle machine too; less is no delay.
+  // Shorter delays are ignored: timers are slightly late even on an idle
+  // machine.
   static constexpr Duration kMinDelay = milliseconds(5);
   static constexpr size_t kMaxKept = 32;
 
-  // A timer that was due at `due` runs at `now`.
+  // Records that a timer due at `due` runs at `now`.
   void OnTimer(Time due, Time now);
-  // The longest delay that ended after `t`; zero if there was none.
+  // Returns the longest delay that ended after `t`; zero if there was none.
   Duration LongestSince(Time t) const;
 
  private:
@@ -33,7 +35,7 @@
     Time end;
     Duration length;
   };
-  std::deque<Delay> delays_;  // by end; lengths fall
+  std::deque<Delay> delays_;  // ends increase, lengths decrease
 };
 
 }  // namespace pinford
--- a/util/address.h
+++ b/util/address.h
@@ -1,7 +1,6 @@
 // An IP address and port: "127.0.0.1:8000" or "[::1]:8000".
 //
-// Names are not resolved: a box learns addresses as numbers, so that nothing
-// it does waits for a resolver.
+// Host names are not resolved, so nothing in a box ever waits for a resolver.
 
 #ifndef UTIL_ADDRESS_H_
 #define UTIL_ADDRESS_H_
@@ -17,7 +16,8 @@
   std::string ip;
   uint16_t port = 0;
 
-  // Nothing unless `text` is a numeric IP address, ':' and a port over 0.
+  // Returns nullopt unless `text` is a numeric IP address, ':' and a port
+  // above 0.
   static std::optional<Address> Parse(std::string_view text);
   std::string ToString() const;
 
--- a/util/base64.cc
+++ b/util/base64.cc
@@ -9,7 +9,7 @@
 }
 
 std::string EncodeBase64(std::string_view bytes) {
-  // OpenSSL ends the text with a zero byte.
+  // OpenSSL writes a terminating zero byte.
   std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');
   const int n = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
                                 Bytes(bytes), static_cast<int>(bytes.size()));
@@ -20,8 +20,8 @@
 std::optional<std::string> DecodeBase64(std::string_view text) {
   if (text.empty()) return "";
   if (text.size() % 4 != 0) return std::nullopt;
-  // The decoder takes padding anywhere, and counts the bytes it stands for.
-  const size_t end = text.find_last_not_of('=') + 1;  // 0 if there is no more
+  // EVP_DecodeBlock accepts padding anywhere and counts it as data bytes.
+  const size_t end = text.find_last_not_of('=') + 1;  // 0 if all is padding
   const size_t padding = text.size() - end;
   const bool inside = text.substr(0, end).find('=') != std::string_view::npos;
   if (padding > 2 || inside) return std::nullopt;
--- a/util/base64.h
+++ b/util/base64.h
@@ -10,7 +10,7 @@
 namespace pinford {
 
 std::string EncodeBase64(std::string_view bytes);
-// Nothing unless `text` is base64 with its padding.
+// Returns nullopt unless `text` is valid base64 with padding.
 std::optional<std::string> DecodeBase64(std::string_view text);
 
 }  // namespace pinford
--- a/util/clock.h
+++ b/util/clock.h
@@ -1,9 +1,9 @@
-// Time as the whole program sees it.
+// Time and timers.
 //
-// Nothing below the program's entry reads the machine's clock: it is given a
-// Clock. The event loop is one (real time); PausedClock is the other, which
-// tests advance by hand. Both run timers on the caller's thread, in order of
-// due time and then of scheduling, so a run under PausedClock is repeatable.
+// Code does not read the system clock directly: it takes a Clock, either the
+// EventLoop (real time) or a PausedClock, which tests advance explicitly. Both
+// run timers on the caller's thread, ordered by due time and then by when they
+// were scheduled, so a run under PausedClock is deterministic.
 
 #ifndef UTIL_CLOCK_H_
 #define UTIL_CLOCK_H_
@@ -16,7 +16,7 @@
 namespace pinford {
 
 using Duration = std::chrono::microseconds;
-// Monotonic; comparable within one process only.
+// Monotonic; only comparable within one process.
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 using std::chrono::hours;
@@ -24,7 +24,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Identifies a scheduled timer. 0 is never given out.
+// Identifies a scheduled timer. Never 0.
 using TimerId = uint64_t;
 
 template <typename C>
@@ -33,7 +33,7 @@
   { c.now() } -> std::same_as<Time>;
   // Runs `fn` once, `d` from now.
   { c.After(d, fn) } -> std::same_as<TimerId>;
-  // Harmless for a timer that has run or was cancelled.
+  // No-op for a timer that has run or was cancelled.
   {c.Cancel(id)};
 };
 
--- a/util/decaying_sum.h
+++ b/util/decaying_sum.h
@@ -1,6 +1,6 @@
-// A sum whose parts fade: each counts e^(-age / span). Divided by the span it
-// estimates a rate over about the last span, and costs two numbers whatever
-// the number of parts.
+// An exponentially decaying sum: each value counts e^(-age / time_constant).
+// Divided by the time constant, it estimates the rate over about the last time
+// constant. Uses constant memory.
 
 #ifndef UTIL_DECAYING_SUM_H_
 #define UTIL_DECAYING_SUM_H_
--- a/util/deflate.cc
+++ b/util/deflate.cc
@@ -16,7 +16,8 @@
   std::string out(size, '\0');
   const int rc =
       compress2(BytesOf(out), &size, BytesOf(text), text.size(), Z_BEST_SPEED);
-  // With room for the bound it fails only for want of memory.
+  // With a buffer of compressBound bytes, compress2 only fails if out of
+  // memory.
   assert(rc == Z_OK);
   static_cast<void>(rc);
   out.resize(size);
@@ -38,7 +39,7 @@
     stream.avail_out = static_cast<uInt>(out.size() - done);
     rc = inflate(&stream, Z_NO_FLUSH);
     out.resize(out.size() - stream.avail_out);
-    // Truncated: no more comes in, and nothing more goes out.
+    // The input is truncated: all of it is consumed and no output is pending.
     if (rc == Z_OK && stream.avail_in == 0 && stream.avail_out > 0) break;
   }
   const bool whole = rc == Z_STREAM_END && stream.avail_in == 0;
--- a/util/deflate.h
+++ b/util/deflate.h
@@ -1,4 +1,4 @@
-// Text made smaller for the way to a peer, in zlib's format.
+// Compression of texts sent to peers, in zlib format.
 
 #ifndef UTIL_DEFLATE_H_
 #define UTIL_DEFLATE_H_
@@ -10,10 +10,11 @@
 
 namespace pinford {
 
-// Fast rather than small: lists in JSON shrink to a tenth or less all the same.
+// Uses the fastest level: even so, JSON lists shrink to a tenth or less.
 std::string Deflate(std::string_view text);
 
-// Nothing for bytes that Deflate did not make, or that hold more than `most`.
+// Returns nullopt if `bytes` is not a complete zlib stream or expands to more
+// than `max_size` bytes.
 std::optional<std::string> Inflate(std::string_view bytes, size_t max_size);
 
 }  // namespace pinford
--- a/util/hash.cc
+++ b/util/hash.cc
@@ -19,7 +19,7 @@
 }
 
 double UnitHash(std::string_view data) {
-  // As many bits as a double holds exactly.
+  // A double represents integers of 53 bits exactly.
   constexpr int kBits = 53;
   return std::ldexp(static_cast<double>(Hash64(data) >> (64 - kBits)), -kBits);
 }
--- a/util/hash.h
+++ b/util/hash.h
@@ -1,4 +1,4 @@
-// Hashing and identifiers, over xxHash and the standard generators.
+// Hashing and identifiers, using xxHash and the standard random generators.
 
 #ifndef UTIL_HASH_H_
 #define UTIL_HASH_H_
@@ -12,10 +12,10 @@
 
 using Random = std::mt19937_64;
 
-// XXH3, 64 bits. Stable over processes and versions.
+// XXH3, 64 bits. Stable across processes and versions.
 uint64_t Hash64(std::string_view data, uint64_t seed = 0);
 
-// The same as a number in [0, 1).
+// Hash64 mapped to [0, 1).
 double UnitHash(std::string_view data);
 
 // XXH3, 128 bits, as 32 hexadecimal digits.
@@ -23,15 +23,16 @@
 
 std::string Hex64(uint64_t v);
 
-// A generator seeded from the system's entropy.
+// Returns a generator seeded from the system's entropy source.
 Random SeededRandom();
 
 // 32 hexadecimal digits, unique in practice.
 std::string NewId(Random& random);
 
-// Highest-random-weight hashing (Thaler and Ravishankar, 1998): every caller
-// with the same set of nodes picks the same node for `key`, and a change of
-// the set moves only the keys of the node that came or went.
+// Weight for highest-random-weight (rendezvous) hashing (Thaler and
+// Ravishankar, 1998). Everyone with the same set of nodes chooses the same node
+// for `key`, the one with the greatest weight; adding or removing a node only
+// moves that node's keys.
 uint64_t RendezvousWeight(std::string_view node, std::string_view key);
 
 }  // namespace pinford
--- a/util/held_signals.h
+++ b/util/held_signals.h
@@ -1,8 +1,8 @@
-// Signals that come before a program is ready to take them. Without this they
-// have their default effect, which for most is to end it.
+// Blocks signals until a program has installed its handlers. Otherwise an early
+// signal has its default effect, which for most signals ends the process.
 //
-// What comes while signals are held is delivered when they are released, once
-// of each kind. Threads that start meanwhile never get these signals.
+// Signals that arrive while blocked are delivered on Unblock(), once for each
+// signal number. Threads started meanwhile inherit the mask and never get them.
 
 #ifndef UTIL_HELD_SIGNALS_H_
 #define UTIL_HELD_SIGNALS_H_
@@ -16,7 +16,8 @@
 class SignalBlocker {
  public:
   explicit SignalBlocker(std::initializer_list<int> signals);
-  // An early end of the program keeps its exit code: nothing is released here.
+  // Does not unblock: a pending signal would change the exit code of a program
+  // that returns early.
   ~SignalBlocker() = default;
   SignalBlocker(const SignalBlocker&) = delete;
   SignalBlocker& operator=(const SignalBlocker&) = delete;
--- a/util/json.h
+++ b/util/json.h
@@ -1,6 +1,6 @@
-// Reading JSON without exceptions across an interface.
+// JSON parsing and field access without exceptions.
 //
-// Include from .cc files only: the JSON library is costly to compile.
+// Include from .cc files only: the JSON library is slow to compile.
 
 #ifndef UTIL_JSON_H_
 #define UTIL_JSON_H_
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-// Whether brackets outside of strings are nested deeper than `most`.
+// Returns whether brackets outside of strings nest deeper than `max_depth`.
 inline bool NestedDeeperThan(std::string_view text, int max_depth) {
   int depth = 0;
   bool in_string = false;
@@ -33,8 +33,9 @@
   return false;
 }
 
-// A discarded value if `text` is not JSON or is nested deeper than 64. Looked
-// at before: a callback while parsing takes twice the time of the parse.
+// Returns a discarded value if `text` is not JSON or nests deeper than 64. The
+// depth is checked in a separate pass first, because a parser callback doubles
+// the time of parsing.
 inline Json ParseJson(std::string_view text) {
   constexpr int kMaxDepth = 64;
   if (NestedDeeperThan(text, kMaxDepth)) {
@@ -43,7 +44,8 @@
   return Json::parse(text.begin(), text.end(), nullptr, false);
 }
 
-// The whole number `v` as a T; nothing if it is none, or T cannot hold it.
+// Returns the integer `v` as a T; nullopt if `v` is not an integer or is out of
+// T's range.
 template <typename T>
 std::optional<T> JsonWhole(const Json& v) {
   if (v.is_number_unsigned()) {
@@ -56,8 +58,8 @@
   return std::nullopt;
 }
 
-// The member `key` of object `v` as a T, or `fallback` when it is missing, of
-// another type, or beyond what a T holds.
+// Returns member `key` of object `v` as a T, or `fallback` if it is missing, of
+// another type or out of T's range.
 template <typename T>
 T JsonField(const Json& v, const char* key, T fallback) {
   if (!v.is_object()) return fallback;
@@ -74,7 +76,7 @@
   }
 }
 
-// The member `key` of object `v` if it is an array, else an empty one.
+// Returns member `key` of object `v` if it is an array, else an empty array.
 inline const Json& JsonList(const Json& v, const char* key) {
   static const Json kNone = Json::array();
   if (!v.is_object()) return kNone;
@@ -82,7 +84,7 @@
   return it != v.end() && it->is_array() ? *it : kNone;
 }
 
-// The text of `v`; bytes that are not UTF-8 are replaced.
+// Serializes `v`, replacing invalid UTF-8.
 inline std::string DumpJson(const Json& v) {
   return v.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
--- a/util/names.h
+++ b/util/names.h
@@ -1,9 +1,8 @@
 // Name tables for enum classes.
 //
-// An enumeration that leaves the process (in an answer, a log line or a
-// settings file) has one constant table of EnumName rows beside it. Both
-// directions use that table, so a name cannot be written one way and read
-// another.
+// An enum that appears outside the process (in a response, a log line or a
+// settings file) has one constant table of EnumName rows. Formatting and
+// parsing use the same table, so they cannot disagree.
 
 #ifndef UTIL_NAMES_H_
 #define UTIL_NAMES_H_
@@ -20,7 +19,7 @@
   std::string_view name;
 };
 
-// The name of `value`, or "?" when the table lacks it.
+// Returns the name of `value`, or "?" if it is not in the table.
 template <typename E, size_t N>
 constexpr std::string_view NameIn(const EnumName<E> (&table)[N], E value) {
   for (const EnumName<E>& row : table) {
@@ -29,7 +28,7 @@
   return "?";
 }
 
-// The value called `name`, if the table has it.
+// Returns the value named `name`, or nullopt if it is not in the table.
 template <typename E, size_t N>
 constexpr std::optional<E> ValueIn(const EnumName<E> (&table)[N],
                                    std::string_view name) {
--- a/util/paused_clock.h
+++ b/util/paused_clock.h
@@ -1,4 +1,4 @@
-// A Clock that stands still until it is advanced.
+// A Clock for tests that only moves when it is advanced.
 
 #ifndef UTIL_PAUSED_CLOCK_H_
 #define UTIL_PAUSED_CLOCK_H_
@@ -17,11 +17,12 @@
   TimerId After(Duration d, std::function<void()> fn);
   void Cancel(TimerId id);
 
-  // Moves to now() + d and runs every timer due on the way, each at its own
-  // due time. Timers scheduled by timers run too when they fall due.
+  // Advances to now() + d. Runs each timer due by then at its due time,
+  // including timers that other timers schedule.
   void Advance(Duration d);
 
-  // Runs the next timer, if there is one at or before `limit`.
+  // Runs the next timer if it is due at or before `limit`. Returns whether one
+  // ran.
   bool RunNext(Time limit);
 
   size_t pending() const { return timers_.size(); }
--- a/util/uri.h
+++ b/util/uri.h
@@ -1,4 +1,4 @@
-// Text in the parts of a URI, over libevent.
+// URI escaping, over libevent.
 
 #ifndef UTIL_URI_H_
 #define UTIL_URI_H_
@@ -7,8 +7,8 @@
 
 namespace pinford {
 
-// `text` as it stands in a query: everything but unreserved characters is
-// percent-encoded.
+// Escapes `text` for a query string: percent-encodes all but unreserved
+// characters.
 std::string EscapeUri(const std::string& text);
 
 }  // namespace pinford
