--- a/pinford/log.cc
+++ b/pinford/log.cc
@@ -37,7 +37,7 @@
 
 static LogFormat log_format = LogFormat::kText;
 
-// JSON text of a string; bytes that are not UTF-8 are replaced.
+// Returns `text` as a JSON string, replacing invalid UTF-8.
 static std::string Quoted(std::string_view text) {
   return nlohmann::json(std::string(text))
       .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -45,12 +45,12 @@
 
 namespace {
 
-// Holds lines until the other side takes them, up to a bound.
+// Buffers lines, up to a limit, until the reader accepts them.
 class BoundedSink
     : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  // Writes only what does not block: a pipe that polls as writable takes
-  // PIPE_BUF bytes at once.
+  // Writes without blocking: a pipe that polls as writable accepts PIPE_BUF
+  // bytes.
   void Write() {
     lines_ = warnings_ = 0;
     LogDroppedLines();
@@ -85,7 +85,8 @@
   void flush_() override { Write(); }
 
  private:
-  // Counts a line if one more of its level may be written before the flush.
+  // Returns whether another line of this level may be logged before the next
+  // flush, and counts it if so.
   bool AdmitLine(spdlog::level::level_enum level) {
     if (level >= spdlog::level::err) return true;
     const bool warning = level == spdlog::level::warn;
@@ -160,7 +161,7 @@
   auto logger = std::make_shared<spdlog::logger>(
       std::string(box), std::make_shared<BoundedSink>());
   logger->set_level(LevelOf(level));
-  // What may be the last line is written at once.
+  // An error may be the last line before an exit, so write it immediately.
   logger->flush_on(spdlog::level::err);
   if (format == LogFormat::kJson) {
     logger->set_pattern(
--- a/pinford/log.h
+++ b/pinford/log.h
@@ -1,16 +1,16 @@
-// Logs: short sentences, each with the fixed prefix of its part, and events
-// with named fields for what one wants to search by.
+// Logging: short sentences prefixed with the component, and events with named
+// fields for searching.
 //
 //   Log(LogPart::kPeers, LogLevel::kInfo, "Box " + name + " joined.");
 //   LogEvent(LogPart::kCallers, LogLevel::kInfo, "request_ended",
 //            LogFields().Add("id", id).Add("status", 200));
 //
-// Lines go to standard output, as text or as one JSON object a line. They
-// never block: a line is put into a buffer of bounded size, which FlushLogs
-// writes as far as the other side takes it. More lines than kMaxLogLines
-// between two flushes, or more than fit, are left out, and a line tells how
-// many. Warnings have a bound of their own, so that a flood of refusals does
-// not push out why an answer was cut.
+// Lines go to standard output, as text or as one JSON object per line. Logging
+// never blocks: lines are appended to a bounded buffer, and FlushLogs writes as
+// much of it as the reader accepts. Lines beyond kMaxLogLines between two
+// flushes, or that do not fit into the buffer, are dropped, and an event
+// reports their number. Warnings have a separate limit, so that a burst of
+// refusals does not displace the reason why a response was cut.
 
 #ifndef PINFORD_LOG_H_
 #define PINFORD_LOG_H_
@@ -30,7 +30,7 @@
 std::optional<LogLevel> LogLevelNamed(std::string_view name);
 std::optional<LogFormat> LogFormatNamed(std::string_view name);
 
-// Named values of one event, in the order in which they were added.
+// Named values of an event, in the order in which they were added.
 class LogFields {
  public:
   LogFields& Add(std::string_view name, std::string_view value);
@@ -44,7 +44,7 @@
     return AddNumber(name, std::to_string(value));
   }
 
-  // As members of a JSON object, without its braces.
+  // The members of a JSON object, without its braces.
   const std::string& text() const { return text_; }
 
  private:
@@ -52,15 +52,15 @@
   std::string text_;
 };
 
-// Lines between two flushes; a flush comes each kLogFlushInterval. At 10
-// requests a second a box writes about 30 lines a second.
+// Maximum lines between two flushes, which are kLogFlushInterval apart. At 10
+// requests per second a box writes about 30 lines per second.
 inline constexpr int kMaxLogLines = 60;
-// The same for warnings.
+// The same limit for warnings.
 inline constexpr int kMaxLogWarnings = 60;
 inline constexpr std::chrono::milliseconds kLogFlushInterval{100};
 inline constexpr size_t kMaxLogBytes = 256 << 10;
 
-// Writes what the other side takes now. Call it every kLogFlushInterval.
+// Writes as much as possible without blocking. Call it every kLogFlushInterval.
 void FlushLogs();
 
 void SetUpLogs(std::string_view box, LogLevel level, LogFormat format);
--- a/pinford/log_digest.cc
+++ b/pinford/log_digest.cc
@@ -23,8 +23,8 @@
   return NameIn(kDelayCauseNames, c);
 }
 
-// "2026-07-10T06:06:33.105+00:00" as ms since 1970. Boxes write their own
-// offset; logs that are read together have one.
+// Parses "2026-07-10T06:06:33.105+00:00" into ms since 1970. Ignores the UTC
+// offset: logs that are read together must have the same one.
 static std::optional<int64_t> MillisOf(const std::string& time) {
   std::tm tm = {};
   int ms = 0;
@@ -44,7 +44,7 @@
   return JsonField<double>(v, key, 0.0);
 }
 
-// The `part` quantile of `values`; 0 of none.
+// Returns the `q` quantile of `values`, or 0 if there are none.
 static double Quantile(std::vector<double> values, double q) {
   if (values.empty()) return 0;
   const size_t i =
@@ -60,7 +60,7 @@
   return static_cast<double>(n) / values.size();
 }
 
-// --- reading ---------------------------------------------------------------
+// --- parsing ---------------------------------------------------------------
 
 void LogDigest::Read(std::string_view text, const std::string& file) {
   int line = 0;
@@ -74,7 +74,7 @@
     event.fields = ParseJson(row);
     const auto ms = MillisOf(JsonField<std::string>(event.fields, "time", ""));
     if (!ms) {
-      findings_.Add(file, line, "no line of a log in JSON");
+      findings_.Add(file, line, "not a JSON log line");
       continue;
     }
     event.ms = *ms;
@@ -117,7 +117,7 @@
   return DelayCause::kNone;
 }
 
-// `chain` is as ChainText writes it.
+// `chain` has the format of ChainText.
 void LogDigest::CountChain(std::string_view chain, Tally* tally) const {
   int stages = 0;
   while (!chain.empty()) {
@@ -185,7 +185,7 @@
               {"late", FractionAbove(values, bound)}};
 }
 
-// The keys of the greatest counts, at most `n`, greatest first.
+// Returns the `n` largest counts with their keys, in descending order.
 template <typename K>
 static std::vector<std::pair<K, int>> LargestCounts(
     const std::map<K, int>& counts, size_t n) {
@@ -242,7 +242,7 @@
   return rows;
 }
 
-// "name n, name n", the greatest first.
+// Formats counts as "name n, name n", in descending order.
 template <typename K>
 static std::string CountsText(const std::map<K, int>& counts) {
   std::string text;
@@ -291,7 +291,7 @@
   return text;
 }
 
-// --- one request -----------------------------------------------------------
+// --- request trace ---------------------------------------------------------
 
 std::string LogDigest::RequestTrace(const std::string& request) const {
   std::vector<const Event*> trace;
--- a/pinford/log_digest.h
+++ b/pinford/log_digest.h
@@ -1,14 +1,12 @@
-// What the logs of any number of boxes say of the requests they forwarded:
-// how tries ended and why, how long first events and pauses took and what came
-// between, over windows of time, by service and hall; or the story of one
-// request over all boxes.
+// Summarizes the logs of any number of boxes: outcomes of forwarded requests,
+// times to the first event, pauses within streams and their causes, by time
+// window, service and hall; or the trace of one request across all boxes.
 //
-// Lines are JSON objects as LogFormat::kJson writes them. A line that is none
-// is counted with its place and passed over. Times are the boxes' own, which
-// may differ by their clocks.
+// Lines are JSON objects as written by LogFormat::kJson. Other lines are
+// skipped and reported as findings. Timestamps are those of each box's own
+// clock and may be skewed.
 //
-// Memory grows with the events that are kept: those that name a request, at
-// about 300 bytes each.
+// Only events with a request id are kept, at about 300 bytes each.
 
 #ifndef PINFORD_LOG_DIGEST_H_
 #define PINFORD_LOG_DIGEST_H_
@@ -25,12 +23,12 @@
 
 namespace pinford {
 
-// What came between, where a stream paused for too long or began too late.
+// Why a stream started late or paused for too long.
 enum class DelayCause {
-  kStageReplaced,  // a stage was down or slow; another took its part
-  kRestarted,      // a stage was down or slow; the stream began anew
-  kStalled,        // nothing came for too long; it began anew
-  kAttemptFailed,  // an attempt ended, and another followed
+  kStageReplaced,  // a stage was down or slow and was replaced
+  kRestarted,      // a stage was down or slow; the request restarted
+  kStalled,        // no event for too long; the request restarted
+  kAttemptFailed,  // an attempt failed and was retried
   kNone,           // none of these
 };
 
@@ -38,27 +36,27 @@
 
 struct LogDigestOptions {
   int64_t window_ms = 2000;
-  int64_t first_ms = 500;  // a later first event counts as late
-  int64_t gap_ms = 200;    // a longer pause does
+  int64_t first_ms = 500;  // a first event after this is late
+  int64_t gap_ms = 200;    // a pause longer than this is late
 };
 
 class LogDigest {
  public:
   explicit LogDigest(const LogDigestOptions& options) : options_(options) {}
 
-  // Reads the lines of one log. `file` names it in findings.
+  // Adds the lines of one log. `file` is its name in findings.
   void Read(std::string_view text, const std::string& file);
 
-  // What was read, window by window.
+  // The summary, one row per group.
   Json Windows() const;
-  // The same as a table for people.
+  // The summary as a human-readable table.
   std::string Table() const;
-  // All that names the request, in order of time, a line each.
+  // All events of a request in time order, one per line.
   std::string RequestTrace(const std::string& request) const;
 
-  // Lines that are no events of a log.
+  // Lines that could not be parsed.
   const Findings& findings() const { return findings_; }
-  // Lines that boxes left out when too many came at once, as they say.
+  // Number of lines that boxes reported as dropped.
   int64_t dropped_lines() const { return dropped_lines_; }
 
  private:
@@ -68,7 +66,7 @@
     std::string name;
     Json fields;
   };
-  // A window of time, a service, and the hall of the boxes.
+  // Requests are grouped by time window, service and the hall of the box.
   struct Group {
     int64_t window = 0;
     std::string service;
@@ -83,8 +81,8 @@
     std::vector<double> fullest;
     std::vector<double> busiest;
     std::map<int, int> stages;
-    std::map<std::string, int> kinds;    // stages on each
-    std::map<std::string, int> runners;  // chains through each
+    std::map<std::string, int> kinds;    // stages by kind of runner
+    std::map<std::string, int> runners;  // chains by runner
     std::map<int, int> bottleneck_layers;
     std::vector<double> bottleneck_memory_used;
   };
@@ -97,7 +95,7 @@
   Json JsonOf(const Group& group, const Tally& tally) const;
 
   LogDigestOptions options_;
-  std::vector<Event> events_;  // that name a request, in the order read
+  std::vector<Event> events_;  // that have a request id, in the order read
   std::map<std::string, std::set<std::string>>
       event_names_by_request_;  // of each request
   std::map<std::string, std::string> hall_by_box_;
--- a/pinford/metrics.cc
+++ b/pinford/metrics.cc
@@ -14,8 +14,9 @@
 namespace acc = boost::accumulators;
 namespace bh = boost::histogram;
 
-// Upper bounds of the buckets, in seconds: close where a token, a pause or a
-// first event is on time, wide where it is late anyway.
+// Upper bounds of the buckets, in seconds: fine for the times that tokens,
+// pauses and first events should take, coarse for those that are late in any
+// case.
 static constexpr double kBucketBounds[] = {
     0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.25, 0.35, 0.5,
     0.75,  1,    1.5,  2,    3,   5,    10,  20,   60};
@@ -26,9 +27,9 @@
     totals_(v);
     buckets_(v);
   }
-  // How many were at most kBucketBounds[i].
+  // Returns how many values were at most kBucketBounds[i].
   double CountAtMost(size_t i) const {
-    // The first cell takes what lies below all bounds.
+    // Bucket -1 holds the values below all bounds.
     double n = 0;
     for (int bucket = -1; bucket < static_cast<int>(i); bucket++) {
       n += buckets_.at(bucket);
@@ -40,8 +41,8 @@
   size_t count() const { return acc::count(totals_); }
 
  private:
-  // A value on a bound counts above it; of times in floating point none is
-  // expected there.
+  // A value equal to a bound is counted above it. This does not matter for
+  // floating-point times, which are not expected to be equal to a bound.
   using Axis = bh::axis::variable<double>;
 
   acc::accumulator_set<
@@ -85,7 +86,7 @@
   return fmt::format("pinford_{}{{{}}} {}\n", name, labels, value);
 }
 
-// Prometheus wants one TYPE line ahead of all series of a name.
+// Prometheus requires one TYPE line before all series of a name.
 static void AppendTypeLine(const std::string& name, const char* type,
                            std::string* last, std::string* out) {
   if (*last == name) return;
--- a/pinford/metrics.h
+++ b/pinford/metrics.h
@@ -1,9 +1,9 @@
-// Counters, gauges and distributions of one box, in Prometheus' text form.
+// Counters, gauges and distributions of a box, in the Prometheus text format.
 //
-// Distributions are histograms of fixed buckets (Boost.Histogram), told as
-// Prometheus' cumulative ones, so that those of many boxes can be summed and
-// quantiles taken of the sum; beside them the sum, the count and the greatest
-// value (Boost.Accumulators).
+// Distributions are histograms with fixed buckets (Boost.Histogram), exported
+// as cumulative Prometheus histograms. They can be summed over boxes, and
+// quantiles computed from the sum. The sum, count and maximum of each are
+// exported too (Boost.Accumulators).
 
 #ifndef PINFORD_METRICS_H_
 #define PINFORD_METRICS_H_
@@ -22,11 +22,12 @@
   Metrics();
   ~Metrics();
 
-  // `labels` is "" or as in Prometheus: outcome="complete".
+  // Adds to a counter. `labels` is "" or in Prometheus syntax:
+  // outcome="complete".
   void Count(const std::string& name, const std::string& labels = "",
              int64_t by = 1);
   void Set(const std::string& name, const std::string& labels, double value);
-  // One observation, in seconds by convention.
+  // Adds a value to a distribution, in seconds by convention.
   void Observe(const std::string& name, const std::string& labels,
                double value);
 
