--- a/app/main.cc
+++ b/app/main.cc
@@ -1,4 +1,4 @@
-// The pinford program: one binary, one command line.
+// The pinford command line.
 
 #include <docopt/docopt.h>
 #include <signal.h>
@@ -48,39 +48,40 @@
   pinford (-h | --help)
 
 Commands:
-  serve          Runs a box. SIGTERM is a planned stop: what is in its care
-                 is finished first. A second SIGTERM stops at once.
-  forward        Runs a box that forwards requests by the configuration in the
-                 platform's store. SIGHUP reads the settings again.
+  serve          Runs a box. SIGTERM stops it after requests in progress have
+                 finished. A second SIGTERM stops it immediately.
+  forward        Runs a box that forwards requests according to the
+                 configuration in the platform's store. SIGHUP reloads the
+                 settings.
   check          Checks a settings file, policy files, or both, and prints
-                 every finding with its place.
+                 every finding with its location.
   policy submit  Submits policy files as the new configuration. It is accepted
                  only if the one in force is still the expected generation.
   policy show    Prints the configuration in force.
-  policy status  Tells what became of the submission ID.
+  policy status  Prints the status of the submission ID.
   timeline       Prints the events of all boxes in one order.
-  explain        Reads the JSON logs of any number of boxes and prints, by
-                 window of time, service and hall, how requests ended and what
-                 held them up; or all that they say of one request.
+  explain        Reads the JSON logs of any number of boxes and prints, by time
+                 window, service and hall, how requests ended and what delayed
+                 them; or all events of one request.
 
 Options:
   --settings=FILE      Settings of the box, in YAML.
   --policy=FILE        A policy file, in Lua.
-  --operator=ADDRESS   A box's address for operators, as 127.0.0.1:8100.
-  --key-file=FILE      A file that holds the operators' key.
-  --id=ID              The submission's id. Give the same one when a
-                       submission is tried again. Chosen if left out.
-  --author=NAME        Kept with the configuration [default: ].
-  --expect=GENERATION  The generation to replace. Asked for if left out.
+  --operator=ADDRESS   A box's address for operators, such as 127.0.0.1:8100.
+  --key-file=FILE      A file that contains the operators' key.
+  --id=ID              The submission's id. Use the same id to retry a
+                       submission. Random by default.
+  --author=NAME        Stored with the configuration [default: ].
+  --expect=GENERATION  The generation to replace. Default: the one in force.
   --request=ID         Only the events of one request.
   --window=SECONDS     Length of a window [default: 2].
-  --first-ms=MS        A later first event is late [default: 500].
-  --gap-ms=MS          A longer pause between events is [default: 200].
-  --json               Prints JSON rather than lines.
-  -h --help            Prints this.
+  --first-ms=MS        A first event after this is late [default: 500].
+  --gap-ms=MS          A longer pause between events is late [default: 200].
+  --json               Prints JSON instead of text.
+  -h --help            Prints this help.
 
-Exit codes: 0 done, 1 findings or failure, 2 wrong usage, 3 refused because
-another generation is in force, 4 not decided yet: ask for the status.
+Exit codes: 0 success, 1 findings or failure, 2 wrong usage, 3 refused because
+another generation is in force, 4 undecided: check the status later.
 )";
 
 enum ExitCode {
@@ -93,7 +94,7 @@
 
 using Arguments = std::map<std::string, docopt::value>;
 
-// What stopped a command, for the handler in main.
+// Errors of a command, printed by Main.
 struct FileError {
   std::string file;
   std::string why;
@@ -135,7 +136,7 @@
   return OperatorClient(*box, key);
 }
 
-// Nothing, with the findings printed, for a file that cannot be used.
+// Returns nullopt and prints the findings if the file is invalid.
 leaf::result<std::optional<Settings>> ReadSettings(const std::string& file) {
   BOOST_LEAF_AUTO(text, ReadFile(file));
   Findings findings;
@@ -144,7 +145,7 @@
   return settings;
 }
 
-// A settings file with a finding changes nothing.
+// Keeps the current settings if the file is invalid.
 template <typename B>
 void ReloadSettings(const std::string& file, B* box) {
   const leaf::result<std::optional<Settings>> settings = ReadSettings(file);
@@ -160,9 +161,8 @@
   Log(LogPart::kBox, LogLevel::kWarn, "Settings are read at the start only.");
 }
 
-// Runs a box of type B until it has stopped. SIGHUP is held already: an
-// operator who changes settings does not know how far a box has come with its
-// start.
+// Runs a box of type B until it has stopped. SIGHUP is already blocked: it may
+// come at any time during the start.
 template <typename B>
 leaf::result<int> Serve(const Arguments& args, SignalBlocker* signal_blocker) {
   const std::string file = args.at("--settings").asString();
@@ -170,7 +170,8 @@
   if (!settings) return kFailed;
   SetUpLogs(settings->box, settings->log_level, settings->log_format);
   signal(SIGPIPE, SIG_IGN);
-  // Once it listens, callers may have come.
+  // Once the box listens, it may have accepted requests, so a stop must be
+  // handled from here on.
   signal_blocker->Block({SIGTERM, SIGINT});
   EventLoop loop;
   loop.Every(kLogFlushInterval, FlushLogs);
@@ -248,8 +249,7 @@
   const HttpResult r = client.Get("/v1/configuration");
   if (!r.ok()) {
     PrintFailure(r);
-    return leaf::new_error(
-        ArgumentError{"the generation in force is not known"});
+    return leaf::new_error(ArgumentError{"the generation in force is unknown"});
   }
   return JsonField<uint64_t>(ParseJson(r.body), "generation", 0);
 }
@@ -266,8 +266,8 @@
   if (r.transport == Transport::kNotSent) return PrintFailure(r);
   if (r.transport != Transport::kOk) {
     std::cerr << "No answer. Submission " << id
-              << " may be accepted: ask for its status, or submit again with "
-                 "the same --id and --expect.\n";
+              << " may have been accepted: check its status, or submit again "
+                 "with the same --id and --expect.\n";
     return kUndecided;
   }
   const Json v = ParseJson(r.body);
@@ -287,7 +287,7 @@
   if (!r.ok()) return PrintFailure(r);
   const std::optional<Configuration> c = ParseConfiguration(r.body);
   if (!c) {
-    std::cout << "No configuration was submitted yet.\n";
+    std::cout << "No configuration has been submitted yet.\n";
     return kDone;
   }
   std::cout << "generation " << c->generation << "\nsubmission "
@@ -335,7 +335,7 @@
   return kDone;
 }
 
-// The number that `option` gives, which must be above 0.
+// Parses the value of `option`, which must be a number above 0.
 leaf::result<int64_t> PositiveNumber(const Arguments& args,
                                      const std::string& option) {
   const std::string text = args.at(option).asString();
@@ -367,11 +367,11 @@
   } else {
     std::cout << digest.Table();
   }
-  // Broken lines change no figure but by their absence.
+  // Invalid lines are skipped and do not change the exit code.
   std::cerr << digest.findings().ToString();
   if (digest.dropped_lines() > 0) {
     std::cerr << digest.dropped_lines()
-              << " lines were left out by the boxes.\n";
+              << " lines were dropped by the boxes.\n";
   }
   return kDone;
 }
--- a/pinford/policy.cc
+++ b/pinford/policy.cc
@@ -1,7 +1,7 @@
-// Method: everything that may raise a Lua error, building the arguments
-// included, runs inside one protected call. Such an error leaves by longjmp,
-// so the C functions here hold no C++ object with a destructor across a Lua
-// call that may raise: they work on a Job that the caller owns.
+// Everything that may raise a Lua error, including building the arguments, runs
+// inside one protected call. Lua raises errors with longjmp, so the C functions
+// here must not hold C++ objects with destructors across Lua calls that may
+// raise. They work on an Invocation that the caller owns.
 
 #include "pinford/policy.h"
 
@@ -26,7 +26,7 @@
 
 std::string_view TierName(Tier t) { return NameIn(kTierNames, t); }
 
-// Counts what a program holds and refuses what goes over the limit.
+// Tracks the memory used by a program and fails allocations over the limit.
 struct Policy::LimitedAllocator {
   size_t limit;
   size_t used = 0;
@@ -48,19 +48,19 @@
   }
 };
 
-// One call of a policy function. `push` puts the arguments on the stack and
-// returns their number; `take` reads the result, which is on top.
+// One call of a policy function. `push_arguments` pushes the arguments onto the
+// stack and returns their number; `read_result` reads the result from its top.
 struct Policy::Invocation {
   const char* function = nullptr;
   const void* in = nullptr;
   void* out = nullptr;
   int (*push_arguments)(lua_State* lua, const void* in) = nullptr;
   void (*read_result)(lua_State* lua, void* out) = nullptr;
-  bool defined = false;  // set if the program has the function
+  bool defined = false;  // whether the program has the function
 };
 
 static void StopAtLimit(lua_State* lua, lua_Debug*) {
-  luaL_error(lua, "the call runs for too many instructions");
+  luaL_error(lua, "the call ran too many instructions");
 }
 
 static int RunInvocation(lua_State* lua) {
@@ -87,7 +87,7 @@
   if (lua_ != nullptr) lua_close(lua_);
 }
 
-// Opens the parts of the standard library that cannot reach outside.
+// Opens the parts of the standard library that have no access to the system.
 static int OpenLibraries(lua_State* lua) {
   static const luaL_Reg kLibraries[] = {
       {LUA_GNAME, luaopen_base},
@@ -99,8 +99,8 @@
     luaL_requiref(lua, lib.name, lib.func, 1);
     lua_pop(lua, 1);
   }
-  // pcall and xpcall could swallow the instruction limit's error; the rest
-  // load code, write, or control the collector.
+  // pcall and xpcall could catch the error of the instruction limit; the others
+  // load code, write output or control the garbage collector.
   static const char* const kRemoved[] = {"dofile", "loadfile",       "load",
                                          "print",  "collectgarbage", "pcall",
                                          "xpcall", "warn",           "require"};
@@ -120,7 +120,7 @@
 
 static std::string ErrorText(lua_State* lua) {
   const char* text = lua_tostring(lua, -1);
-  return text != nullptr ? text : "an error without a text";
+  return text != nullptr ? text : "unknown error";
 }
 
 bool Policy::Run(Invocation* invocation) {
@@ -137,7 +137,7 @@
   return ok;
 }
 
-// --- tables in and out -----------------------------------------------------
+// --- conversion to and from tables -----------------------------------------
 
 static void SetText(lua_State* lua, const char* key, const std::string& v) {
   lua_pushlstring(lua, v.data(), v.size());
@@ -149,12 +149,13 @@
   lua_setfield(lua, -2, key);
 }
 
-// Reads a field of the result; the wrong type is an error that names it.
+// Reads a field of the result. A wrong type raises an error with the field's
+// name.
 static const char* TextField(lua_State* lua, const char* key) {
   const int type = lua_getfield(lua, -1, key);
   if (type == LUA_TNIL) return nullptr;
   if (type != LUA_TSTRING) luaL_error(lua, "%s must be a string", key);
-  return lua_tostring(lua, -1);  // stays on the stack, so it stays valid
+  return lua_tostring(lua, -1);  // valid as long as it is on the stack
 }
 
 static bool NumberField(lua_State* lua, const char* key, double low,
@@ -262,7 +263,7 @@
   return 3;
 }
 
-// Reads a table of hall -> number from 0 to `most`.
+// Reads a table of hall -> number from 0 to `max_value`.
 template <typename Number>
 static void ReadHalls(lua_State* lua, void* out, const char* function,
                       double max_value) {
@@ -293,7 +294,7 @@
   ReadHalls<int>(lua, out, "placement", kMaxReplicas);
 }
 
-// --- the functions ---------------------------------------------------------
+// --- policy functions ------------------------------------------------------
 
 RequestClass Policy::Classify(const RequestFacts& facts) {
   RequestClass out;
@@ -305,7 +306,7 @@
   const bool fallback = facts.method == "GET";
   bool out = fallback;
   Invocation invocation{"repeatable", &facts, &out, PushCall, ReadBool};
-  // A failing rule must not lead to a second run: the safe answer is no.
+  // If the policy fails, the call must not be run twice: default to false.
   if (!Run(&invocation)) return false;
   return invocation.defined ? out : fallback;
 }
@@ -332,7 +333,7 @@
 
 // --- loading ---------------------------------------------------------------
 
-// Turns "FILE:LINE: text" into a finding; other texts get `file` and no line.
+// Converts "FILE:LINE: text" to a finding. Other texts get `file` and no line.
 static void AddLuaError(const std::string& text, const std::string& file,
                         Findings* findings) {
   const std::string prefix = file + ":";
@@ -353,7 +354,8 @@
     lua_settop(lua_, 0);
     const std::string chunk = "@" + file.name;
     lua_sethook(lua_, StopAtLimit, LUA_MASKCOUNT, options_.max_instructions);
-    // "t": source text only. Compiled chunks can break the interpreter.
+    // "t" only accepts source text. Malicious bytecode can crash the
+    // interpreter.
     const bool ok =
         luaL_loadbufferx(lua_, file.source.data(), file.source.size(),
                          chunk.c_str(), "t") == LUA_OK &&
@@ -364,7 +366,7 @@
 }
 
 void Policy::TrySamples(const std::string& file, Findings* findings) {
-  // Inputs at the edges: empty, ordinary and large, through a whole day.
+  // Empty, ordinary and large inputs, over a whole day.
   std::vector<std::function<void()>> samples;
   for (double hour : {0.0, 6.5, 12.0, 18.75, 23.99}) {
     for (int size : {0, 200, 100000}) {
@@ -410,12 +412,12 @@
                                      Findings* findings) {
   std::unique_ptr<Policy> policy(new Policy(options));
   if (!policy->Open()) {
-    findings->Add("policy", 0, "no memory for the policy's interpreter");
+    findings->Add("policy", 0, "not enough memory for the Lua interpreter");
     return nullptr;
   }
   Findings own;
   policy->LoadFiles(files, &own);
-  // Samples of a program that did not load would repeat its errors.
+  // If loading failed, the samples would only repeat its errors.
   if (own.empty()) {
     policy->TrySamples(files.empty() ? "policy" : files.back().name, &own);
   }
--- a/pinford/policy.h
+++ b/pinford/policy.h
@@ -1,19 +1,19 @@
-// Operators' policy programs, in Lua 5.4.
+// Policies: operators' programs in Lua 5.4.
 //
-// A policy is one or more Lua files. They define functions that pinford calls
-// with plain tables and whose results are plain tables:
+// A policy is one or more Lua files that define functions. pinford calls them
+// with plain tables, and they return plain tables:
 //
-//   classify(request)          how a completion is treated (RequestClass)
-//   repeatable(call)           whether a plain call may be sent twice
-//   share(pool, halls, hour)   how a model's load is split over halls
-//   placement(pool, halls, hour)   how many replicas each hall should hold
+//   classify(request)              the class of a completion (RequestClass)
+//   repeatable(call)               whether a plain call may be sent twice
+//   share(pool, halls, hour)       how a model's load is split between halls
+//   placement(pool, halls, hour)   how many replicas each hall should have
 //
-// Each is optional; a missing one means the documented default. A program has
-// no io, os, load, require or debug, so it can reach nothing but its inputs.
-// Every call is bounded in instructions and memory. A call that fails gives
-// the default for that request, is counted, and its text is kept for the
-// operator. Lua was chosen over a language of pinford's own: operators get
-// loops, functions and a manual, and the project gets no parser to maintain.
+// Each function is optional and has a documented default. Programs have no io,
+// os, load, require or debug, so they can only access their inputs. Each call
+// is limited in instructions, and the program in memory. If a call fails, the
+// default is used, the failure is counted, and its message is kept for the
+// operator. Lua was chosen over a custom language: it gives operators loops,
+// functions and a manual, and leaves the project no parser to maintain.
 
 #ifndef PINFORD_POLICY_H_
 #define PINFORD_POLICY_H_
@@ -32,36 +32,35 @@
 
 namespace pinford {
 
-// Most urgent first. The number of tiers follows the measurement in
-// docs/MEASUREMENTS.md.
+// Most urgent first. The number of tiers is based on docs/MEASUREMENTS.md.
 enum class Tier { kCritical, kHigh, kStandard, kBackground };
 inline constexpr int kTierCount = 4;
 
 std::string_view TierName(Tier t);
 
-// What a policy sees of a completion.
+// The input of classify().
 struct RequestFacts {
   std::string customer;
   std::string model;
-  std::string kind;  // the X-Kind header, free for callers to use
+  std::string kind;  // the X-Kind header, which callers choose freely
   int prompt_bytes = 0;
   int max_tokens = 0;
-  double hour = 0;   // of the day in the box's time zone, 0 to 24
+  double hour = 0;   // of the day, in the box's time zone, 0 to 24
   int priority = 5;  // of a forwarded request; 0 is the most urgent
 };
 
-// How a completion is treated. The values here are the defaults.
+// The result of classify(). The initial values are the defaults.
 struct RequestClass {
   Tier tier = Tier::kStandard;
-  double weight = 1;    // of the customer's share inside the tier
-  std::string group;    // customers of one group share one weight; or ""
-  std::string model;    // "" keeps the caller's
-  std::string version;  // "" means the newest that is whole
+  double weight = 1;    // of the customer's share within the tier
+  std::string group;    // if not "", the group's customers share one weight
+  std::string model;    // "" keeps the requested model
+  std::string version;  // "" means the newest complete version
   Duration deadline = seconds(30);  // for the first token
-  bool refuse = false;              // answer not_run at once
+  bool refuse = false;              // refuse immediately, with not_run
 };
 
-// What a policy sees of a plain call.
+// The input of repeatable().
 struct CallFacts {
   std::string customer;
   std::string service;
@@ -69,13 +68,14 @@
   std::string path;
 };
 
-// Demand and capacity of one hall for a model, as share() sees them.
+// Demand for a model and its capacity in one hall: input of share() and
+// placement().
 struct HallDemand {
   double demand = 0;    // streams wanted
-  double capacity = 0;  // streams its endpoints can hold
+  double capacity = 0;  // streams its endpoints can serve
 };
 
-// One file of a policy.
+// A source file of a policy.
 struct PolicyFile {
   std::string name;
   std::string source;
@@ -85,12 +85,12 @@
 class Policy {
  public:
   struct Options {
-    int max_instructions = 200000;  // a call
-    size_t max_bytes = 8 << 20;     // of the program's memory, in all
+    int max_instructions = 200000;  // per call
+    size_t max_bytes = 8 << 20;     // of the program's memory, in total
   };
 
-  // Compiles and runs the files' top level, and tries each function on sample
-  // inputs. Null, with all findings added, if anything is wrong.
+  // Compiles the files, runs their top level and calls each function with
+  // sample inputs. Returns null, with all findings added, if anything fails.
   static std::unique_ptr<Policy> Load(const std::vector<PolicyFile>& files,
                                       const Options& options,
                                       Findings* findings);
@@ -99,22 +99,23 @@
   Policy& operator=(const Policy&) = delete;
 
   RequestClass Classify(const RequestFacts& facts);
-  // By default GET calls are repeatable and all others are not.
+  // Whether a call may be sent twice. By default only GET calls may.
   bool Repeatable(const CallFacts& facts);
-  // Weight of each hall; a hall that is missing has weight 1.
+  // Returns the weight of each hall. Halls that are missing have weight 1.
   std::map<std::string, double> Share(
       const std::string& pool, const std::map<std::string, HallDemand>& halls,
       double hour);
-  // Replicas wanted in each hall; empty when the policy says nothing.
+  // Returns the desired replicas in each hall; empty if the policy has no
+  // placement().
   std::map<std::string, int> Placement(
       const std::string& pool, const std::map<std::string, HallDemand>& halls,
       double hour);
 
-  // Calls that failed, and the text of the last.
+  // The number of failed calls and the message of the last.
   int64_t errors() const { return errors_; }
   const std::string& last_error() const { return last_error_; }
 
-  // Of the implementation.
+  // Implementation details.
   struct LimitedAllocator;
   struct Invocation;
 
@@ -123,7 +124,8 @@
   bool Open();
   void LoadFiles(const std::vector<PolicyFile>& files, Findings* findings);
   void TrySamples(const std::string& file, Findings* findings);
-  // Runs `job` under the limits. False, with last_error_ set, on an error.
+  // Runs `invocation` within the limits. Returns false and sets last_error_ if
+  // it fails.
   bool Run(Invocation* invocation);
 
   Options options_;
--- a/pinford/settings.cc
+++ b/pinford/settings.cc
@@ -1,6 +1,6 @@
-// One table has a row for each key: its path, whether it must be there, and
-// how its text is taken. The file is walked against the table, so that a key
-// cannot be read and yet be unknown to the check.
+// A single table has a row for each key: its path, whether it is required, and
+// how its value is parsed. The file is checked against the same table, so that
+// every key that is read is also known to the validation.
 
 #include "pinford/settings.h"
 
@@ -15,7 +15,7 @@
 
 namespace pinford {
 
-// Takes a scalar's text. Returns what is wrong with it, or "".
+// Parses a scalar's text into the settings. Returns an error, or "".
 using ValueParser = std::function<std::string(const std::string&, Settings*)>;
 
 struct Key {
@@ -81,8 +81,8 @@
   };
 }
 
-// The number that a text begins with, and what follows it. Nothing without one,
-// or for one that is not finite.
+// Parses the number at the start of `text` and sets `rest` to what follows.
+// Returns nullopt if there is none or it is not finite.
 static std::optional<double> ParseLeadingNumber(std::string_view text,
                                                 std::string_view* rest) {
   double v = 0;
@@ -108,7 +108,7 @@
 
 static constexpr double kMillisPerSecond = 1000;
 
-// A number of milliseconds, or of what its unit says: "1500", "1.5 s".
+// Parses a duration in milliseconds, with an optional unit: "1500", "1.5 s".
 static std::optional<double> ParseMillis(const std::string& text) {
   std::string_view unit;
   const std::optional<double> v = ParseLeadingNumber(text, &unit);
@@ -220,7 +220,7 @@
 
 namespace {
 
-// Walks one file against the table.
+// Validates a file against the table and fills in the settings.
 class Checker {
  public:
   Checker(std::string_view file, Settings* settings, Findings* findings)
@@ -247,7 +247,7 @@
     }
   }
 
-  // A box cannot listen twice in one place, nor on the store's address.
+  // A box cannot listen twice on one address, nor on the store's.
   void CheckAddressConflicts() {
     const std::pair<const char*, const Address*> addresses[] = {
         {"listen.callers", &settings_->callers},
--- a/pinford/settings.h
+++ b/pinford/settings.h
@@ -1,8 +1,8 @@
-// A box's settings, read from one YAML file.
+// Settings of a box, read from a YAML file.
 //
-// The file is checked whole: unknown keys, wrong types, values out of range
-// and addresses that clash are all reported, each with its line. Nothing
-// starts on a file with a finding. docs/OPERATIONS.md lists every key.
+// The whole file is validated: unknown keys, wrong types, values out of range
+// and conflicting addresses are all reported with their lines. A box does not
+// start with an invalid file. docs/OPERATIONS.md lists all keys.
 
 #ifndef PINFORD_SETTINGS_H_
 #define PINFORD_SETTINGS_H_
@@ -27,12 +27,12 @@
   Address callers;    // HTTP for callers
   Address operators;  // HTTP for operators, metrics and health
   Address peers;      // UDP and TCP for the other boxes
-  // HTTP for the balancer's question whether the box is ready, apart from the
-  // operators' address; port 0 without one. Only of a forwarding box.
+  // HTTP for the load balancer's readiness checks, separate from the operators'
+  // address. Port 0 if there is none. Forwarding boxes only.
   Address ready;
 
   std::string operator_key;  // bearer key
-  std::string peer_key;      // of the boxes' own interface
+  std::string peer_key;      // authenticates messages between boxes
 
   Address store;  // the platform's key-value service
   std::vector<Address> seeds;
@@ -42,41 +42,41 @@
 
   int max_body_bytes = 1 << 20;
   int max_header_bytes = 16 << 10;
-  Duration idle_timeout = seconds(60);  // of a silent caller
-  int max_waiting = 2000;               // requests that wait for a start
-  int max_waiting_bytes = 64 << 20;     // of their prompts, in all
-  int max_unsent_bytes = 256 << 10;     // of one slow caller
-  int max_tokens = 4096;                // of one answer
-  int journal_bytes = 1 << 20;          // of one answer, for repairs
-  Duration call_timeout = seconds(10);  // of one plain call
+  Duration idle_timeout = seconds(60);  // of a caller's connection
+  int max_waiting = 2000;               // queued requests
+  int max_waiting_bytes = 64 << 20;     // total size of their prompts
+  int max_unsent_bytes = 256 << 10;     // per caller
+  int max_tokens = 4096;                // per completion
+  int journal_bytes = 1 << 20;          // per completion, for recovery
+  Duration call_timeout = seconds(10);  // of a plain call
 
   Duration stop_listening_after = seconds(3);  // after SIGTERM
   Duration stop_at_latest = seconds(600);
 
-  Duration report_interval = milliseconds(500);  // of asking for loads
+  Duration report_interval = milliseconds(500);  // of load polls
   int gossip_bytes_per_second = 1000;
   Duration load_spacing = seconds(10);  // between orders to load weights
   int timeline_events = 20000;
-  int utc_offset_minutes = 0;  // of the hour that policies see
+  int utc_offset_minutes = 0;  // for the hour passed to policies
 
-  // --- of a forwarding box -------------------------------------------------
+  // --- forwarding boxes only -----------------------------------------------
 
-  // A policy file that is in force from the start; "" for none.
+  // A policy file to load at the start; "" for none.
   std::string policy_file;
-  // How old the proof may be that the configuration in force is the newest
-  // while a customer's key is still believed. 0: as old as it likes.
+  // Customers' keys are accepted only while the configuration in force is known
+  // to have been the newest within this time. 0 means no limit.
   Duration key_proof{};
-  // Bound on all boxes' retries to a service, in any window: a part of its
-  // requests, and a number.
+  // Limit on the retries to a service by all boxes in any window: retry_ratio
+  // times its requests, plus retry_extra.
   double retry_ratio = 0.2;
   double retry_extra = 100;
   Duration retry_window = seconds(10);
-  int max_connections = 3500;    // of callers
-  MechanismSwitches mechanisms;  // what is switched off for a measurement
+  int max_connections = 3500;    // from callers
+  MechanismSwitches mechanisms;  // switched off for measurements
 };
 
-// Settings from YAML text; `file` names it in findings. Nothing if there is
-// any finding.
+// Parses settings from YAML. `file` is the name used in findings. Returns
+// nullopt if there are any findings.
 std::optional<Settings> ParseSettings(std::string_view text,
                                       std::string_view file,
                                       Findings* findings);
