--- a/pinford/testing/event_loop_test.cc
+++ b/pinford/testing/event_loop_test.cc
@@ -10,12 +10,12 @@
 namespace pinford {
 namespace {
 
-// The kernel's coarse clock, which timers go by, is so much behind.
+// Maximum lag of the kernel's coarse clock, which libevent's timers use.
 constexpr Duration kClockGranularity = milliseconds(4);
 
 void BlockFor(Duration d) { std::this_thread::sleep_for(d); }
 
-// Bytes that come to the loop's process.
+// A pipe whose bytes the loop reads and counts.
 class Pipe {
  public:
   explicit Pipe(EventLoop* loop) {
@@ -37,9 +37,9 @@
   int ends_[2];
 };
 
-// A question to a runner that was put at the end of a long handler had run
-// out of time before it was sent: its limit counted from the handler's
-// beginning, so that boxes took runners for down each time they had read a
+// Guards against timeouts that start too early: a timer set at the end of a
+// long handler used to count from the handler's start. Probes timed out before
+// they were sent, and boxes considered runners down whenever they had read a
 // large configuration.
 TEST(EventLoop, TimerDelayStartsWhenScheduled) {
   EventLoop loop;
@@ -48,7 +48,7 @@
   Time ran;
   loop.After(Duration(0), [&] {
     BlockFor(milliseconds(80));
-    pipe.Send();  // else the loop sleeps as long as was asked for
+    pipe.Send();  // otherwise the loop sleeps for the full delay
     set = loop.now();
     loop.After(milliseconds(40), [&] {
       ran = loop.now();
@@ -59,8 +59,8 @@
   EXPECT_GE(ran - set, milliseconds(40) - kClockGranularity);
 }
 
-// A box that had been stopped looked at its streams before it had read what
-// their runners had sent, and took all of them for silent.
+// A box that had been stopped checked its streams before it had read what their
+// runners had sent meanwhile, and considered all of them idle.
 TEST(EventLoop, LateTimerRunsAfterPendingReads) {
   EventLoop loop;
   Pipe pipe(&loop);
@@ -99,7 +99,7 @@
   EXPECT_EQ(ran, (std::vector<int>{1, 2, 3, 4, 5}));
 }
 
-// As after a pause of a box with a stream on each of 200 connections.
+// As when a box with 200 streams on 200 connections resumes after a stop.
 TEST(EventLoop, ManySocketsAreReadBeforeALateTimer) {
   constexpr int kSockets = 200;
   EventLoop loop;
--- a/pinford/testing/examples_test.cc
+++ b/pinford/testing/examples_test.cc
@@ -1,4 +1,4 @@
-// The shipped policies do what their users asked for.
+// Checks that the example policies meet their users' requirements.
 
 #include <gtest/gtest.h>
 
@@ -65,7 +65,7 @@
   for (const char* method : {"POST", "PUT", "DELETE"}) {
     EXPECT_FALSE(policy->Repeatable({"c", "bookings", method, "/tables"}));
   }
-  // Quiet hours draw the load together; meals and demand spread it.
+  // Load is concentrated in quiet hours, and spread at meals or high demand.
   const std::map<std::string, HallDemand> quiet = {{"a", {1, 10}},
                                                    {"b", {1, 20}}};
   EXPECT_EQ(policy->Share("m", quiet, 3)["b"], 4);
--- a/pinford/testing/http_client_test.cc
+++ b/pinford/testing/http_client_test.cc
@@ -1,5 +1,6 @@
-// What may be said of a call that got no answer: the ground on which "not
-// run" stands. A server of raw sockets cuts each exchange at each place.
+// Checks which transport result a call without a response gets, on which the
+// outcome "not run" depends. A raw socket server closes connections at each
+// point of an exchange.
 
 #include "pinford/http_client.h"
 
@@ -22,8 +23,8 @@
     "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: "
     "5\r\n\r\nhello";
 
-// Takes connections one after the other. Reads a request if `reads`, sends
-// `reply`, then closes, or stays silent until it is stopped.
+// Accepts connections one at a time. Reads a request if `reads`, sends `reply`,
+// then closes the connection if `closes` or sends nothing more until destroyed.
 class RawServer {
  public:
   RawServer(bool reads, std::string reply, bool closes)
@@ -118,7 +119,7 @@
        false, Transport::kTimeout},
       {"whole", true, complete_reply, true, Transport::kOk},
   };
-  // Cut after each byte of the reply.
+  // Truncated after each of the first 20 bytes, then after every 7th byte.
   for (size_t n = 1; n < complete_reply.size(); n += n < 20 ? 1 : 7) {
     cases.push_back({"cut after " + std::to_string(n), true,
                      complete_reply.substr(0, n), true, Transport::kLost});
@@ -134,7 +135,7 @@
       if (c.transport == Transport::kOk) {
         EXPECT_EQ(r.body, "hello");
       } else {
-        EXPECT_EQ(r.status, 0) << "a reply that is not whole is none";
+        EXPECT_EQ(r.status, 0) << "an incomplete reply must not be reported";
       }
       EXPECT_LE(server.requests(), 1) << "sent twice";
     }
@@ -151,8 +152,8 @@
   }
 }
 
-// A kept connection that the other side has closed meanwhile: the call may be
-// told lost or be sent anew on a connection of its own, but never twice.
+// The server has closed the kept-alive connection meanwhile: the call may be
+// reported as lost or be sent on a new connection, but never be sent twice.
 TEST(HttpClient, AKeptConnectionIsNeverUsedToSendTwice) {
   EventLoop loop;
   HttpClient http(&loop, HttpClient::Options());
@@ -171,9 +172,9 @@
   EXPECT_GT(answered, 0);
 }
 
-// A runner that was asked counted as down: the box was busy for longer than the
-// question's limit before it wrote the question. Only the box's own delay is
-// made up for: a silent server is told of as soon as before.
+// A box that was busy for longer than a probe's timeout before it wrote the
+// probe considered the runner down. The timeout is extended only by the box's
+// own delay: without one, an unresponsive server is reported as soon as before.
 TEST(HttpClient, TimeoutExcludesOwnSchedulingDelay) {
   constexpr Duration kLimit = milliseconds(50);
   constexpr Duration kSlack = milliseconds(20);  // of timers and threads
@@ -210,7 +211,7 @@
     loop.Run();
     EXPECT_EQ(result.transport, c.transport) << TransportName(result.transport);
     EXPECT_GE(completed_at - sent, c.at_least) << c.answers;
-    // The machine may hold this test up, too.
+    // The machine may delay this test, too.
     const Duration loop_delay = loop.delays().LongestSince(sent);
     EXPECT_LE(completed_at - sent, kLimit + 2 * loop_delay + kSlack)
         << c.answers;
@@ -235,8 +236,8 @@
   EXPECT_EQ(http.in_progress(), 0u);
 }
 
-// Each call once took a whole block of ports: a few tests with many fixtures
-// beside each other left none for the others.
+// Each call used to reserve a whole block of ports, so that a few tests with
+// many fixtures running in parallel left none for the others.
 TEST(FreePorts, ManyCallsUseUpFewBlocks) {
   std::set<int> all;
   for (int i = 0; i < 300; i++) {
--- a/pinford/testing/inputs_test.cc
+++ b/pinford/testing/inputs_test.cc
@@ -1,5 +1,5 @@
-// What comes from outside: settings, policies, bodies, datagrams. Tables of
-// good and bad input, and random bytes against every decoder.
+// External input: settings, policies, request bodies and datagrams. Tables of
+// valid and invalid inputs, and random bytes for every decoder.
 
 #include <gtest/gtest.h>
 
@@ -98,7 +98,7 @@
           << findings.list()[i].ToString();
     }
   }
-  // Missing keys and clashes.
+  // Missing keys and conflicting addresses.
   Findings findings;
   EXPECT_FALSE(
       ParseSettings("box: b\nlisten:\n  callers: 127.0.0.1:1\n"
@@ -153,14 +153,14 @@
     Findings findings;
     auto policy = Policy::Load({{"p.lua", c.source}}, {}, &findings);
     if (std::string(c.name) == "takes too much memory") {
-      EXPECT_EQ(policy, nullptr);  // one limit or the other ends it
+      EXPECT_EQ(policy, nullptr);  // either limit may stop it
       continue;
     }
     EXPECT_EQ(policy != nullptr, c.finding[0] == '\0');
     EXPECT_NE(findings.ToString().find(c.finding), std::string::npos)
         << findings.ToString();
   }
-  // All files' findings at once.
+  // The findings of all files are reported together.
   Findings findings;
   Policy::Load({{"a.lua", "x ="}, {"b.lua", "y ="}}, {}, &findings);
   EXPECT_EQ(findings.list().size(), 2u) << findings.ToString();
@@ -184,7 +184,7 @@
   EXPECT_EQ(policy->errors(), 1);
   EXPECT_TRUE(policy->Repeatable({"y", "s", "POST", "/"}));
   EXPECT_FALSE(policy->Repeatable({"x", "s", "GET", "/"}))
-      << "a rule that fails must not lead to a second run";
+      << "a call must not be run twice when the policy fails";
 }
 
 // --- bodies ----------------------------------------------------------------
@@ -247,7 +247,7 @@
     EXPECT_EQ(StepStatusOf(refusal.http_status, WriteError(refusal.code, "m"),
                            &message),
               s);
-    // Without its word, the same status leaves open what ran.
+    // Without the error code, the same status does not tell whether it ran.
     EXPECT_EQ(StepStatusOf(refusal.http_status, "", &message),
               StepStatus::kLost);
   }
@@ -295,15 +295,15 @@
   EXPECT_EQ(codec.DecodeRetryLoan(loan)->count, 2);
   EXPECT_FALSE(codec.DecodeRetryAsk(loan).has_value());
   EXPECT_FALSE(PeerCodec("other").DecodeRetryLoan(loan).has_value());
-  // Texts that are longer than a peer has reason to send.
+  // Texts longer than any peer sends.
   const std::string a(kMostAskFrom + 1, 'a');
   const std::string b(kMostAskService + 1, 'b');
   EXPECT_FALSE(codec.DecodeRetryAsk(codec.Encode(RetryAsk{7, a, "s", 3})));
   EXPECT_FALSE(codec.DecodeRetryAsk(codec.Encode(RetryAsk{7, "x", b, 3})));
 }
 
-// Bytes flipped, cut and made up, behind a good tag too: a peer of another
-// version must not harm a box.
+// Random changes and truncations of messages with a valid tag: a peer of
+// another version must not crash a box.
 TEST(PeerMessages, SurviveAnyBytes) {
   const PeerCodec codec("key");
   Random random(1);
@@ -324,7 +324,7 @@
       payload[random() % payload.size()] = static_cast<char>(random());
     }
     if (random() % 3 == 0) payload.resize(random() % payload.size() + 1);
-    // Sealed anew, so that decoding is reached.
+    // Sealed again, so that decoding is reached.
     const std::string bytes = codec.Seal(payload);
     decoded += codec.DecodeDigest(bytes).has_value();
     decoded += codec.DecodeFetchRequest(bytes).has_value();
--- a/pinford/testing/log_digest_test.cc
+++ b/pinford/testing/log_digest_test.cc
@@ -1,4 +1,4 @@
-// What the logs of several boxes say together.
+// Summaries and request traces from the logs of several boxes.
 
 #include "pinford/log_digest.h"
 
@@ -7,7 +7,7 @@
 namespace pinford {
 namespace {
 
-// A line of box `box`, `ms` after the first second of a day.
+// Returns a log line of `box`, `ms` after 00:00:01.
 std::string Line(const std::string& box, int ms, const std::string& event,
                  const std::string& fields) {
   char time[40];
@@ -100,7 +100,7 @@
     EXPECT_EQ(digest.findings().ToString().find("all.log:7: "), 0u) << bad;
     EXPECT_EQ(digest.Windows().size(), 2u) << bad;
   }
-  // A log that was cut in the middle of a line.
+  // A log truncated in the middle of a line.
   LogDigest cut{LogDigestOptions()};
   cut.Read(kFirstBox.substr(0, kFirstBox.size() - 20), "cut.log");
   EXPECT_EQ(cut.findings().list().size(), 1u);
--- a/pinford/testing/loop_delays_test.cc
+++ b/pinford/testing/loop_delays_test.cc
@@ -25,7 +25,7 @@
   EXPECT_EQ(delays.LongestSince(At(550)), Duration(0));
 }
 
-// Against all delays, kept without a bound.
+// Compares with a list of all delays, without a limit.
 TEST(LoopDelays, MatchesUnboundedHistory) {
   struct Delay {
     Time end;
--- a/pinford/testing/metrics_test.cc
+++ b/pinford/testing/metrics_test.cc
@@ -1,4 +1,4 @@
-// Histograms as they are shown, against counts by hand.
+// Compares exported histograms with directly computed counts.
 
 #include "pinford/metrics.h"
 
@@ -10,7 +10,7 @@
 namespace pinford {
 namespace {
 
-// The value of the line that begins with `series`, or -1.
+// Returns the value of the line that starts with `series`, or -1.
 double ValueOf(const std::string& text, const std::string& series) {
   std::istringstream lines(text);
   std::string line;
--- a/pinford/testing/util_test.cc
+++ b/pinford/testing/util_test.cc
@@ -1,4 +1,4 @@
-// Small helpers: text made smaller, and JSON from outside.
+// Tests of compression and JSON parsing.
 
 #include <gtest/gtest.h>
 
