--- a/pinford/http.h
+++ b/pinford/http.h
@@ -15,7 +15,7 @@
 // Compares header names, ignoring case.
 bool SameHeaderName(std::string_view a, std::string_view b);
 // Returns the value of the first header with that name, or "" if there is none.
-std::string_view HeaderIn(const HttpHeaders& headers, std::string_view name);
+std::string_view FindHeader(const HttpHeaders& headers, std::string_view name);
 
 enum class HttpMethod { kGet, kPost, kPut, kDelete, kOther };
 
--- a/pinford/policy.h
+++ b/pinford/policy.h
@@ -100,7 +100,7 @@
 
   RequestClass Classify(const RequestFacts& facts);
   // Whether a call may be sent twice. By default only GET calls may.
-  bool Repeatable(const CallFacts& facts);
+  bool IsIdempotent(const CallFacts& facts);
   // Returns the weight of each hall. Halls that are missing have weight 1.
   std::map<std::string, double> Share(
       const std::string& pool, const std::map<std::string, HallDemand>& halls,
--- a/pinford/settings.h
+++ b/pinford/settings.h
@@ -51,7 +51,7 @@
   Duration call_timeout = seconds(10);  // of a plain call
 
   Duration stop_listening_after = seconds(3);  // after SIGTERM
-  Duration stop_at_latest = seconds(600);
+  Duration stop_timeout = seconds(600);
 
   Duration report_interval = milliseconds(500);  // of load polls
   int gossip_bytes_per_second = 1000;
@@ -65,7 +65,7 @@
   std::string policy_file;
   // Customers' keys are accepted only while the configuration in force is known
   // to have been the newest within this time. 0 means no limit.
-  Duration key_proof{};
+  Duration max_key_staleness{};
   // Limit on the retries to a service by all boxes in any window: retry_ratio
   // times its requests, plus retry_extra.
   double retry_ratio = 0.2;
--- a/util/names.h
+++ b/util/enum_names.h
@@ -4,8 +4,8 @@
 // settings file) has one constant table of EnumName rows. Formatting and
 // parsing use the same table, so they cannot disagree.
 
-#ifndef UTIL_NAMES_H_
-#define UTIL_NAMES_H_
+#ifndef UTIL_ENUM_NAMES_H_
+#define UTIL_ENUM_NAMES_H_
 
 #include <cstddef>
 #include <optional>
@@ -40,4 +40,4 @@
 
 }  // namespace pinford
 
-#endif  // UTIL_NAMES_H_
+#endif  // UTIL_ENUM_NAMES_H_
--- a/util/held_signals.h
+++ b/util/signal_blocker.h
@@ -4,8 +4,8 @@
 // Signals that arrive while blocked are delivered on Unblock(), once for each
 // signal number. Threads started meanwhile inherit the mask and never get them.
 
-#ifndef UTIL_HELD_SIGNALS_H_
-#define UTIL_HELD_SIGNALS_H_
+#ifndef UTIL_SIGNAL_BLOCKER_H_
+#define UTIL_SIGNAL_BLOCKER_H_
 
 #include <signal.h>
 
@@ -31,4 +31,4 @@
 
 }  // namespace pinford
 
-#endif  // UTIL_HELD_SIGNALS_H_
+#endif  // UTIL_SIGNAL_BLOCKER_H_
