--- a/pinford/testing/inputs_test.cc
+++ b/pinford/testing/inputs_test.cc
@@ -327,7 +327,7 @@
       payload[random() % payload.size()] = static_cast<char>(random());
     }
     if (random() % 3 == 0) payload.resize(random() % payload.size() + 1);
-    // Sealed again, so that decoding is reached.
+    // Signed again, so that decoding is reached.
     const std::string bytes = codec.Sign(payload);
     decoded += codec.DecodeDigest(bytes).has_value();
     decoded += codec.DecodeFetchRequest(bytes).has_value();
