--- a/pinford/http_server.cc
+++ b/pinford/http_server.cc
@@ -1,7 +1,7 @@
-// Notes on libevhtp 1.2.18 that shape this file: a request belongs to its
-// connection and dies with it, announced only by the request-fini hook; that
-// hook also runs after an answer is complete. Hooks set on a connection run
-// before a request's own.
+// Behavior of libevhtp 1.2.18 that this file depends on: a request is owned by
+// its connection and freed with it, which only the request-fini hook reports;
+// that hook also runs after a complete response. Hooks of a connection run
+// before those of its requests.
 
 #include "pinford/http_server.h"
 
@@ -22,7 +22,7 @@
     R"({"error":{"code":"size","message":"the headers are too large"},)"
     R"("outcome":"not_run"})";
 
-// libevhtp takes every kind of hook as one function type and casts it back.
+// libevhtp takes hooks of all types as one function type and casts them back.
 template <typename F>
 static evhtp_hook Hook(F* fn) {
   return reinterpret_cast<evhtp_hook>(reinterpret_cast<void (*)()>(fn));
@@ -82,26 +82,26 @@
     const unsigned char* raw = request->uri->query_raw;
     if (raw != nullptr) query_text_ = reinterpret_cast<const char*>(raw);
   }
-  evhtp_request_set_hook(request, evhtp_hook_on_request_fini, Hook(RequestGone),
-                         this);
+  evhtp_request_set_hook(request, evhtp_hook_on_request_fini,
+                         Hook(OnRequestFreed), this);
 }
 
 HttpExchange::~HttpExchange() {
-  on_hang_up_ = nullptr;
-  // An exchange nobody will answer would leave its caller waiting.
+  on_disconnect_ = nullptr;
+  // Without a response, the caller would wait forever.
   if (open()) Abort();
 }
 
-uint16_t HttpExchange::RequestGone(evhtp_request_t*, void* arg) {
+uint16_t HttpExchange::OnRequestFreed(evhtp_request_t*, void* arg) {
   auto* exchange = static_cast<HttpExchange*>(arg);
   exchange->request_ = nullptr;
-  std::function<void()> fn = std::move(exchange->on_hang_up_);
-  exchange->on_hang_up_ = nullptr;
+  std::function<void()> fn = std::move(exchange->on_disconnect_);
+  exchange->on_disconnect_ = nullptr;
   if (fn) fn();
   return EVHTP_RES_OK;
 }
 
-// 0 means none.
+// 0 means no timeout.
 void HttpExchange::SetReadTimeout(Duration d) {
   evhtp_connection_t* connection = evhtp_request_get_connection(request_);
   const timeval read = TimevalOf(d);
@@ -114,14 +114,14 @@
   SetReadTimeout(idle_timeout_);
   evhtp_request_unset_hook(request_, evhtp_hook_on_request_fini);
   request_ = nullptr;
-  on_hang_up_ = nullptr;
+  on_disconnect_ = nullptr;
 }
 
 std::string HttpExchange::header(const char* name) const {
   return Find(headers_, name);
 }
 
-// libevhtp leaves a query as it was sent.
+// libevhtp does not decode the query.
 std::string HttpExchange::query(const char* name) const {
   size_t n = 0;
   char* decoded = evhttp_uridecode(Find(query_, name).c_str(), 1, &n);
@@ -183,8 +183,8 @@
   evhtp_connection_t* connection = evhtp_request_get_connection(request_);
   bufferevent* bev = evhtp_connection_get_bev(connection);
   Detach();
-  // libevhtp may be at work on the connection further up the stack, so it is
-  // not freed here: it ends by itself once it sees that the socket is shut.
+  // libevhtp may be using the connection further up the stack, so it is not
+  // freed here. libevhtp closes it when it sees that the socket is shut down.
   shutdown(bufferevent_getfd(bev), SHUT_RDWR);
 }
 
@@ -195,18 +195,18 @@
   return evbuffer_get_length(bufferevent_get_output(bev));
 }
 
-// Counts what one connection's current request takes, and throws away what is
-// beyond the limits. The refusal itself waits for the request's end, since a
-// reply sent ahead of it would be lost when the connection closes on unread
-// bytes; a sender that goes on for too long is cut.
+// Counts the bytes of a connection's current request and discards body data
+// over the limits. The refusal is sent only at the end of the request: an
+// earlier reply would be lost when the connection closes with unread data. A
+// request that exceeds a limit by kAbortFactor is aborted.
 struct HttpServer::Connection {
   HttpServer* server;
   size_t header_bytes = 0;
   size_t body_bytes = 0;
 
-  static constexpr size_t kCutFactor = 16;
+  static constexpr size_t kAbortFactor = 16;
 
-  // The status that refuses the request, or 0.
+  // The status with which the request is refused, or 0.
   int Refusal() const {
     if (header_bytes > server->options_.max_header_bytes) return 431;
     if (body_bytes > server->options_.max_body_bytes) return 413;
@@ -223,21 +223,24 @@
                             void* arg) {
     auto* connection = static_cast<Connection*>(arg);
     connection->header_bytes += header->klen + header->vlen;
-    const size_t cut =
-        connection->server->options_.max_header_bytes * kCutFactor;
-    return connection->header_bytes > cut ? EVHTP_RES_ERROR : EVHTP_RES_OK;
+    const size_t abort_threshold =
+        connection->server->options_.max_header_bytes * kAbortFactor;
+    return connection->header_bytes > abort_threshold ? EVHTP_RES_ERROR
+                                                      : EVHTP_RES_OK;
   }
 
-  static evhtp_res OnBody(evhtp_request_t*, evbuffer* piece, void* arg) {
+  static evhtp_res OnBody(evhtp_request_t*, evbuffer* chunk, void* arg) {
     auto* connection = static_cast<Connection*>(arg);
-    connection->body_bytes += evbuffer_get_length(piece);
+    connection->body_bytes += evbuffer_get_length(chunk);
     if (connection->Refusal() == 0) return EVHTP_RES_OK;
-    evbuffer_drain(piece, evbuffer_get_length(piece));
-    const size_t cut = connection->server->options_.max_body_bytes * kCutFactor;
-    return connection->body_bytes > cut ? EVHTP_RES_ERROR : EVHTP_RES_OK;
+    evbuffer_drain(chunk, evbuffer_get_length(chunk));
+    const size_t abort_threshold =
+        connection->server->options_.max_body_bytes * kAbortFactor;
+    return connection->body_bytes > abort_threshold ? EVHTP_RES_ERROR
+                                                    : EVHTP_RES_OK;
   }
 
-  static evhtp_res OnGone(evhtp_connection_t* c, void* arg) {
+  static evhtp_res OnConnectionClosed(evhtp_connection_t* c, void* arg) {
     auto* connection = static_cast<Connection*>(arg);
     connection->server->connections_.erase(c);
     return EVHTP_RES_OK;
@@ -287,7 +290,7 @@
       {evhtp_hook_on_headers_start, Hook(Connection::OnHeadersStart)},
       {evhtp_hook_on_header, Hook(Connection::OnHeader)},
       {evhtp_hook_on_read, Hook(Connection::OnBody)},
-      {evhtp_hook_on_connection_fini, Hook(Connection::OnGone)},
+      {evhtp_hook_on_connection_fini, Hook(Connection::OnConnectionClosed)},
   };
   for (const auto& h : hooks) {
     evhtp_connection_set_hook(c, h.type, h.hook, state);
--- a/pinford/log.cc
+++ b/pinford/log.cc
@@ -37,7 +37,7 @@
 
 static LogFormat log_format = LogFormat::kText;
 
-// JSON text of a string; bytes that are not UTF-8 are replaced.
+// Returns `text` as a JSON string, replacing invalid UTF-8.
 static std::string Quoted(std::string_view text) {
   return nlohmann::json(std::string(text))
       .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -45,21 +45,21 @@
 
 namespace {
 
-// Holds lines until the other side takes them, up to a bound.
+// Buffers lines, up to a limit, until the reader accepts them.
 class BoundedSink
     : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  // Writes only what does not block: a pipe that polls as writable takes
-  // PIPE_BUF bytes at once.
+  // Writes without blocking: a pipe that polls as writable accepts PIPE_BUF
+  // bytes.
   void Write() {
     lines_ = warnings_ = 0;
-    NoteLeftOut();
-    constexpr size_t kAtOnce = 4096;
+    LogDroppedLines();
+    constexpr size_t kMaxWriteBytes = 4096;
     size_t done = 0;
     while (done < buffer_.size()) {
       pollfd out{STDOUT_FILENO, POLLOUT, 0};
       if (poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) break;
-      const size_t n = std::min(kAtOnce, buffer_.size() - done);
+      const size_t n = std::min(kMaxWriteBytes, buffer_.size() - done);
       const ssize_t written = write(STDOUT_FILENO, buffer_.data() + done, n);
       if (written <= 0) break;
       done += static_cast<size_t>(written);
@@ -69,14 +69,14 @@
 
  protected:
   void sink_it_(const spdlog::details::log_msg& msg) override {
-    if (!CountLine(msg.level)) {
-      left_out_++;
+    if (!AdmitLine(msg.level)) {
+      dropped_lines_++;
       return;
     }
     spdlog::memory_buf_t line;
     formatter_->format(msg, line);
-    if (buffer_.size() + line.size() > kMostLogBytes) {
-      left_out_++;
+    if (buffer_.size() + line.size() > kMaxLogBytes) {
+      dropped_lines_++;
       return;
     }
     buffer_.append(line.data(), line.size());
@@ -85,19 +85,20 @@
   void flush_() override { Write(); }
 
  private:
-  // Counts a line if one more of its level may be written before the flush.
-  bool CountLine(spdlog::level::level_enum level) {
+  // Returns whether another line of this level may be logged before the next
+  // flush, and counts it if so.
+  bool AdmitLine(spdlog::level::level_enum level) {
     if (level >= spdlog::level::err) return true;
     const bool warning = level == spdlog::level::warn;
     int& lines = warning ? warnings_ : lines_;
-    if (lines >= (warning ? kMostLogWarnings : kMostLogLines)) return false;
+    if (lines >= (warning ? kMaxLogWarnings : kMaxLogLines)) return false;
     lines++;
     return true;
   }
 
-  void NoteLeftOut() {
-    if (left_out_ == 0) return;
-    const int64_t n = std::exchange(left_out_, 0);
+  void LogDroppedLines() {
+    if (dropped_lines_ == 0) return;
+    const int64_t n = std::exchange(dropped_lines_, 0);
     LogEvent(LogPart::kBox, LogLevel::kWarn, "log_lines_left_out",
              LogFields().Add("lines", n));
   }
@@ -105,7 +106,7 @@
   std::string buffer_;
   int lines_ = 0;  // below warnings, since the last flush
   int warnings_ = 0;
-  int64_t left_out_ = 0;
+  int64_t dropped_lines_ = 0;
 };
 
 }  // namespace
@@ -160,7 +161,7 @@
   auto logger = std::make_shared<spdlog::logger>(
       std::string(box), std::make_shared<BoundedSink>());
   logger->set_level(LevelOf(level));
-  // What may be the last line is written at once.
+  // An error may be the last line before an exit, so write it immediately.
   logger->flush_on(spdlog::level::err);
   if (format == LogFormat::kJson) {
     logger->set_pattern(
--- a/pinford/policy.cc
+++ b/pinford/policy.cc
@@ -1,7 +1,7 @@
-// Method: everything that may raise a Lua error, building the arguments
-// included, runs inside one protected call. Such an error leaves by longjmp,
-// so the C functions here hold no C++ object with a destructor across a Lua
-// call that may raise: they work on a Job that the caller owns.
+// Everything that may raise a Lua error, including building the arguments, runs
+// inside one protected call. Lua raises errors with longjmp, so the C functions
+// here must not hold C++ objects with destructors across Lua calls that may
+// raise. They work on an Invocation that the caller owns.
 
 #include "pinford/policy.h"
 
@@ -26,67 +26,68 @@
 
 std::string_view TierName(Tier t) { return NameIn(kTierNames, t); }
 
-// Counts what a program holds and refuses what goes over the limit.
-struct Policy::Memory {
+// Tracks the memory used by a program and fails allocations over the limit.
+struct Policy::LimitedAllocator {
   size_t limit;
   size_t used = 0;
 
   static void* Allocate(void* ud, void* block, size_t old_size,
                         size_t new_size) {
-    auto* memory = static_cast<Memory*>(ud);
-    const size_t held = block != nullptr ? old_size : 0;
+    auto* allocator = static_cast<LimitedAllocator*>(ud);
+    const size_t previous = block != nullptr ? old_size : 0;
     if (new_size == 0) {
-      memory->used -= held;
+      allocator->used -= previous;
       free(block);
       return nullptr;
     }
-    if (memory->used - held + new_size > memory->limit) return nullptr;
+    if (allocator->used - previous + new_size > allocator->limit)
+      return nullptr;
     void* p = realloc(block, new_size);
-    if (p != nullptr) memory->used += new_size - held;
+    if (p != nullptr) allocator->used += new_size - previous;
     return p;
   }
 };
 
-// One call of a policy function. `push` puts the arguments on the stack and
-// returns their number; `take` reads the result, which is on top.
-struct Policy::Job {
+// One call of a policy function. `push_arguments` pushes the arguments onto the
+// stack and returns their number; `read_result` reads the result from its top.
+struct Policy::Invocation {
   const char* function = nullptr;
   const void* in = nullptr;
   void* out = nullptr;
-  int (*push)(lua_State* lua, const void* in) = nullptr;
-  void (*take)(lua_State* lua, void* out) = nullptr;
-  bool defined = false;  // set if the program has the function
+  int (*push_arguments)(lua_State* lua, const void* in) = nullptr;
+  void (*read_result)(lua_State* lua, void* out) = nullptr;
+  bool defined = false;  // whether the program has the function
 };
 
 static void StopAtLimit(lua_State* lua, lua_Debug*) {
-  luaL_error(lua, "the call runs for too many instructions");
+  luaL_error(lua, "the call ran too many instructions");
 }
 
-static int RunJob(lua_State* lua) {
-  auto* job = static_cast<Policy::Job*>(lua_touserdata(lua, 1));
+static int RunInvocation(lua_State* lua) {
+  auto* invocation = static_cast<Policy::Invocation*>(lua_touserdata(lua, 1));
   lua_settop(lua, 0);
-  lua_getglobal(lua, job->function);
+  lua_getglobal(lua, invocation->function);
   if (lua_isnil(lua, -1)) return 0;
-  job->defined = true;
+  invocation->defined = true;
   if (!lua_isfunction(lua, -1)) {
-    return luaL_error(lua, "%s is not a function", job->function);
+    return luaL_error(lua, "%s is not a function", invocation->function);
   }
-  const int arguments = job->push(lua, job->in);
+  const int arguments = invocation->push_arguments(lua, invocation->in);
   lua_call(lua, arguments, 1);
-  job->take(lua, job->out);
+  invocation->read_result(lua, invocation->out);
   return 0;
 }
 
 Policy::Policy(const Options& options)
-    : options_(options), memory_(std::make_unique<Memory>()) {
-  memory_->limit = options.max_bytes;
+    : options_(options), allocator_(std::make_unique<LimitedAllocator>()) {
+  allocator_->limit = options.max_bytes;
 }
 
 Policy::~Policy() {
   if (lua_ != nullptr) lua_close(lua_);
 }
 
-// Opens the parts of the standard library that cannot reach outside.
+// Opens the parts of the standard library that have no access to the system.
 static int OpenLibraries(lua_State* lua) {
   static const luaL_Reg kLibraries[] = {
       {LUA_GNAME, luaopen_base},
@@ -98,8 +99,8 @@
     luaL_requiref(lua, lib.name, lib.func, 1);
     lua_pop(lua, 1);
   }
-  // pcall and xpcall could swallow the instruction limit's error; the rest
-  // load code, write, or control the collector.
+  // pcall and xpcall could catch the error of the instruction limit; the others
+  // load code, write output or control the garbage collector.
   static const char* const kRemoved[] = {"dofile", "loadfile",       "load",
                                          "print",  "collectgarbage", "pcall",
                                          "xpcall", "warn",           "require"};
@@ -111,32 +112,32 @@
 }
 
 bool Policy::Open() {
-  lua_ = lua_newstate(Memory::Allocate, memory_.get());
+  lua_ = lua_newstate(LimitedAllocator::Allocate, allocator_.get());
   if (lua_ == nullptr) return false;
   lua_pushcfunction(lua_, OpenLibraries);
   return lua_pcall(lua_, 0, 0, 0) == LUA_OK;
 }
 
-static std::string TopText(lua_State* lua) {
+static std::string ErrorText(lua_State* lua) {
   const char* text = lua_tostring(lua, -1);
-  return text != nullptr ? text : "an error without a text";
+  return text != nullptr ? text : "unknown error";
 }
 
-bool Policy::Run(Job* job) {
+bool Policy::Run(Invocation* invocation) {
   lua_settop(lua_, 0);
   lua_sethook(lua_, StopAtLimit, LUA_MASKCOUNT, options_.max_instructions);
-  lua_pushcfunction(lua_, RunJob);
-  lua_pushlightuserdata(lua_, job);
+  lua_pushcfunction(lua_, RunInvocation);
+  lua_pushlightuserdata(lua_, invocation);
   const bool ok = lua_pcall(lua_, 1, 0, 0) == LUA_OK;
   if (!ok) {
     errors_++;
-    last_error_ = TopText(lua_);
+    last_error_ = ErrorText(lua_);
   }
   lua_settop(lua_, 0);
   return ok;
 }
 
-// --- tables in and out -----------------------------------------------------
+// --- conversion to and from tables -----------------------------------------
 
 static void SetText(lua_State* lua, const char* key, const std::string& v) {
   lua_pushlstring(lua, v.data(), v.size());
@@ -148,12 +149,13 @@
   lua_setfield(lua, -2, key);
 }
 
-// Reads a field of the result; the wrong type is an error that names it.
+// Reads a field of the result. A wrong type raises an error with the field's
+// name.
 static const char* TextField(lua_State* lua, const char* key) {
   const int type = lua_getfield(lua, -1, key);
   if (type == LUA_TNIL) return nullptr;
   if (type != LUA_TSTRING) luaL_error(lua, "%s must be a string", key);
-  return lua_tostring(lua, -1);  // stays on the stack, so it stays valid
+  return lua_tostring(lua, -1);  // valid as long as it is on the stack
 }
 
 static bool NumberField(lua_State* lua, const char* key, double low,
@@ -185,13 +187,13 @@
   return 1;
 }
 
-static void TakeTextField(lua_State* lua, const char* key, std::string* out) {
+static void ReadTextField(lua_State* lua, const char* key, std::string* out) {
   const char* text = TextField(lua, key);
   if (text != nullptr) *out = text;
   lua_pop(lua, 1);
 }
 
-static void TakeTier(lua_State* lua, Tier* out) {
+static void ReadTier(lua_State* lua, Tier* out) {
   const char* name = TextField(lua, "tier");
   if (name != nullptr) {
     const std::optional<Tier> tier = ValueIn(kTierNames, name);
@@ -205,16 +207,16 @@
   lua_pop(lua, 1);
 }
 
-static void TakeClass(lua_State* lua, void* out) {
+static void ReadClass(lua_State* lua, void* out) {
   auto* c = static_cast<RequestClass*>(out);
   if (!lua_istable(lua, -1)) luaL_error(lua, "classify must return a table");
   constexpr double kMaxWeight = 1e6;
   constexpr double kMaxDeadlineSeconds = 24 * 3600;
-  TakeTier(lua, &c->tier);
+  ReadTier(lua, &c->tier);
   NumberField(lua, "weight", 1e-6, kMaxWeight, &c->weight);
-  TakeTextField(lua, "group", &c->group);
-  TakeTextField(lua, "model", &c->model);
-  TakeTextField(lua, "version", &c->version);
+  ReadTextField(lua, "group", &c->group);
+  ReadTextField(lua, "model", &c->model);
+  ReadTextField(lua, "version", &c->version);
   double deadline = 0;
   if (NumberField(lua, "deadline", 0, kMaxDeadlineSeconds, &deadline)) {
     c->deadline = FromSeconds(deadline);
@@ -234,7 +236,7 @@
   return 1;
 }
 
-static void TakeBool(lua_State* lua, void* out) {
+static void ReadBool(lua_State* lua, void* out) {
   if (!lua_isboolean(lua, -1)) {
     luaL_error(lua, "repeatable must return true or false");
   }
@@ -261,52 +263,52 @@
   return 3;
 }
 
-// Reads a table of hall -> number from 0 to `most`.
+// Reads a table of hall -> number from 0 to `max_value`.
 template <typename Number>
-static void TakeHalls(lua_State* lua, void* out, const char* function,
-                      double most) {
+static void ReadHalls(lua_State* lua, void* out, const char* function,
+                      double max_value) {
   auto* halls = static_cast<std::map<std::string, Number>*>(out);
   if (!lua_istable(lua, -1))
     luaL_error(lua, "%s must return a table", function);
   lua_pushnil(lua);
   while (lua_next(lua, -2) != 0) {
-    const bool good =
+    const bool valid =
         lua_type(lua, -2) == LUA_TSTRING && lua_type(lua, -1) == LUA_TNUMBER;
-    const double v = good ? lua_tonumber(lua, -1) : -1;
-    if (!(v >= 0 && v <= most)) {
+    const double v = valid ? lua_tonumber(lua, -1) : -1;
+    if (!(v >= 0 && v <= max_value)) {
       luaL_error(lua, "%s must return halls with numbers from 0 to %f",
-                 function, most);
+                 function, max_value);
     }
     (*halls)[lua_tostring(lua, -2)] = static_cast<Number>(v);
     lua_pop(lua, 1);
   }
 }
 
-static void TakeShare(lua_State* lua, void* out) {
+static void ReadShare(lua_State* lua, void* out) {
   constexpr double kMaxWeight = 1e6;
-  TakeHalls<double>(lua, out, "share", kMaxWeight);
+  ReadHalls<double>(lua, out, "share", kMaxWeight);
 }
 
-static void TakePlacement(lua_State* lua, void* out) {
+static void ReadPlacement(lua_State* lua, void* out) {
   constexpr double kMaxReplicas = 10000;
-  TakeHalls<int>(lua, out, "placement", kMaxReplicas);
+  ReadHalls<int>(lua, out, "placement", kMaxReplicas);
 }
 
-// --- the functions ---------------------------------------------------------
+// --- policy functions ------------------------------------------------------
 
 RequestClass Policy::Classify(const RequestFacts& facts) {
   RequestClass out;
-  Job job{"classify", &facts, &out, PushRequest, TakeClass};
-  return Run(&job) ? out : RequestClass();
+  Invocation invocation{"classify", &facts, &out, PushRequest, ReadClass};
+  return Run(&invocation) ? out : RequestClass();
 }
 
 bool Policy::IsIdempotent(const CallFacts& facts) {
   const bool fallback = facts.method == "GET";
   bool out = fallback;
-  Job job{"repeatable", &facts, &out, PushCall, TakeBool};
-  // A failing rule must not lead to a second run: the safe answer is no.
-  if (!Run(&job)) return false;
-  return job.defined ? out : fallback;
+  Invocation invocation{"repeatable", &facts, &out, PushCall, ReadBool};
+  // If the policy fails, the call must not be run twice: default to false.
+  if (!Run(&invocation)) return false;
+  return invocation.defined ? out : fallback;
 }
 
 std::map<std::string, double> Policy::Share(
@@ -314,8 +316,8 @@
     double hour) {
   PoolFacts facts{&pool, &halls, hour};
   std::map<std::string, double> out;
-  Job job{"share", &facts, &out, PushPool, TakeShare};
-  if (!Run(&job)) out.clear();
+  Invocation invocation{"share", &facts, &out, PushPool, ReadShare};
+  if (!Run(&invocation)) out.clear();
   return out;
 }
 
@@ -324,14 +326,14 @@
     double hour) {
   PoolFacts facts{&pool, &halls, hour};
   std::map<std::string, int> out;
-  Job job{"placement", &facts, &out, PushPool, TakePlacement};
-  if (!Run(&job)) out.clear();
+  Invocation invocation{"placement", &facts, &out, PushPool, ReadPlacement};
+  if (!Run(&invocation)) out.clear();
   return out;
 }
 
 // --- loading ---------------------------------------------------------------
 
-// Turns "FILE:LINE: text" into a finding; other texts get `file` and no line.
+// Converts "FILE:LINE: text" to a finding. Other texts get `file` and no line.
 static void AddLuaError(const std::string& text, const std::string& file,
                         Findings* findings) {
   const std::string prefix = file + ":";
@@ -352,18 +354,19 @@
     lua_settop(lua_, 0);
     const std::string chunk = "@" + file.name;
     lua_sethook(lua_, StopAtLimit, LUA_MASKCOUNT, options_.max_instructions);
-    // "t": source text only. Compiled chunks can break the interpreter.
+    // "t" only accepts source text. Malicious bytecode can crash the
+    // interpreter.
     const bool ok =
         luaL_loadbufferx(lua_, file.source.data(), file.source.size(),
                          chunk.c_str(), "t") == LUA_OK &&
         lua_pcall(lua_, 0, 0, 0) == LUA_OK;
-    if (!ok) AddLuaError(TopText(lua_), file.name, findings);
+    if (!ok) AddLuaError(ErrorText(lua_), file.name, findings);
   }
   lua_settop(lua_, 0);
 }
 
 void Policy::TrySamples(const std::string& file, Findings* findings) {
-  // Inputs at the edges: empty, ordinary and large, through a whole day.
+  // Empty, ordinary and large inputs, over a whole day.
   std::vector<std::function<void()>> samples;
   for (double hour : {0.0, 6.5, 12.0, 18.75, 23.99}) {
     for (int size : {0, 200, 100000}) {
@@ -409,12 +412,12 @@
                                      Findings* findings) {
   std::unique_ptr<Policy> policy(new Policy(options));
   if (!policy->Open()) {
-    findings->Add("policy", 0, "no memory for the policy's interpreter");
+    findings->Add("policy", 0, "not enough memory for the Lua interpreter");
     return nullptr;
   }
   Findings own;
   policy->LoadFiles(files, &own);
-  // Samples of a program that did not load would repeat its errors.
+  // If loading failed, the samples would only repeat its errors.
   if (own.empty()) {
     policy->TrySamples(files.empty() ? "policy" : files.back().name, &own);
   }
--- a/pinford/testing/examples_test.cc
+++ b/pinford/testing/examples_test.cc
@@ -1,4 +1,4 @@
-// The shipped policies do what their users asked for.
+// Checks that the example policies meet their users' requirements.
 
 #include <gtest/gtest.h>
 
@@ -48,7 +48,7 @@
   EXPECT_EQ(policy->errors(), 0) << policy->last_error();
 }
 
-TEST(Examples, TablewisePutsTheDoorFirstAndReportsOutOfMeals) {
+TEST(Examples, TablewisePrioritizesHostsAndRefusesReportsAtMeals) {
   auto policy = LoadExample("tablewise.lua");
   CheckClasses(policy.get(),
                {{"host", 19, Tier::kCritical, seconds(5), false},
@@ -65,7 +65,7 @@
   for (const char* method : {"POST", "PUT", "DELETE"}) {
     EXPECT_FALSE(policy->IsIdempotent({"c", "bookings", method, "/tables"}));
   }
-  // Quiet hours draw the load together; meals and demand spread it.
+  // Load is concentrated in quiet hours, and spread at meals or high demand.
   const std::map<std::string, HallDemand> quiet = {{"a", {1, 10}},
                                                    {"b", {1, 20}}};
   EXPECT_EQ(policy->Share("m", quiet, 3)["b"], 4);
@@ -74,7 +74,7 @@
   EXPECT_EQ(policy->errors(), 0) << policy->last_error();
 }
 
-TEST(Examples, TurbineWatchHasTheNightReadyByMorning) {
+TEST(Examples, TurbineWatchFinishesNightAlarmsByMorning) {
   auto policy = LoadExample("turbine-watch.lua");
   CheckClasses(policy.get(),
                {{"alarm", 10, Tier::kCritical, seconds(10), false},
--- a/util/decaying_sum.h
+++ b/util/decaying_sum.h
@@ -1,6 +1,6 @@
-// A sum whose parts fade: each counts e^(-age / span). Divided by the span it
-// estimates a rate over about the last span, and costs two numbers whatever
-// the number of parts.
+// An exponentially decaying sum: each value counts e^(-age / time_constant).
+// Divided by the time constant, it estimates the rate over about the last time
+// constant. Uses constant memory.
 
 #ifndef UTIL_DECAYING_SUM_H_
 #define UTIL_DECAYING_SUM_H_
@@ -13,13 +13,13 @@
 
 class DecayingSum {
  public:
-  void Add(Time now, double x, Duration span) {
-    sum_ = At(now, span) + x;
+  void Add(Time now, double x, Duration time_constant) {
+    sum_ = At(now, time_constant) + x;
     at_ = now;
   }
-  double At(Time now, Duration span) const {
+  double At(Time now, Duration time_constant) const {
     if (sum_ == 0) return 0;
-    return sum_ * std::exp(-ToSeconds(now - at_) / ToSeconds(span));
+    return sum_ * std::exp(-ToSeconds(now - at_) / ToSeconds(time_constant));
   }
 
  private:
--- a/util/signal_blocker.h
+++ b/util/signal_blocker.h
@@ -1,8 +1,8 @@
-// Signals that come before a program is ready to take them. Without this they
-// have their default effect, which for most is to end it.
+// Blocks signals until a program has installed its handlers. Otherwise an early
+// signal has its default effect, which for most signals ends the process.
 //
-// What comes while signals are held is delivered when they are released, once
-// of each kind. Threads that start meanwhile never get these signals.
+// Signals that arrive while blocked are delivered on Unblock(), once for each
+// signal number. Threads started meanwhile inherit the mask and never get them.
 
 #ifndef UTIL_SIGNAL_BLOCKER_H_
 #define UTIL_SIGNAL_BLOCKER_H_
@@ -13,19 +13,20 @@
 
 namespace pinford {
 
-class HeldSignals {
+class SignalBlocker {
  public:
-  explicit HeldSignals(std::initializer_list<int> signals);
-  // An early end of the program keeps its exit code: nothing is released here.
-  ~HeldSignals() = default;
-  HeldSignals(const HeldSignals&) = delete;
-  HeldSignals& operator=(const HeldSignals&) = delete;
+  explicit SignalBlocker(std::initializer_list<int> signals);
+  // Does not unblock: a pending signal would change the exit code of a program
+  // that returns early.
+  ~SignalBlocker() = default;
+  SignalBlocker(const SignalBlocker&) = delete;
+  SignalBlocker& operator=(const SignalBlocker&) = delete;
 
-  void Hold(std::initializer_list<int> signals);
-  void Release();
+  void Block(std::initializer_list<int> signals);
+  void Unblock();
 
  private:
-  sigset_t before_;
+  sigset_t previous_mask_;
 };
 
 }  // namespace pinford
