--- a/pinford/box.cc
+++ b/pinford/box.cc
@@ -22,27 +22,30 @@
 
 Box::Box(const Settings& settings, EventLoop* loop)
     : incarnation_(WallMillis()),
-      parts_(settings, loop, incarnation_),
-      peers_(loop, &parts_.membership, settings.peer_key, PeerHandlers()),
-      documents_(&parts_, peers_.link()),
-      caller_api_(&parts_),
-      operator_api_(&parts_, &documents_, peers_.link()),
-      poller_(&parts_),
-      planner_(&parts_.store, &parts_.engines, loop, settings.hall,
+      context_(settings, loop, incarnation_),
+      gossip_(loop, &context_.membership, settings.peer_key, PeerHandlers()),
+      documents_(&context_, gossip_.link()),
+      caller_api_(&context_),
+      operator_api_(&context_, &documents_, gossip_.link()),
+      poller_(&context_),
+      planner_(&context_.store, &context_.engines, loop, settings.hall,
                settings.box + "/" + std::to_string(incarnation_),
                PlannerOptions(settings), PlannerEvents()),
-      callers_(loop, CallerOptions(settings),
-               [this](ExchangePtr e) { caller_api_.OnRequest(std::move(e)); }),
-      operators_(loop, HttpServer::Options(), [this](ExchangePtr e) {
+      caller_server_(
+          loop, CallerOptions(settings),
+          [this](ExchangePtr e) { caller_api_.OnRequest(std::move(e)); }),
+      operator_server_(loop, HttpServer::Options(), [this](ExchangePtr e) {
         operator_api_.OnRequest(std::move(e));
       }) {
-  parts_.spread_leaving = [this](const std::string& e) { SpreadLeaving(e); };
-  documents_.set_announce([this] { peers_.Announce(); });
+  context_.announce_leaving = [this](const std::string& e) {
+    AnnounceLeaving(e);
+  };
+  documents_.set_announce([this] { gossip_.Announce(); });
   operator_api_.set_ready([this] { return ready(); });
   operator_api_.set_refresh_metrics([this] { RefreshMetrics(); });
-  parts_.store.set_on_change([this](bool down) {
-    parts_.timeline.Add(down ? EventKind::kStoreLost : EventKind::kStoreBack,
-                        "", "");
+  context_.store.set_on_change([this](bool down) {
+    context_.timeline.Add(
+        down ? EventKind::kStoreLost : EventKind::kStoreRegained, "", "");
     Log(LogPart::kBox, down ? LogLevel::kWarn : LogLevel::kInfo,
         down ? "The store does not answer." : "The store answers again.");
   });
@@ -51,78 +54,79 @@
 Box::~Box() = default;
 
 bool Box::Start(std::string* error) {
-  const Settings& s = parts_.settings;
-  if (!ListenOr(callers_.Listen(s.callers), "callers", s.callers, error) ||
-      !ListenOr(operators_.Listen(s.operators), "operators", s.operators,
+  const Settings& s = context_.settings;
+  if (!ListenOr(caller_server_.Listen(s.callers), "callers", s.callers,
+                error) ||
+      !ListenOr(operator_server_.Listen(s.operators), "operators", s.operators,
                 error) ||
-      !ListenOr(peers_.Listen(s.peers), "peers", s.peers, error)) {
+      !ListenOr(gossip_.Listen(s.peers), "peers", s.peers, error)) {
     return false;
   }
-  parts_.timeline.Add(EventKind::kBoxStarted, "", s.hall);
+  context_.timeline.Add(EventKind::kBoxStarted, "", s.hall);
   Log(LogPart::kBox, LogLevel::kInfo,
       "Callers are served on " + s.callers.ToString() + ".");
   documents_.Start();
-  peers_.Start();
-  parts_.loop->Every(kTick, [this] { Tick(); });
-  parts_.loop->Every(s.report_interval, [this] { poller_.Poll(); });
-  parts_.loop->Every(kShareEvery, [this] { UpdateShares(); });
+  gossip_.Start();
+  context_.loop->Every(kTickInterval, [this] { Tick(); });
+  context_.loop->Every(s.report_interval, [this] { poller_.Poll(); });
+  context_.loop->Every(kShareInterval, [this] { UpdateShares(); });
   planner_.Start();
   return true;
 }
 
 void Box::Tick() {
-  const Time now = parts_.loop->now();
-  if (!informed_ && documents_.ready()) {
+  const Time now = context_.loop->now();
+  if (!has_initial_state_ && documents_.ready()) {
     poller_.Poll();
-    informed_ = poller_.heard_all();
+    has_initial_state_ = poller_.polled_all();
   }
   if (ready() != was_ready_) {
     was_ready_ = ready();
     caller_api_.set_ready(was_ready_);
     if (was_ready_) {
-      parts_.timeline.Add(EventKind::kBoxReady, "", "");
+      context_.timeline.Add(EventKind::kBoxReady, "", "");
       Log(LogPart::kBox, LogLevel::kInfo, "The box is ready.");
     }
   }
-  peers_.Tick();
-  parts_.table.OnPeerCounts(parts_.membership.SumOfCounts(now));
-  parts_.table.set_peer_boxes(parts_.membership.live_boxes(now) - 1);
+  gossip_.Tick();
+  context_.table.OnPeerCounts(context_.membership.SumOfCounts(now));
+  context_.table.set_peer_boxes(context_.membership.live_boxes(now) - 1);
   UpdateOwnState();
   documents_.Tick();
   caller_api_.Tick();
-  if (parts_.stopping) FinishStop();
+  if (context_.stopping) FinishStop();
 }
 
 void Box::UpdateOwnState() {
   std::vector<EndpointCount> counts;
-  for (const auto& [name, row] : parts_.table.rows()) {
+  for (const auto& [name, row] : context_.table.rows()) {
     if (row.own_work == 0) continue;
     counts.push_back(CountOf(name, row));
   }
-  parts_.membership.set_counts(std::move(counts));
-  parts_.membership.set_load(caller_api_.running(), caller_api_.waiting());
-  parts_.membership.set_leaving_endpoints(parts_.table.LeavingMarks());
+  context_.membership.set_counts(std::move(counts));
+  context_.membership.set_load(caller_api_.running(), caller_api_.waiting());
+  context_.membership.set_leaving_endpoints(context_.table.LeavingMarks());
 }
 
-void Box::SpreadLeaving(const std::string& endpoint) {
-  parts_.timeline.Add(EventKind::kEndpointLeaving, "", endpoint);
+void Box::AnnounceLeaving(const std::string& endpoint) {
+  context_.timeline.Add(EventKind::kEndpointLeaving, "", endpoint);
   Log(LogPart::kEndpoints, LogLevel::kInfo,
       "Endpoint " + endpoint + " is leaving.");
-  peers_.Announce();
+  gossip_.Announce();
 }
 
-void Box::NoteMember(const std::string& name, MemberChange change) {
+void Box::OnMemberChange(const std::string& name, MemberChange change) {
   switch (change) {
     case MemberChange::kJoined:
-      parts_.timeline.Add(EventKind::kPeerJoined, "", name);
+      context_.timeline.Add(EventKind::kPeerJoined, "", name);
       Log(LogPart::kPeers, LogLevel::kInfo, "Box " + name + " joined.");
       break;
     case MemberChange::kLeaving:
-      parts_.timeline.Add(EventKind::kPeerLeaving, "", name);
+      context_.timeline.Add(EventKind::kPeerLeaving, "", name);
       Log(LogPart::kPeers, LogLevel::kInfo, "Box " + name + " is leaving.");
       break;
     case MemberChange::kLost:
-      parts_.timeline.Add(EventKind::kPeerLost, "", name);
+      context_.timeline.Add(EventKind::kPeerLost, "", name);
       Log(LogPart::kPeers, LogLevel::kWarn, "Box " + name + " is lost.");
       break;
   }
@@ -131,27 +135,27 @@
 Gossip::Handlers Box::PeerHandlers() {
   Gossip::Handlers handlers;
   handlers.refresh = [this] { UpdateOwnState(); };
-  handlers.time = [this] { return parts_.timeline.now(); };
+  handlers.time = [this] { return context_.timeline.now(); };
   handlers.on_digest = [this](const Digest& d) { OnDigest(d); };
   handlers.on_fetch = [this](const FetchRequest& r) { return OnFetch(r); };
   handlers.on_member = [this](const std::string& name, MemberChange change) {
-    NoteMember(name, change);
+    OnMemberChange(name, change);
   };
   return handlers;
 }
 
 void Box::OnDigest(const Digest& digest) {
-  parts_.timeline.Observe(digest.time);
-  bool news = false;
+  context_.timeline.Observe(digest.time);
+  bool changed = false;
   for (const auto& [endpoint, incarnation] : digest.leaving) {
-    if (!parts_.table.OnLeaving(endpoint, incarnation)) continue;
-    news = true;
-    parts_.timeline.Add(EventKind::kEndpointLeaving, "",
-                        endpoint + ", as " + digest.sender.name + " says");
+    if (!context_.table.OnLeaving(endpoint, incarnation)) continue;
+    changed = true;
+    context_.timeline.Add(EventKind::kEndpointLeaving, "",
+                          endpoint + ", as " + digest.sender.name + " says");
   }
   // News from another hall is passed on in this one.
-  const bool from_afar = digest.sender.hall != parts_.settings.hall;
-  if (news && from_afar) peers_.Announce();
+  const bool from_other_hall = digest.sender.hall != context_.settings.hall;
+  if (changed && from_other_hall) gossip_.Announce();
   documents_.Tick();
 }
 
@@ -164,7 +168,7 @@
       return documents_.MakeFetchReply(DocumentKind::kEndpoints);
     case FetchKind::kTimeline:
       reply.kind = request.kind;
-      reply.events = parts_.timeline.Events(request.request);
+      reply.events = context_.timeline.Events(request.request);
       break;
     case FetchKind::kMembers:  // Gossip answers it
     case FetchKind::kShared:   // of forwarding boxes
@@ -175,34 +179,35 @@
 }
 
 void Box::UpdateShares() {
-  const Time now = parts_.loop->now();
+  const Time now = context_.loop->now();
   std::map<std::string, std::map<std::string, double>> weights;
-  wanted_.clear();
-  for (const std::string& model : parts_.table.Models()) {
+  wanted_replicas_.clear();
+  for (const std::string& model : context_.table.Models()) {
     const std::map<std::string, HallDemand> halls =
-        parts_.table.Halls(now, model);
-    weights[model] = parts_.policy->Share(model, halls, parts_.Hour());
+        context_.table.Halls(now, model);
+    weights[model] = context_.policy->Share(model, halls, context_.Hour());
     const std::map<std::string, int> placement =
-        parts_.policy->Placement(model, halls, parts_.Hour());
-    auto here = placement.find(parts_.settings.hall);
-    if (here != placement.end()) wanted_[model] = here->second;
+        context_.policy->Placement(model, halls, context_.Hour());
+    auto local = placement.find(context_.settings.hall);
+    if (local != placement.end()) wanted_replicas_[model] = local->second;
   }
   caller_api_.set_hall_weights(std::move(weights));
-  parts_.NotePolicyErrors();
+  context_.ReportPolicyErrors();
 }
 
 HallPlannerEvents Box::PlannerEvents() {
   HallPlannerEvents events;
-  events.view = [this] { return ViewOfHall(); };
+  events.view = [this] { return MakeHallView(); };
   // Without a wish of the policy nobody needs the lease.
   events.is_candidate = [this] {
-    return informed_ && !parts_.stopping && !wanted_.empty() &&
-           parts_.membership.IsElected(parts_.loop->now(), "planner", 1);
+    return has_initial_state_ && !context_.stopping &&
+           !wanted_replicas_.empty() &&
+           context_.membership.IsElected(context_.loop->now(), "planner", 1);
   };
   events.on_lease = [this](uint64_t token) {
-    parts_.timeline.Add(
-        token != 0 ? EventKind::kLeaseTaken : EventKind::kLeaseLost, "",
-        "planner of " + parts_.settings.hall + ", token " +
+    context_.timeline.Add(
+        token != 0 ? EventKind::kLeaseAcquired : EventKind::kLeaseLost, "",
+        "planner of " + context_.settings.hall + ", token " +
             std::to_string(token));
   };
   events.on_order = [this](const std::string& runner, const Order& order) {
@@ -210,27 +215,27 @@
     const std::string text = runner + " to hold " + h.model + " " + h.version +
                              " " + std::to_string(h.range.begin) + "-" +
                              std::to_string(h.range.end);
-    parts_.timeline.Add(EventKind::kOrderSent, "", text);
+    context_.timeline.Add(EventKind::kOrderSent, "", text);
     Log(LogPart::kEndpoints, LogLevel::kInfo, "Order: " + text + ".");
   };
   return events;
 }
 
-HallView Box::ViewOfHall() {
+HallView Box::MakeHallView() {
   HallView view;
-  view.wanted = wanted_;
-  const Time now = parts_.loop->now();
-  for (const auto& [name, row] : parts_.table.rows()) {
-    const bool here = row.listed.hall == parts_.settings.hall;
-    if (!here || row.listed.role != EndpointRole::kRunner || !row.report) {
+  view.wanted = wanted_replicas_;
+  const Time now = context_.loop->now();
+  for (const auto& [name, row] : context_.table.rows()) {
+    const bool local = row.listed.hall == context_.settings.hall;
+    if (!local || row.listed.role != EndpointRole::kRunner || !row.report) {
       continue;
     }
     PlannedRunner r;
     r.name = name;
     r.holds = {row.report->model, row.report->version, row.report->holds};
     r.layers = row.report->layers;
-    r.load = parts_.table.LoadOf(name);
-    r.usable = parts_.table.TakesNewWork(now, name);
+    r.load = context_.table.LoadOf(name);
+    r.usable = context_.table.TakesNewWork(now, name);
     view.runners.push_back(std::move(r));
     view.checks_fence[name] = row.listed.checks_fence;
   }
@@ -238,28 +243,30 @@
 }
 
 void Box::RefreshMetrics() {
-  Metrics& m = parts_.metrics;
-  const Time now = parts_.loop->now();
+  Metrics& m = context_.metrics;
+  const Time now = context_.loop->now();
   m.Set("active_requests", "", caller_api_.active());
   m.Set("running_requests", "", caller_api_.running());
   m.Set("waiting_requests", "", caller_api_.waiting());
-  m.Set("caller_connections", "", static_cast<double>(callers_.connections()));
-  m.Set("live_boxes", "", parts_.membership.live_boxes(now));
+  m.Set("caller_connections", "",
+        static_cast<double>(caller_server_.connections()));
+  m.Set("live_boxes", "", context_.membership.live_boxes(now));
   m.Set("generation", "",
         static_cast<double>(documents_.configuration().generation));
-  m.Set("store_down", "", parts_.store.down() ? 1 : 0);
-  m.Set("store_calls", "", static_cast<double>(parts_.store.calls()));
+  m.Set("store_down", "", context_.store.down() ? 1 : 0);
+  m.Set("store_calls", "", static_cast<double>(context_.store.calls()));
   m.Set("peer_bytes_sent", "",
-        static_cast<double>(peers_.link()->bytes_sent()));
+        static_cast<double>(gossip_.link()->bytes_sent()));
   m.Set("peer_bytes_received", "",
-        static_cast<double>(peers_.link()->bytes_received()));
+        static_cast<double>(gossip_.link()->bytes_received()));
   m.Set("peer_messages_dropped", "",
-        static_cast<double>(peers_.link()->dropped()));
-  m.Set("retries_refused", "", static_cast<double>(parts_.retries.refused()));
-  m.Set("timeline_dropped", "", static_cast<double>(parts_.timeline.dropped()));
+        static_cast<double>(gossip_.link()->dropped()));
+  m.Set("retries_refused", "", static_cast<double>(context_.retries.refused()));
+  m.Set("timeline_dropped", "",
+        static_cast<double>(context_.timeline.dropped()));
   int usable = 0;
-  for (const auto& [name, row] : parts_.table.rows()) {
-    if (parts_.table.TakesNewWork(now, name)) usable++;
+  for (const auto& [name, row] : context_.table.rows()) {
+    if (context_.table.TakesNewWork(now, name)) usable++;
   }
   m.Set("usable_endpoints", "", usable);
 }
@@ -267,35 +274,35 @@
 // --- the planned stop ------------------------------------------------------
 
 void Box::BeginStop() {
-  if (parts_.stopping) return;
-  parts_.stopping = true;
-  stop_begun_ = idle_since_ = parts_.loop->now();
-  parts_.timeline.Add(EventKind::kBoxLeaving, "", "");
+  if (context_.stopping) return;
+  context_.stopping = true;
+  stop_started_ = idle_since_ = context_.loop->now();
+  context_.timeline.Add(EventKind::kBoxLeaving, "", "");
   Log(LogPart::kBox, LogLevel::kInfo,
       "The box is leaving. It finishes what it has.");
-  parts_.membership.set_leaving();
-  callers_.set_close_after_reply(true);
-  peers_.Announce();
+  context_.membership.set_leaving();
+  caller_server_.set_close_after_reply(true);
+  gossip_.Announce();
 }
 
 void Box::FinishStop() {
-  const Time now = parts_.loop->now();
-  const Settings& s = parts_.settings;
-  if (now - stop_begun_ < s.stop_listening_after) return;
-  callers_.StopListening();
+  const Time now = context_.loop->now();
+  const Settings& s = context_.settings;
+  if (now - stop_started_ < s.stop_listening_after) return;
+  caller_server_.StopListening();
   if (caller_api_.active() > 0) idle_since_ = now;
   // Answers may still be on their way out of the last connections.
-  constexpr Duration kQuiet = milliseconds(300);
-  const bool quiet = now - idle_since_ >= kQuiet;
-  const bool late = now - stop_begun_ >= s.stop_at_latest;
-  if (!quiet && !late) return;
-  if (late && caller_api_.active() > 0) {
+  constexpr Duration kIdleBeforeStop = milliseconds(300);
+  const bool idle = now - idle_since_ >= kIdleBeforeStop;
+  const bool timed_out = now - stop_started_ >= s.stop_at_latest;
+  if (!idle && !timed_out) return;
+  if (timed_out && caller_api_.active() > 0) {
     Log(LogPart::kBox, LogLevel::kError,
         "The box stops with requests unfinished.");
   }
-  parts_.timeline.Add(EventKind::kBoxStopped, "", "");
+  context_.timeline.Add(EventKind::kBoxStopped, "", "");
   Log(LogPart::kBox, LogLevel::kInfo, "The box stops.");
-  parts_.loop->Stop();
+  context_.loop->Stop();
 }
 
 }  // namespace pinford
--- a/pinford/box.h
+++ b/pinford/box.h
@@ -35,38 +35,38 @@
   void BeginStop();
 
  private:
-  static constexpr Duration kTick = milliseconds(50);
-  static constexpr Duration kShareEvery = seconds(1);
+  static constexpr Duration kTickInterval = milliseconds(50);
+  static constexpr Duration kShareInterval = seconds(1);
 
-  bool ready() const { return informed_ && !parts_.stopping; }
+  bool ready() const { return has_initial_state_ && !context_.stopping; }
   void Tick();
   Gossip::Handlers PeerHandlers();
   void OnDigest(const Digest& digest);
-  void NoteMember(const std::string& name, MemberChange change);
+  void OnMemberChange(const std::string& name, MemberChange change);
   FetchReply OnFetch(const FetchRequest& request);
-  void SpreadLeaving(const std::string& endpoint);
+  void AnnounceLeaving(const std::string& endpoint);
   void UpdateOwnState();
   void UpdateShares();
   void RefreshMetrics();
-  HallView ViewOfHall();
+  HallView MakeHallView();
   HallPlannerEvents PlannerEvents();
   void FinishStop();
 
   uint64_t incarnation_;
-  BoxParts parts_;
-  Gossip peers_;
+  BoxParts context_;
+  Gossip gossip_;
   Documents documents_;
   CallerApi caller_api_;
   OperatorApi operator_api_;
   LoadPoller poller_;
   HallPlanner<StoreClient, EngineClient, EventLoop> planner_;
-  HttpServer callers_;
-  HttpServer operators_;
+  HttpServer caller_server_;
+  HttpServer operator_server_;
   // The documents are there and every listed endpoint was asked once.
-  bool informed_ = false;
+  bool has_initial_state_ = false;
   bool was_ready_ = false;
-  std::map<std::string, int> wanted_;  // replicas here, by the policy
-  Time stop_begun_{};
+  std::map<std::string, int> wanted_replicas_;  // replicas here, by the policy
+  Time stop_started_{};
   Time idle_since_{};
 };
 
--- a/pinford/box_parts.cc
+++ b/pinford/box_parts.cc
@@ -66,15 +66,15 @@
 
 double BoxParts::Hour() const { return HourOfDay(settings.utc_offset_minutes); }
 
-void BoxParts::NotePolicyErrors() {
-  if (policy.get() != seen_policy_) {
-    seen_policy_ = policy.get();
-    seen_policy_errors_ = 0;
+void BoxParts::ReportPolicyErrors() {
+  if (policy.get() != reported_policy_) {
+    reported_policy_ = policy.get();
+    reported_policy_errors_ = 0;
   }
-  const int64_t fresh = policy->errors() - seen_policy_errors_;
-  if (fresh <= 0) return;
-  seen_policy_errors_ = policy->errors();
-  metrics.Count("policy_errors_total", "", fresh);
+  const int64_t new_errors = policy->errors() - reported_policy_errors_;
+  if (new_errors <= 0) return;
+  reported_policy_errors_ = policy->errors();
+  metrics.Count("policy_errors_total", "", new_errors);
   timeline.Add(EventKind::kPolicyError, "", policy->last_error());
   Log(LogPart::kConfig, LogLevel::kWarn,
       "A policy call failed: " + policy->last_error());
--- a/pinford/box_parts.h
+++ b/pinford/box_parts.h
@@ -38,23 +38,23 @@
   StoreClient store;
   EndpointTable table;
   EngineClient engines;
-  PlainClient services;
+  HttpServiceClient services;
   RetryBudget retries;
   Membership membership;
   std::unique_ptr<Policy> policy;  // never null
   bool stopping = false;
 
   // Tells the peers at once that the endpoint is leaving.
-  std::function<void(const std::string& endpoint)> spread_leaving;
+  std::function<void(const std::string& endpoint)> announce_leaving;
 
   // The hour of the day where this box stands, 0 to 24.
   double Hour() const;
   // Counts a policy call that failed since the last look, and tells of it.
-  void NotePolicyErrors();
+  void ReportPolicyErrors();
 
  private:
-  int64_t seen_policy_errors_ = 0;
-  const Policy* seen_policy_ = nullptr;
+  int64_t reported_policy_errors_ = 0;
+  const Policy* reported_policy_ = nullptr;
 };
 
 uint64_t WallMillis();
--- a/pinford/call_api.h
+++ b/pinford/call_api.h
@@ -13,9 +13,9 @@
 
 inline constexpr char kServicesPath[] = "/services/";
 
-class CallApi {
+class ServiceApi {
  public:
-  explicit CallApi(BoxParts* parts) : parts_(parts) {}
+  explicit ServiceApi(BoxParts* context) : context_(context) {}
 
   // Takes a request whose path begins with kServicesPath.
   void OnRequest(ExchangePtr exchange);
@@ -24,13 +24,13 @@
   int active() const { return active_; }
 
  private:
-  using Call = OnceCall<StoreClient, PlainClient, EventLoop>;
+  using Call = OnceCall<StoreClient, HttpServiceClient, EventLoop>;
 
   void Start(const ExchangePtr& exchange, ServiceCall call);
-  void Answer(const ExchangePtr& exchange, const std::string& id,
-              const CallEnd& end);
+  void Respond(const ExchangePtr& exchange, const std::string& id,
+               const CallEnd& end);
 
-  BoxParts* parts_;
+  BoxParts* context_;
   int active_ = 0;
 };
 
--- a/pinford/caller_answer.h
+++ b/pinford/caller_answer.h
@@ -13,8 +13,8 @@
 
 // The headers that name the request and its outcome; with Retry-After, in
 // whole seconds, if `retry_after` is over 0.
-HttpHeaders AnswerHeaders(const std::string& id, Outcome outcome,
-                          Duration retry_after = Duration(0));
+HttpHeaders ResponseHeaders(const std::string& id, Outcome outcome,
+                            Duration retry_after = Duration(0));
 
 }  // namespace pinford
 
--- a/pinford/caller_api.h
+++ b/pinford/caller_api.h
@@ -25,7 +25,7 @@
 
 class CallerApi {
  public:
-  explicit CallerApi(BoxParts* parts);
+  explicit CallerApi(BoxParts* context);
   ~CallerApi();
 
   void OnRequest(ExchangePtr exchange);
@@ -58,22 +58,22 @@
   void OnModels(ExchangePtr exchange);
 
   void Admit(const std::shared_ptr<Completion>& c);
-  bool MayStart(const std::string& model, const Pool& pool);
-  void Pump(const std::string& model, Pool* pool);
+  bool CanStart(const std::string& model, const Pool& pool);
+  void StartQueued(const std::string& model, Pool* pool);
   // Its prompt no longer counts among those that wait.
-  void StopWaiting(Completion* c);
-  void Begin(const std::shared_ptr<Completion>& c);
+  void ReleaseWaitingBytes(Completion* c);
+  void StartCompletion(const std::shared_ptr<Completion>& c);
   void OnToken(Completion* c, std::string_view text);
   void OnEnd(Completion* c, const CompletionEnd& end);
-  void OnHangUp(const std::shared_ptr<Completion>& c);
-  void Answer(Completion* c, const CompletionEnd& end);
+  void OnDisconnect(const std::shared_ptr<Completion>& c);
+  void Respond(Completion* c, const CompletionEnd& end);
   void Refuse(Completion* c, int status, std::string_view code,
               std::string_view message, Duration retry_after);
   // The completion is over, whatever the reason.
   void Close(Completion* c, Outcome outcome, const std::string& detail);
 
-  BoxParts* parts_;
-  CallApi calls_;
+  BoxParts* context_;
+  ServiceApi calls_;
   bool ready_ = false;
   int active_ = 0;
   int running_ = 0;
--- a/pinford/caller_request.cc
+++ b/pinford/caller_request.cc
@@ -12,7 +12,8 @@
 
 static constexpr char kBody[] = "body";
 
-static std::string TextOf(const Json& v, const char* key, Findings* findings) {
+static std::string ParseText(const Json& v, const char* key,
+                             Findings* findings) {
   auto it = v.find(key);
   if (it != v.end() && it->is_string() && !it->get<std::string>().empty()) {
     return it->get<std::string>();
@@ -33,61 +34,61 @@
     const Json& m = (*it)[i];
     const std::string role = JsonField<std::string>(m, "role", "");
     const std::string content = JsonField<std::string>(m, "content", "");
-    const std::string place = "messages[" + std::to_string(i) + "]";
-    if (role.empty()) findings->Add(kBody, 0, place + ".role must be a text");
+    const std::string path = "messages[" + std::to_string(i) + "]";
+    if (role.empty()) findings->Add(kBody, 0, path + ".role must be a text");
     if (content.empty()) {
-      findings->Add(kBody, 0, place + ".content must be a text");
+      findings->Add(kBody, 0, path + ".content must be a text");
     }
     prompt += role + ": " + content + "\n";
   }
   return prompt;
 }
 
-static void TakeMaxTokens(const Json& v, int most, CallerRequest* r,
-                          Findings* findings) {
+static void ParseMaxTokens(const Json& v, int limit, CallerRequest* r,
+                           Findings* findings) {
   for (const char* key : {"max_tokens", "max_completion_tokens"}) {
     auto it = v.find(key);
     if (it == v.end() || it->is_null()) continue;
-    const bool good = it->is_number_integer() && it->get<int64_t>() >= 1 &&
-                      it->get<int64_t>() <= most;
-    if (good) {
+    const bool valid = it->is_number_integer() && it->get<int64_t>() >= 1 &&
+                       it->get<int64_t>() <= limit;
+    if (valid) {
       r->max_tokens = it->get<int>();
     } else {
       findings->Add(kBody, 0,
                     std::string(key) + " must be a whole number from 1 to " +
-                        std::to_string(most));
+                        std::to_string(limit));
     }
   }
 }
 
 std::optional<CallerRequest> ParseCallerRequest(CompletionForm form,
                                                 std::string_view json,
-                                                int most_tokens,
+                                                int token_limit,
                                                 Findings* findings) {
   const Json v = ParseJson(json);
   if (!v.is_object()) {
     findings->Add(kBody, 0, "the body must be a JSON object");
     return std::nullopt;
   }
-  Findings own;
+  Findings errors;
   CallerRequest r;
   r.form = form;
-  r.model = TextOf(v, "model", &own);
-  r.prompt = form == CompletionForm::kChat ? ChatPrompt(v, &own)
-                                           : TextOf(v, "prompt", &own);
-  TakeMaxTokens(v, most_tokens, &r, &own);
+  r.model = ParseText(v, "model", &errors);
+  r.prompt = form == CompletionForm::kChat ? ChatPrompt(v, &errors)
+                                           : ParseText(v, "prompt", &errors);
+  ParseMaxTokens(v, token_limit, &r, &errors);
   auto stream = v.find("stream");
   if (stream != v.end() && !stream->is_null()) {
     if (stream->is_boolean()) {
       r.stream = stream->get<bool>();
     } else {
-      own.Add(kBody, 0, "stream must be true or false");
+      errors.Add(kBody, 0, "stream must be true or false");
     }
   }
   auto n = v.find("n");
-  if (n != v.end() && *n != 1) own.Add(kBody, 0, "n must be 1");
-  for (const Finding& f : own.list()) findings->Add(f.file, f.line, f.text);
-  if (!own.empty()) return std::nullopt;
+  if (n != v.end() && *n != 1) errors.Add(kBody, 0, "n must be 1");
+  for (const Finding& f : errors.list()) findings->Add(f.file, f.line, f.text);
+  if (!errors.empty()) return std::nullopt;
   return r;
 }
 
@@ -96,9 +97,9 @@
   return NameIn(kFinishReasonNames, reason);
 }
 
-std::string WriteAnswer(const CallerRequest& request, std::string_view id,
-                        std::string_view text, FinishReason reason,
-                        int prompt_tokens, int answer_tokens) {
+std::string WriteResponse(const CallerRequest& request, std::string_view id,
+                          std::string_view text, FinishReason reason,
+                          int prompt_tokens, int answer_tokens) {
   const bool chat = request.form == CompletionForm::kChat;
   Json choice{{"index", 0}, {"finish_reason", ReasonToJson(reason)}};
   if (chat) {
@@ -117,7 +118,7 @@
                        {"outcome", "complete"}});
 }
 
-static std::string Event(const Json& v) {
+static std::string WriteEvent(const Json& v) {
   return "data: " + DumpJson(v) + "\n\n";
 }
 
@@ -136,16 +137,17 @@
          {"model", request.model},
          {"choices", Json::array({choice})}};
   if (reason != FinishReason::kNone) v["outcome"] = "complete";
-  return Event(v);
+  return WriteEvent(v);
 }
 
 std::string WriteStreamEnd() { return "data: [DONE]\n\n"; }
 
 std::string WriteStreamError(std::string_view id, std::string_view outcome,
                              std::string_view message) {
-  return Event(Json{{"id", id},
-                    {"outcome", outcome},
-                    {"error", {{"code", "failed"}, {"message", message}}}});
+  return WriteEvent(
+      Json{{"id", id},
+           {"outcome", outcome},
+           {"error", {{"code", "failed"}, {"message", message}}}});
 }
 
 std::string WriteCallerError(std::string_view id, std::string_view outcome,
--- a/pinford/caller_request.h
+++ b/pinford/caller_request.h
@@ -24,16 +24,16 @@
 // Reads the body. Every fault is a finding whose place is the field's path.
 std::optional<CallerRequest> ParseCallerRequest(CompletionForm form,
                                                 std::string_view json,
-                                                int most_tokens,
+                                                int token_limit,
                                                 Findings* findings);
 
 // How an answer ended, in the API's word.
 enum class FinishReason { kNone, kStop, kLength };
 
 // Bodies of answers in the OpenAI form.
-std::string WriteAnswer(const CallerRequest& request, std::string_view id,
-                        std::string_view text, FinishReason reason,
-                        int prompt_tokens, int answer_tokens);
+std::string WriteResponse(const CallerRequest& request, std::string_view id,
+                          std::string_view text, FinishReason reason,
+                          int prompt_tokens, int answer_tokens);
 // One event of a stream, with its "data: " and the blank line. The last event
 // of a whole answer carries the reason and the outcome.
 std::string WriteChunk(const CallerRequest& request, std::string_view id,
--- a/pinford/engine_client.cc
+++ b/pinford/engine_client.cc
@@ -6,8 +6,8 @@
 
 namespace pinford {
 
-static constexpr Duration kCallBound = seconds(60);
-static constexpr Duration kEndSessionBound = seconds(2);
+static constexpr Duration kCallTimeout = seconds(60);
+static constexpr Duration kEndSessionTimeout = seconds(2);
 
 HttpCall EngineClient::Call(const std::string& endpoint, HttpMethod method,
                             std::string target, std::string body) const {
@@ -18,13 +18,13 @@
   call.to = table_->AddressOf(endpoint).value_or(Address{"127.0.0.1", 0});
   call.target = std::move(target);
   call.body = std::move(body);
-  call.timeout = kCallBound;
+  call.timeout = kCallTimeout;
   return call;
 }
 
 // What a call's end says, before its body is looked at.
 template <typename Result>
-static void ReadEnd(const HttpResult& r, Result* result) {
+static void SetStatus(const HttpResult& r, Result* result) {
   if (r.transport == Transport::kNotSent) {
     result->status = StepStatus::kNotSent;
   } else if (r.transport != Transport::kOk) {
@@ -42,7 +42,7 @@
       Call(endpoint, HttpMethod::kPost, "/v1/steps", WriteStepRequest(step));
   return http_->Send(std::move(call), [fn = std::move(fn)](HttpResult r) {
     StepResult result;
-    ReadEnd(r, &result);
+    SetStatus(r, &result);
     if (result.status == StepStatus::kOk) {
       std::optional<StepReply> reply = ParseStepReply(r.body);
       if (reply) {
@@ -62,7 +62,7 @@
                        DumpJson(Json{{"text", text}}));
   return http_->Send(std::move(call), [fn = std::move(fn)](HttpResult r) {
     TokenizeResult result;
-    ReadEnd(r, &result);
+    SetStatus(r, &result);
     if (result.status == StepStatus::kOk) {
       std::optional<std::vector<int>> tokens = ParseTokens(r.body);
       if (tokens) {
@@ -81,16 +81,16 @@
       endpoint, HttpMethod::kDelete,
       "/v1/sessions?request=" + request + "&session=" + std::to_string(session),
       "");
-  call.timeout = kEndSessionBound;
+  call.timeout = kEndSessionTimeout;
   http_->Send(std::move(call), [](const HttpResult&) {});
 }
 
 void EngineClient::SendOrder(const std::string& runner, const Order& order,
-                             Duration limit,
+                             Duration max_wait,
                              std::function<void(OrderStatus)> fn) {
   HttpCall call =
       Call(runner, HttpMethod::kPost, "/v1/orders", WriteOrder(order));
-  call.timeout = limit;
+  call.timeout = max_wait;
   http_->Send(std::move(call), [fn = std::move(fn)](const HttpResult& r) {
     const bool fenced = r.transport == Transport::kOk && r.status == 409;
     fn(r.ok()   ? OrderStatus::kDone
--- a/pinford/engine_client.h
+++ b/pinford/engine_client.h
@@ -26,8 +26,8 @@
                         std::function<void(TokenizeResult)> fn);
   void CancelCall(uint64_t id) { http_->Cancel(id); }
   // OrderClient.
-  void SendOrder(const std::string& runner, const Order& order, Duration limit,
-                 std::function<void(OrderStatus)> fn);
+  void SendOrder(const std::string& runner, const Order& order,
+                 Duration max_wait, std::function<void(OrderStatus)> fn);
   void EndSession(const std::string& endpoint, const std::string& request,
                   uint32_t session);
 
--- a/pinford/engine_protocol.cc
+++ b/pinford/engine_protocol.cc
@@ -38,12 +38,12 @@
   return id;
 }
 
-static bool Sane(const StepId& id) {
+static bool IsValid(const StepId& id) {
   return !id.request.empty() && id.attempt > 0 && id.position >= 0 &&
          id.range.begin >= 0 && !id.range.empty();
 }
 
-static bool TakeInts(const Json& v, const char* key, std::vector<int>* out) {
+static bool ParseInts(const Json& v, const char* key, std::vector<int>* out) {
   auto it = v.find(key);
   if (it == v.end()) return true;
   if (!it->is_array()) return false;
@@ -54,8 +54,8 @@
   return true;
 }
 
-static bool TakeTexts(const Json& v, const char* key,
-                      std::vector<std::string>* out) {
+static bool ParseStrings(const Json& v, const char* key,
+                         std::vector<std::string>* out) {
   auto it = v.find(key);
   if (it == v.end()) return true;
   if (!it->is_array()) return false;
@@ -88,9 +88,9 @@
   step.cached = JsonField(v, "cached", -1);
   step.last = JsonField(v, "last", false);
   step.priority = JsonField(v, "priority", 0);
-  if (!Sane(step.id) || step.cached < 0) return std::nullopt;
-  if (!TakeInts(v, "tokens", &step.tokens)) return std::nullopt;
-  if (!TakeTexts(v, "activations", &step.activations)) return std::nullopt;
+  if (!IsValid(step.id) || step.cached < 0) return std::nullopt;
+  if (!ParseInts(v, "tokens", &step.tokens)) return std::nullopt;
+  if (!ParseStrings(v, "activations", &step.activations)) return std::nullopt;
   if (step.inputs() == 0) return std::nullopt;
   return step;
 }
@@ -109,8 +109,8 @@
   if (!v.is_object()) return std::nullopt;
   StepReply reply;
   reply.id = IdFromJson(v);
-  if (!Sane(reply.id)) return std::nullopt;
-  if (!TakeTexts(v, "activations", &reply.activations)) return std::nullopt;
+  if (!IsValid(reply.id)) return std::nullopt;
+  if (!ParseStrings(v, "activations", &reply.activations)) return std::nullopt;
   reply.token = JsonField(v, "token", 0);
   reply.text = JsonField<std::string>(v, "text", "");
   reply.end = JsonField(v, "stop", false);
@@ -125,7 +125,7 @@
   const Json v = ParseJson(json);
   std::vector<int> tokens;
   if (!v.is_object() || !v.contains("tokens")) return std::nullopt;
-  if (!TakeInts(v, "tokens", &tokens)) return std::nullopt;
+  if (!ParseInts(v, "tokens", &tokens)) return std::nullopt;
   return tokens;
 }
 
--- a/pinford/load_poller.h
+++ b/pinford/load_poller.h
@@ -12,20 +12,21 @@
 
 class LoadPoller {
  public:
-  explicit LoadPoller(BoxParts* parts) : parts_(parts) {}
+  explicit LoadPoller(BoxParts* context) : context_(context) {}
 
   // Asks each endpoint that is not being asked. Call it once an interval.
   void Poll();
   // Whether every listed endpoint has answered, or failed to, at least once.
   // Before that this box cannot tell a caller what there is.
-  bool heard_all() const;
+  bool polled_all() const;
 
  private:
-  void OnAnswer(const std::string& name, Time asked, const HttpResult& result);
+  void OnResponse(const std::string& name, Time sent_at,
+                  const HttpResult& result);
 
-  BoxParts* parts_;
-  std::set<std::string> asking_;
-  std::set<std::string> heard_;
+  BoxParts* context_;
+  std::set<std::string> in_flight_;
+  std::set<std::string> polled_;
 };
 
 }  // namespace pinford
--- a/pinford/operator_api.cc
+++ b/pinford/operator_api.cc
@@ -21,19 +21,20 @@
     {HttpMethod::kGet, "/readyz", true, &OperatorApi::ShowReady},
 };
 
-OperatorApi::OperatorApi(BoxParts* parts, Documents* documents, PeerLink* link)
-    : parts_(parts), documents_(documents), link_(link) {}
+OperatorApi::OperatorApi(BoxParts* context, Documents* documents,
+                         PeerLink* link)
+    : context_(context), documents_(documents), link_(link) {}
 
 static void ReplyError(const ExchangePtr& exchange, int status,
                        std::string_view code, std::string_view message) {
   exchange->Reply(status, kJsonType, WriteError(code, message));
 }
 
-bool OperatorApi::HasKey(const HttpExchange& exchange) const {
-  const std::string want = "Bearer " + parts_->settings.operator_key;
-  const std::string have = exchange.header("Authorization");
-  return have.size() == want.size() &&
-         CRYPTO_memcmp(have.data(), want.data(), want.size()) == 0;
+bool OperatorApi::IsAuthorized(const HttpExchange& exchange) const {
+  const std::string expected = "Bearer " + context_->settings.operator_key;
+  const std::string actual = exchange.header("Authorization");
+  return actual.size() == expected.size() &&
+         CRYPTO_memcmp(actual.data(), expected.data(), expected.size()) == 0;
 }
 
 void OperatorApi::OnRequest(ExchangePtr exchange) {
@@ -42,8 +43,8 @@
     if (exchange->path() != route.path) continue;
     known_path = true;
     if (exchange->method() != route.method) continue;
-    if (!route.open && !HasKey(*exchange)) {
-      parts_->metrics.Count("operator_refusals_total");
+    if (!route.is_public && !IsAuthorized(*exchange)) {
+      context_->metrics.Count("operator_refusals_total");
       ReplyError(exchange, 401, "key",
                  "the operators' key is missing or wrong");
       return;
@@ -67,7 +68,8 @@
   exchange->Reply(200, kJsonType, WriteConfiguration(c));
 }
 
-static std::vector<PolicyFile> FilesOf(const Json& v, Findings* findings) {
+static std::vector<PolicyFile> ParsePolicyFiles(const Json& v,
+                                                Findings* findings) {
   std::vector<PolicyFile> files;
   const Json list = v.is_object() ? v.value("policy", Json()) : Json();
   if (!list.is_array() || list.empty()) {
@@ -99,7 +101,7 @@
   const Json v = ParseJson(exchange->body());
   Findings findings;
   SubmissionRequest request;
-  request.policy = FilesOf(v, &findings);
+  request.policy = ParsePolicyFiles(v, &findings);
   request.id = JsonField<std::string>(v, "id", "");
   request.author = JsonField<std::string>(v, "author", "");
   if (request.id.empty()) findings.Add("body", 0, "id must be a text");
@@ -116,30 +118,30 @@
     return;
   }
   // Values of the platform's service are at most a megabyte.
-  constexpr size_t kMostBytes = 512 << 10;
+  constexpr size_t kMaxPolicyBytes = 512 << 10;
   size_t bytes = 0;
   for (const PolicyFile& f : request.policy) bytes += f.source.size();
-  if (bytes > kMostBytes) {
+  if (bytes > kMaxPolicyBytes) {
     ReplyError(exchange, 413, "size", "the policy is over 512 KiB");
     return;
   }
   const std::string id = request.id;
   Submission<StoreClient, EventLoop>::Start(
-      &parts_->store, parts_->loop, std::move(request),
+      &context_->store, context_->loop, std::move(request),
       [this, exchange, id](const SubmissionResult& result) {
-        parts_->timeline.Add(EventKind::kSubmissionDecided, id,
-                             std::string(SubmissionStatusName(result.status)) +
-                                 ", generation " +
-                                 std::to_string(result.generation));
+        context_->timeline.Add(
+            EventKind::kSubmissionDecided, id,
+            std::string(SubmissionStatusName(result.status)) + ", generation " +
+                std::to_string(result.generation));
         if (result.status == SubmissionStatus::kAccepted) {
           documents_->AdoptAccepted(result.configuration);
         }
-        AnswerSubmission(exchange, result);
+        ReplySubmission(exchange, result);
       });
 }
 
-void OperatorApi::AnswerSubmission(const ExchangePtr& exchange,
-                                   const SubmissionResult& result) {
+void OperatorApi::ReplySubmission(const ExchangePtr& exchange,
+                                  const SubmissionResult& result) {
   static const struct {
     SubmissionStatus status;
     int http;
@@ -165,21 +167,21 @@
     return;
   }
   // The store knows what every box has been told; this box may not yet.
-  parts_->store.Get(
+  context_->store.Get(
       kConfigurationKey, [this, exchange, id](const StoreResult& r) {
         Configuration c = documents_->configuration();
-        const bool told =
+        const bool store_responded =
             r.status == StoreStatus::kOk || r.status == StoreStatus::kMissing;
         if (r.status == StoreStatus::kOk) {
           std::optional<Configuration> stored = ParseConfiguration(r.now.value);
           if (stored) c = std::move(*stored);
         }
         const std::optional<uint64_t> generation = c.GenerationOf(id);
-        const char* status = generation ? "accepted"
-                             : told     ? "absent"
-                                        : "undecided";
+        const char* status = generation        ? "accepted"
+                             : store_responded ? "absent"
+                                               : "undecided";
         exchange->Reply(
-            told || generation ? 200 : 503, kJsonType,
+            store_responded || generation ? 200 : 503, kJsonType,
             DumpJson(Json{{"status", status},
                           {"generation", generation.value_or(c.generation)},
                           {"current_generation", c.generation}}));
@@ -189,16 +191,16 @@
 // --- the time line ---------------------------------------------------------
 
 // Events gathered from all boxes until each has answered or run out of time.
-struct Gathering {
+struct TimelineQuery {
   std::vector<TimelineEvent> events;
-  std::vector<std::string> silent;
-  size_t waiting = 0;
+  std::vector<std::string> unanswered;
+  size_t pending = 0;
 };
 
-static void ReplyTimeline(const ExchangePtr& exchange, Gathering* g) {
-  SortEvents(&g->events);
+static void ReplyTimeline(const ExchangePtr& exchange, TimelineQuery* query) {
+  SortEvents(&query->events);
   Json list = Json::array();
-  for (const TimelineEvent& e : g->events) {
+  for (const TimelineEvent& e : query->events) {
     list.push_back({{"ms", e.time.millis},
                     {"counter", e.time.counter},
                     {"box", e.box},
@@ -208,39 +210,41 @@
                     {"detail", e.detail},
                     {"line", FormatEvent(e)}});
   }
-  exchange->Reply(200, kJsonType,
-                  DumpJson(Json{{"events", list}, {"silent", g->silent}}));
+  exchange->Reply(
+      200, kJsonType,
+      DumpJson(Json{{"events", list}, {"silent", query->unanswered}}));
 }
 
 void OperatorApi::ShowTimeline(ExchangePtr exchange) {
   FetchRequest request;
   request.kind = FetchKind::kTimeline;
   request.request = exchange->query("request");
-  auto g = std::make_shared<Gathering>();
-  g->events = parts_->timeline.Events(request.request);
-  g->waiting = parts_->membership.members().size() + 1;
-  auto arrived = [exchange, g] {
-    if (--g->waiting == 0) ReplyTimeline(exchange, g.get());
+  auto query = std::make_shared<TimelineQuery>();
+  query->events = context_->timeline.Events(request.request);
+  query->pending = context_->membership.members().size() + 1;
+  auto on_reply = [exchange, query] {
+    if (--query->pending == 0) ReplyTimeline(exchange, query.get());
   };
-  for (const auto& [name, m] : parts_->membership.members()) {
-    link_->Fetch(m.row.address, request,
-                 [g, arrived, name = name](std::optional<FetchReply> reply) {
-                   if (reply) {
-                     g->events.insert(g->events.end(), reply->events.begin(),
-                                      reply->events.end());
-                   } else {
-                     g->silent.push_back(name);
-                   }
-                   arrived();
-                 });
+  for (const auto& [name, m] : context_->membership.members()) {
+    link_->Fetch(
+        m.row.address, request,
+        [query, on_reply, name = name](std::optional<FetchReply> reply) {
+          if (reply) {
+            query->events.insert(query->events.end(), reply->events.begin(),
+                                 reply->events.end());
+          } else {
+            query->unanswered.push_back(name);
+          }
+          on_reply();
+        });
   }
-  arrived();
+  on_reply();
 }
 
 // --- state -----------------------------------------------------------------
 
 void OperatorApi::ShowBoxes(ExchangePtr exchange) {
-  const Time now = parts_->loop->now();
+  const Time now = context_->loop->now();
   auto row_json = [](const MemberRow& row, bool suspected) {
     return Json{{"box", row.name},
                 {"hall", row.hall},
@@ -252,24 +256,24 @@
                 {"list", row.versions[1]}};
   };
   Json list = Json::array();
-  list.push_back(row_json(parts_->membership.self(), false));
-  for (const auto& [name, m] : parts_->membership.members()) {
-    list.push_back(row_json(m.row, parts_->membership.Suspected(now, m)));
+  list.push_back(row_json(context_->membership.self(), false));
+  for (const auto& [name, m] : context_->membership.members()) {
+    list.push_back(row_json(m.row, context_->membership.Suspected(now, m)));
   }
   exchange->Reply(200, kJsonType, DumpJson(Json{{"boxes", list}}));
 }
 
 void OperatorApi::ShowEndpoints(ExchangePtr exchange) {
-  const Time now = parts_->loop->now();
+  const Time now = context_->loop->now();
   Json list = Json::array();
-  for (const auto& [name, row] : parts_->table.rows()) {
+  for (const auto& [name, row] : context_->table.rows()) {
     Json v{{"endpoint", name},
            {"role", EndpointRoleName(row.listed.role)},
            {"hall", row.listed.hall},
            {"address", row.listed.address.ToString()},
-           {"takes_new_work", parts_->table.TakesNewWork(now, name)},
-           {"leaving", parts_->table.IsLeaving(name)},
-           {"load", parts_->table.LoadOf(name)},
+           {"takes_new_work", context_->table.TakesNewWork(now, name)},
+           {"leaving", context_->table.IsLeaving(name)},
+           {"load", context_->table.LoadOf(name)},
            {"own", row.own}};
     if (row.report) {
       v["slots"] = row.report->slots;
@@ -285,7 +289,7 @@
 
 void OperatorApi::ShowMetrics(ExchangePtr exchange) {
   if (refresh_metrics_) refresh_metrics_();
-  exchange->Reply(200, "text/plain; version=0.0.4", parts_->metrics.Text());
+  exchange->Reply(200, "text/plain; version=0.0.4", context_->metrics.Text());
 }
 
 void OperatorApi::ShowHealth(ExchangePtr exchange) {
--- a/pinford/operator_api.h
+++ b/pinford/operator_api.h
@@ -27,7 +27,7 @@
 
 class OperatorApi {
  public:
-  OperatorApi(BoxParts* parts, Documents* documents, PeerLink* link);
+  OperatorApi(BoxParts* context, Documents* documents, PeerLink* link);
 
   void OnRequest(ExchangePtr exchange);
 
@@ -42,16 +42,16 @@
   struct Route {
     HttpMethod method;
     const char* path;
-    bool open;  // asks for no key
+    bool is_public;  // asks for no key
     Handler handler;
   };
   static const Route kRoutes[];
 
-  bool HasKey(const HttpExchange& exchange) const;
+  bool IsAuthorized(const HttpExchange& exchange) const;
   void ShowConfiguration(ExchangePtr exchange);
   void Submit(ExchangePtr exchange);
-  void AnswerSubmission(const ExchangePtr& exchange,
-                        const SubmissionResult& result);
+  void ReplySubmission(const ExchangePtr& exchange,
+                       const SubmissionResult& result);
   void ShowSubmission(ExchangePtr exchange);
   void ShowTimeline(ExchangePtr exchange);
   void ShowBoxes(ExchangePtr exchange);
@@ -60,7 +60,7 @@
   void ShowHealth(ExchangePtr exchange);
   void ShowReady(ExchangePtr exchange);
 
-  BoxParts* parts_;
+  BoxParts* context_;
   Documents* documents_;
   PeerLink* link_;
   std::function<void()> refresh_metrics_;
--- a/pinford/peer_link.cc
+++ b/pinford/peer_link.cc
@@ -13,8 +13,8 @@
 
 namespace pinford {
 
-static constexpr Duration kFetchLimit = seconds(2);
-static constexpr size_t kLengthSize = 4;
+static constexpr Duration kFetchTimeout = seconds(2);
+static constexpr size_t kLengthBytes = 4;
 
 // An address in the form that the socket calls take.
 struct SocketAddress {
@@ -23,15 +23,15 @@
   sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
 };
 
-static bool Resolve(const std::string& text, SocketAddress* out) {
+static bool ParseSocketAddress(const std::string& text, SocketAddress* out) {
   return evutil_parse_sockaddr_port(text.c_str(), out->get(), &out->size) == 0;
 }
 
 // One connection, on either side.
-struct PeerLink::Exchange {
+struct PeerLink::Connection {
   PeerLink* link;
   bufferevent* bev;
-  bool asking = false;
+  bool is_client = false;
   std::function<void(std::optional<FetchReply>)> fn;  // of the asking side
   TimerId timer = 0;
 };
@@ -40,10 +40,10 @@
     : loop_(loop), codec_(std::move(codec)), handlers_(std::move(handlers)) {}
 
 PeerLink::~PeerLink() {
-  for (auto& [p, exchange] : exchanges_) {
-    exchange->fn = nullptr;
-    if (exchange->timer != 0) loop_->Cancel(exchange->timer);
-    bufferevent_free(exchange->bev);
+  for (auto& [p, connection] : connections_) {
+    connection->fn = nullptr;
+    if (connection->timer != 0) loop_->Cancel(connection->timer);
+    bufferevent_free(connection->bev);
   }
   if (listener_ != nullptr) evconnlistener_free(listener_);
   if (socket_ >= 0) close(socket_);
@@ -51,7 +51,7 @@
 
 bool PeerLink::Listen(const Address& address) {
   SocketAddress at;
-  if (!Resolve(address.ToString(), &at)) return false;
+  if (!ParseSocketAddress(address.ToString(), &at)) return false;
   socket_ = socket(at.get()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK, 0);
   if (socket_ < 0) return false;
   if (bind(socket_, at.get(), static_cast<socklen_t>(at.size)) != 0) {
@@ -92,8 +92,8 @@
 
 void PeerLink::SendBytes(const std::string& to, const std::string& bytes) {
   SocketAddress at;
-  if (!Resolve(to, &at)) return;
-  if (bytes.size() > kMaxDatagram) {
+  if (!ParseSocketAddress(to, &at)) return;
+  if (bytes.size() > kMaxDatagramBytes) {
     dropped_++;
     return;
   }
@@ -105,9 +105,9 @@
 
 void PeerLink::ReceiveAll() {
   // Bounded, so that a flood of datagrams cannot hold up the loop.
-  constexpr int kMostAtOnce = 64;
-  std::string bytes(kMaxDatagram + 1, '\0');
-  for (int i = 0; i < kMostAtOnce; i++) {
+  constexpr int kMaxDatagramsPerRead = 64;
+  std::string bytes(kMaxDatagramBytes + 1, '\0');
+  for (int i = 0; i < kMaxDatagramsPerRead; i++) {
     const ssize_t n = recv(socket_, bytes.data(), bytes.size(), 0);
     if (n <= 0) return;
     bytes_received_ += n;
@@ -140,29 +140,29 @@
   return true;
 }
 
-PeerLink::Exchange* PeerLink::NewExchange(int fd) {
-  auto owned = std::make_unique<Exchange>();
-  Exchange* exchange = owned.get();
-  exchange->link = this;
-  exchange->bev =
+PeerLink::Connection* PeerLink::NewConnection(int fd) {
+  auto owned = std::make_unique<Connection>();
+  Connection* connection = owned.get();
+  connection->link = this;
+  connection->bev =
       bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE);
-  bufferevent_setcb(exchange->bev, OnRead, nullptr, OnEvent, exchange);
-  bufferevent_setwatermark(exchange->bev, EV_READ, 0,
-                           kMaxPeerMessage + kLengthSize);
-  bufferevent_enable(exchange->bev, EV_READ | EV_WRITE);
-  exchange->timer = loop_->After(kFetchLimit, [this, exchange] {
-    exchange->timer = 0;
-    Close(exchange);
+  bufferevent_setcb(connection->bev, OnRead, nullptr, OnEvent, connection);
+  bufferevent_setwatermark(connection->bev, EV_READ, 0,
+                           kMaxPeerMessage + kLengthBytes);
+  bufferevent_enable(connection->bev, EV_READ | EV_WRITE);
+  connection->timer = loop_->After(kFetchTimeout, [this, connection] {
+    connection->timer = 0;
+    Close(connection);
   });
-  exchanges_[exchange] = std::move(owned);
-  return exchange;
+  connections_[connection] = std::move(owned);
+  return connection;
 }
 
-void PeerLink::Close(Exchange* exchange) {
-  auto it = exchanges_.find(exchange);
-  if (it == exchanges_.end()) return;
-  std::unique_ptr<Exchange> owned = std::move(it->second);
-  exchanges_.erase(it);
+void PeerLink::Close(Connection* connection) {
+  auto it = connections_.find(connection);
+  if (it == connections_.end()) return;
+  std::unique_ptr<Connection> owned = std::move(it->second);
+  connections_.erase(it);
   if (owned->timer != 0) loop_->Cancel(owned->timer);
   bufferevent_free(owned->bev);
   if (owned->fn) owned->fn(std::nullopt);
@@ -177,25 +177,25 @@
 void PeerLink::Fetch(const std::string& from, const FetchRequest& request,
                      std::function<void(std::optional<FetchReply>)> fn) {
   SocketAddress at;
-  if (!Resolve(from, &at)) {
+  if (!ParseSocketAddress(from, &at)) {
     loop_->After(Duration(0), [fn = std::move(fn)] { fn(std::nullopt); });
     return;
   }
-  Exchange* exchange = NewExchange(-1);
-  exchange->asking = true;
-  exchange->fn = std::move(fn);
+  Connection* connection = NewConnection(-1);
+  connection->is_client = true;
+  connection->fn = std::move(fn);
   const std::string message = codec_.Encode(request);
-  WriteFrame(exchange->bev, message);
+  WriteFrame(connection->bev, message);
   bytes_sent_ += static_cast<int64_t>(message.size());
-  if (bufferevent_socket_connect(exchange->bev, at.get(), at.size) != 0) {
-    loop_->After(Duration(0), [this, exchange] { Close(exchange); });
+  if (bufferevent_socket_connect(connection->bev, at.get(), at.size) != 0) {
+    loop_->After(Duration(0), [this, connection] { Close(connection); });
   }
 }
 
-void PeerLink::Accept(int fd) { NewExchange(fd); }
+void PeerLink::Accept(int fd) { NewConnection(fd); }
 
 void PeerLink::OnRead(bufferevent* bev, void* arg) {
-  auto* exchange = static_cast<Exchange*>(arg);
+  auto* connection = static_cast<Connection*>(arg);
   evbuffer* in = bufferevent_get_input(bev);
   uint32_t n = 0;
   if (evbuffer_copyout(in, &n, sizeof(n)) < static_cast<ssize_t>(sizeof(n))) {
@@ -203,51 +203,51 @@
   }
   n = ntohl(n);
   if (n > kMaxPeerMessage) {
-    exchange->link->dropped_++;
-    exchange->link->Close(exchange);
+    connection->link->dropped_++;
+    connection->link->Close(connection);
     return;
   }
-  if (evbuffer_get_length(in) < kLengthSize + n) return;
-  evbuffer_drain(in, kLengthSize);
+  if (evbuffer_get_length(in) < kLengthBytes + n) return;
+  evbuffer_drain(in, kLengthBytes);
   std::string message(n, '\0');
   evbuffer_remove(in, message.data(), n);
-  exchange->link->bytes_received_ += n;
-  exchange->link->Received(exchange, message);
+  connection->link->bytes_received_ += n;
+  connection->link->OnMessage(connection, message);
 }
 
-void PeerLink::Received(Exchange* exchange, const std::string& message) {
-  if (exchange->asking) {
+void PeerLink::OnMessage(Connection* connection, const std::string& message) {
+  if (connection->is_client) {
     std::optional<FetchReply> reply = codec_.DecodeFetchReply(message);
     if (!reply) dropped_++;
-    auto fn = std::move(exchange->fn);
-    exchange->fn = nullptr;
-    Close(exchange);
+    auto fn = std::move(connection->fn);
+    connection->fn = nullptr;
+    Close(connection);
     fn(std::move(reply));
     return;
   }
   std::optional<FetchRequest> request = codec_.DecodeFetchRequest(message);
   if (!request) {
     dropped_++;
-    Close(exchange);
+    Close(connection);
     return;
   }
   const std::string reply = codec_.Encode(handlers_.on_fetch(*request));
   bytes_sent_ += static_cast<int64_t>(reply.size());
-  bufferevent_setcb(exchange->bev, nullptr, OnWritten, OnEvent, exchange);
-  WriteFrame(exchange->bev, reply);
+  bufferevent_setcb(connection->bev, nullptr, OnWritten, OnEvent, connection);
+  WriteFrame(connection->bev, reply);
 }
 
 void PeerLink::OnWritten(bufferevent* bev, void* arg) {
-  auto* exchange = static_cast<Exchange*>(arg);
+  auto* connection = static_cast<Connection*>(arg);
   if (evbuffer_get_length(bufferevent_get_output(bev)) > 0) return;
   // The asking side closes once it has read; the timer is the last bound.
-  bufferevent_setcb(bev, nullptr, nullptr, OnEvent, exchange);
+  bufferevent_setcb(bev, nullptr, nullptr, OnEvent, connection);
 }
 
 void PeerLink::OnEvent(bufferevent*, short what, void* arg) {
   if ((what & (BEV_EVENT_ERROR | BEV_EVENT_EOF)) == 0) return;
-  auto* exchange = static_cast<Exchange*>(arg);
-  exchange->link->Close(exchange);
+  auto* connection = static_cast<Connection*>(arg);
+  connection->link->Close(connection);
 }
 
 }  // namespace pinford
--- a/pinford/peer_link.h
+++ b/pinford/peer_link.h
@@ -56,26 +56,26 @@
   int64_t bytes_received() const { return bytes_received_; }
 
  private:
-  struct Exchange;
+  struct Connection;
 
   void SendBytes(const std::string& to, const std::string& bytes);
   void ReceiveAll();
   void Receive(std::string_view bytes);
   bool ReceiveRetries(std::string_view bytes);
   void Accept(int fd);
-  Exchange* NewExchange(int fd);
+  Connection* NewConnection(int fd);
   static void OnRead(bufferevent* bev, void* arg);
   static void OnEvent(bufferevent* bev, short what, void* arg);
   static void OnWritten(bufferevent* bev, void* arg);
-  void Received(Exchange* exchange, const std::string& message);
-  void Close(Exchange* exchange);
+  void OnMessage(Connection* connection, const std::string& message);
+  void Close(Connection* connection);
 
   EventLoop* loop_;
   PeerCodec codec_;
   Handlers handlers_;
   int socket_ = -1;
   evconnlistener* listener_ = nullptr;
-  std::map<Exchange*, std::unique_ptr<Exchange>> exchanges_;
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;
   int64_t dropped_ = 0;
   int64_t bytes_sent_ = 0;
   int64_t bytes_received_ = 0;
--- a/pinford/peer_messages.cc
+++ b/pinford/peer_messages.cc
@@ -16,7 +16,7 @@
 
 namespace pinford {
 
-enum class Form : uint8_t {
+enum class MessageType : uint8_t {
   kDigest = 1,
   kFetchRequest = 2,
   kFetchReply = 3,
@@ -25,7 +25,7 @@
   kRetryLoan = 6,
 };
 
-static constexpr size_t kTagSize = 16;
+static constexpr size_t kTagBytes = 16;
 static constexpr uint32_t kMaxItems = 100000;
 
 using Writer = cereal::PortableBinaryOutputArchive;
@@ -34,30 +34,30 @@
 // One pair of functions serves both directions: Put for a Writer and a Reader
 // alike, so a field cannot be written one way and read another.
 template <typename T>
-concept Plain = std::is_arithmetic_v<T> || std::is_enum_v<T>;
+concept Scalar = std::is_arithmetic_v<T> || std::is_enum_v<T>;
 
-template <Plain T>
-static void Put(Writer& ar, const T& v) {
+template <Scalar T>
+static void Serialize(Writer& ar, const T& v) {
   ar(v);
 }
-template <Plain T>
-static void Put(Reader& ar, T& v) {
+template <Scalar T>
+static void Serialize(Reader& ar, T& v) {
   ar(v);
 }
 
-static void Put(Writer& ar, const std::string& v) {
+static void Serialize(Writer& ar, const std::string& v) {
   ar(static_cast<uint32_t>(v.size()));
   ar(cereal::binary_data(v.data(), v.size()));
 }
-static void Put(Reader& ar, std::string& v) {
+static void Serialize(Reader& ar, std::string& v) {
   uint32_t n = 0;
   ar(n);
   if (n > kMaxPeerMessage) throw cereal::Exception("text too long");
   // In pieces, so that a false length ends at the end of the input.
-  constexpr uint32_t kPiece = 1 << 16;
+  constexpr uint32_t kChunkBytes = 1 << 16;
   v.clear();
   while (n > 0) {
-    const uint32_t m = std::min(n, kPiece);
+    const uint32_t m = std::min(n, kChunkBytes);
     const size_t at = v.size();
     v.resize(at + m);
     ar(cereal::binary_data(v.data() + at, m));
@@ -66,124 +66,125 @@
 }
 
 template <typename Ar, typename T>
-static void Fields(Ar& ar, T& m);
+static void SerializeFields(Ar& ar, T& m);
 
 template <typename T>
-static void PutList(Writer& ar, const std::vector<T>& list) {
+static void SerializeList(Writer& ar, const std::vector<T>& list) {
   ar(static_cast<uint32_t>(list.size()));
-  for (const T& v : list) Fields(ar, v);
+  for (const T& v : list) SerializeFields(ar, v);
 }
 template <typename T>
-static void PutList(Reader& ar, std::vector<T>& list) {
+static void SerializeList(Reader& ar, std::vector<T>& list) {
   uint32_t n = 0;
   ar(n);
   if (n > kMaxItems) throw cereal::Exception("list too long");
   list.clear();
-  for (uint32_t i = 0; i < n; i++) Fields(ar, list.emplace_back());
+  for (uint32_t i = 0; i < n; i++) SerializeFields(ar, list.emplace_back());
 }
 
 template <typename Ar, typename T>
-static void Fields(Ar& ar, T& m) {
+static void SerializeFields(Ar& ar, T& m) {
   using M = std::remove_const_t<T>;
   if constexpr (std::is_same_v<M, MemberRow>) {
-    Put(ar, m.name);
-    Put(ar, m.hall);
-    Put(ar, m.address);
-    Put(ar, m.incarnation);
-    Put(ar, m.heartbeat);
-    Put(ar, m.state);
-    for (auto& v : m.versions) Put(ar, v);
+    Serialize(ar, m.name);
+    Serialize(ar, m.hall);
+    Serialize(ar, m.address);
+    Serialize(ar, m.incarnation);
+    Serialize(ar, m.heartbeat);
+    Serialize(ar, m.state);
+    for (auto& v : m.versions) Serialize(ar, v);
   } else if constexpr (std::is_same_v<M, MemberBeat>) {
-    Put(ar, m.id);
-    Put(ar, m.incarnation);
-    Put(ar, m.heartbeat);
+    Serialize(ar, m.id);
+    Serialize(ar, m.incarnation);
+    Serialize(ar, m.heartbeat);
   } else if constexpr (std::is_same_v<M, EndpointCount>) {
-    Put(ar, m.id);
-    Put(ar, m.count);
-    Put(ar, m.entries);
+    Serialize(ar, m.id);
+    Serialize(ar, m.count);
+    Serialize(ar, m.entries);
   } else if constexpr (std::is_same_v<M, LeavingMark>) {
-    Put(ar, m.first);
-    Put(ar, m.second);
+    Serialize(ar, m.first);
+    Serialize(ar, m.second);
   } else if constexpr (std::is_same_v<M, TimelineEvent>) {
-    Put(ar, m.time.millis);
-    Put(ar, m.time.counter);
-    Put(ar, m.box);
-    Put(ar, m.incarnation);
-    Put(ar, m.sequence);
-    Put(ar, m.kind);
-    Put(ar, m.request);
-    Put(ar, m.detail);
+    Serialize(ar, m.time.millis);
+    Serialize(ar, m.time.counter);
+    Serialize(ar, m.box);
+    Serialize(ar, m.incarnation);
+    Serialize(ar, m.sequence);
+    Serialize(ar, m.kind);
+    Serialize(ar, m.request);
+    Serialize(ar, m.detail);
   } else if constexpr (std::is_same_v<M, Digest>) {
-    Put(ar, m.time.millis);
-    Put(ar, m.time.counter);
-    Fields(ar, m.sender);
-    PutList(ar, m.joined);
-    PutList(ar, m.beats);
-    PutList(ar, m.counts);
-    PutList(ar, m.leaving);
-    Put(ar, m.running);
-    Put(ar, m.waiting);
-    Put(ar, m.proof_age_ms);
+    Serialize(ar, m.time.millis);
+    Serialize(ar, m.time.counter);
+    SerializeFields(ar, m.sender);
+    SerializeList(ar, m.joined);
+    SerializeList(ar, m.beats);
+    SerializeList(ar, m.counts);
+    SerializeList(ar, m.leaving);
+    Serialize(ar, m.running);
+    Serialize(ar, m.waiting);
+    Serialize(ar, m.proof_age_ms);
   } else if constexpr (std::is_same_v<M, std::string>) {
-    Put(ar, m);
+    Serialize(ar, m);
   } else if constexpr (std::is_same_v<M, DownNote>) {
-    PutList(ar, m.endpoints);
+    SerializeList(ar, m.endpoints);
   } else if constexpr (std::is_same_v<M, RetryAsk>) {
-    Put(ar, m.nonce);
-    Put(ar, m.from);
-    Put(ar, m.service);
-    Put(ar, m.count);
+    Serialize(ar, m.nonce);
+    Serialize(ar, m.from);
+    Serialize(ar, m.service);
+    Serialize(ar, m.count);
   } else if constexpr (std::is_same_v<M, RetryLoan>) {
-    Put(ar, m.nonce);
-    Put(ar, m.count);
+    Serialize(ar, m.nonce);
+    Serialize(ar, m.count);
   } else if constexpr (std::is_same_v<M, FetchRequest>) {
-    Put(ar, m.kind);
-    Put(ar, m.above_version);
-    Put(ar, m.request);
-    for (auto& v : m.above_versions) Put(ar, v);
-    Fields(ar, m.list);
+    Serialize(ar, m.kind);
+    Serialize(ar, m.above_version);
+    Serialize(ar, m.request);
+    for (auto& v : m.above_versions) Serialize(ar, v);
+    SerializeFields(ar, m.list);
   } else if constexpr (std::is_same_v<M, DocumentState>) {
-    Put(ar, m.version);
-    Put(ar, m.proof_age_ms);
-    Put(ar, m.body);
-    Put(ar, m.changes);
-    Fields(ar, m.list);
+    Serialize(ar, m.version);
+    Serialize(ar, m.proof_age_ms);
+    Serialize(ar, m.body);
+    Serialize(ar, m.changes);
+    SerializeFields(ar, m.list);
   } else if constexpr (std::is_same_v<M, ListCursor>) {
-    Put(ar, m.life);
-    Put(ar, m.at);
+    Serialize(ar, m.life);
+    Serialize(ar, m.at);
   } else {
     static_assert(std::is_same_v<M, FetchReply>);
-    Put(ar, m.kind);
-    Put(ar, m.version);
-    Put(ar, m.store_fails);
-    Put(ar, m.body);
-    PutList(ar, m.events);
-    PutList(ar, m.members);
-    for (auto& d : m.documents) Fields(ar, d);
+    Serialize(ar, m.kind);
+    Serialize(ar, m.version);
+    Serialize(ar, m.store_fails);
+    Serialize(ar, m.body);
+    SerializeList(ar, m.events);
+    SerializeList(ar, m.members);
+    for (auto& d : m.documents) SerializeFields(ar, d);
   }
 }
 
 template <typename M>
-static std::string Write(Form form, const M& m) {
+static std::string EncodePayload(MessageType type, const M& m) {
   std::ostringstream out;
   {
     Writer ar(out);
-    Put(ar, form);
-    Fields(ar, m);
+    Serialize(ar, type);
+    SerializeFields(ar, m);
   }
   return out.str();
 }
 
 template <typename M>
-static std::optional<M> Read(Form form, std::string_view payload) {
+static std::optional<M> DecodePayload(MessageType type,
+                                      std::string_view payload) {
   std::istringstream in{std::string(payload)};
   M m;
   try {
     Reader ar(in);
-    Form found{};
-    Put(ar, found);
-    if (found != form) return std::nullopt;
-    Fields(ar, m);
+    MessageType actual_type{};
+    Serialize(ar, actual_type);
+    if (actual_type != type) return std::nullopt;
+    SerializeFields(ar, m);
   } catch (const std::exception&) {
     return std::nullopt;
   }
@@ -192,10 +193,10 @@
 }
 
 EndpointCount CountOf(const std::string& name, const EndpointTable::Row& row) {
-  const auto bounded = [](int n) {
+  const auto saturate = [](int n) {
     return static_cast<uint16_t>(std::min<int>(n, UINT16_MAX));
   };
-  return {NameId(name), bounded(row.own_work), bounded(row.own_entries)};
+  return {NameId(name), saturate(row.own_work), saturate(row.own_entries)};
 }
 
 static std::string Tag(const std::string& key, std::string_view payload) {
@@ -204,79 +205,81 @@
   HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
        reinterpret_cast<const unsigned char*>(payload.data()), payload.size(),
        digest, &n);
-  return {reinterpret_cast<const char*>(digest), kTagSize};
+  return {reinterpret_cast<const char*>(digest), kTagBytes};
 }
 
 std::string PeerCodec::Seal(const std::string& payload) const {
   return Tag(key_, payload) + payload;
 }
 
-std::optional<std::string_view> PeerCodec::Open(std::string_view bytes) const {
-  if (bytes.size() <= kTagSize) return std::nullopt;
-  const std::string_view payload = bytes.substr(kTagSize);
+std::optional<std::string_view> PeerCodec::Verify(
+    std::string_view bytes) const {
+  if (bytes.size() <= kTagBytes) return std::nullopt;
+  const std::string_view payload = bytes.substr(kTagBytes);
   const std::string tag = Tag(key_, payload);
-  if (CRYPTO_memcmp(tag.data(), bytes.data(), kTagSize) != 0) {
+  if (CRYPTO_memcmp(tag.data(), bytes.data(), kTagBytes) != 0) {
     return std::nullopt;
   }
   return payload;
 }
 
 std::string PeerCodec::Encode(const Digest& m) const {
-  return Seal(Write(Form::kDigest, m));
+  return Seal(EncodePayload(MessageType::kDigest, m));
 }
 std::string PeerCodec::Encode(const DownNote& m) const {
-  return Seal(Write(Form::kDownNote, m));
+  return Seal(EncodePayload(MessageType::kDownNote, m));
 }
 std::string PeerCodec::Encode(const RetryAsk& m) const {
-  return Seal(Write(Form::kRetryAsk, m));
+  return Seal(EncodePayload(MessageType::kRetryAsk, m));
 }
 std::string PeerCodec::Encode(const RetryLoan& m) const {
-  return Seal(Write(Form::kRetryLoan, m));
+  return Seal(EncodePayload(MessageType::kRetryLoan, m));
 }
 std::string PeerCodec::Encode(const FetchRequest& m) const {
-  return Seal(Write(Form::kFetchRequest, m));
+  return Seal(EncodePayload(MessageType::kFetchRequest, m));
 }
 std::string PeerCodec::Encode(const FetchReply& m) const {
-  return Seal(Write(Form::kFetchReply, m));
+  return Seal(EncodePayload(MessageType::kFetchReply, m));
 }
 
 std::optional<Digest> PeerCodec::DecodeDigest(std::string_view bytes) const {
-  auto payload = Open(bytes);
+  auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  return Read<Digest>(Form::kDigest, *payload);
+  return DecodePayload<Digest>(MessageType::kDigest, *payload);
 }
 std::optional<DownNote> PeerCodec::DecodeDownNote(
     std::string_view bytes) const {
-  auto payload = Open(bytes);
+  auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  return Read<DownNote>(Form::kDownNote, *payload);
+  return DecodePayload<DownNote>(MessageType::kDownNote, *payload);
 }
 std::optional<RetryAsk> PeerCodec::DecodeRetryAsk(
     std::string_view bytes) const {
-  auto payload = Open(bytes);
+  auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  std::optional<RetryAsk> ask = Read<RetryAsk>(Form::kRetryAsk, *payload);
+  std::optional<RetryAsk> ask =
+      DecodePayload<RetryAsk>(MessageType::kRetryAsk, *payload);
   if (!ask || ask->from.size() > kMostAskFrom) return std::nullopt;
   if (ask->service.size() > kMostAskService) return std::nullopt;
   return ask;
 }
 std::optional<RetryLoan> PeerCodec::DecodeRetryLoan(
     std::string_view bytes) const {
-  auto payload = Open(bytes);
+  auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  return Read<RetryLoan>(Form::kRetryLoan, *payload);
+  return DecodePayload<RetryLoan>(MessageType::kRetryLoan, *payload);
 }
 std::optional<FetchRequest> PeerCodec::DecodeFetchRequest(
     std::string_view bytes) const {
-  auto payload = Open(bytes);
+  auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  return Read<FetchRequest>(Form::kFetchRequest, *payload);
+  return DecodePayload<FetchRequest>(MessageType::kFetchRequest, *payload);
 }
 std::optional<FetchReply> PeerCodec::DecodeFetchReply(
     std::string_view bytes) const {
-  auto payload = Open(bytes);
+  auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  return Read<FetchReply>(Form::kFetchReply, *payload);
+  return DecodePayload<FetchReply>(MessageType::kFetchReply, *payload);
 }
 
 }  // namespace pinford
--- a/pinford/peer_messages.h
+++ b/pinford/peer_messages.h
@@ -166,13 +166,13 @@
   std::string Seal(const std::string& payload) const;
 
  private:
-  std::optional<std::string_view> Open(std::string_view bytes) const;
+  std::optional<std::string_view> Verify(std::string_view bytes) const;
 
   std::string key_;
 };
 
 // Largest datagram that is sent or taken.
-inline constexpr size_t kMaxDatagram = 60000;
+inline constexpr size_t kMaxDatagramBytes = 60000;
 // Largest message on a connection.
 inline constexpr size_t kMaxPeerMessage = 8 << 20;
 
--- a/pinford/plain_client.cc
+++ b/pinford/plain_client.cc
@@ -16,9 +16,9 @@
   return leaving ? CallStatus::kRefusedLeaving : CallStatus::kRefusedBusy;
 }
 
-uint64_t PlainClient::SendCall(const std::string& endpoint,
-                               const ServiceCall& call, bool once,
-                               std::function<void(CallResult)> fn) {
+uint64_t HttpServiceClient::SendCall(const std::string& endpoint,
+                                     const ServiceCall& call, bool once,
+                                     std::function<void(CallResult)> fn) {
   HttpCall out;
   out.method = HttpMethodNamed(call.method);
   out.to = table_->AddressOf(endpoint).value_or(Address{"127.0.0.1", 0});
--- a/pinford/plain_client.h
+++ b/pinford/plain_client.h
@@ -16,9 +16,9 @@
 
 namespace pinford {
 
-class PlainClient {
+class HttpServiceClient {
  public:
-  PlainClient(HttpClient* http, const EndpointTable* table)
+  HttpServiceClient(HttpClient* http, const EndpointTable* table)
       : http_(http), table_(table) {}
 
   // ServiceClient.
@@ -31,7 +31,7 @@
   const EndpointTable* table_;
 };
 
-static_assert(ServiceClient<PlainClient>);
+static_assert(ServiceClient<HttpServiceClient>);
 
 }  // namespace pinford
 
--- a/pinford/store_client.cc
+++ b/pinford/store_client.cc
@@ -52,7 +52,7 @@
   return out;
 }
 
-void StoreClient::NoteReachable(bool reachable) {
+void StoreClient::SetReachable(bool reachable) {
   if (down_ == !reachable) return;
   down_ = !reachable;
   if (on_change_) on_change_(down_);
@@ -73,8 +73,8 @@
   call.to = address_;
   http_->Send(std::move(call), [this, fn = std::move(fn)](HttpResult r) {
     const StoreResult result = ResultOf(r);
-    NoteReachable(result.status != StoreStatus::kNotSent &&
-                  result.status != StoreStatus::kUnknown);
+    SetReachable(result.status != StoreStatus::kNotSent &&
+                 result.status != StoreStatus::kUnknown);
     fn(result);
   });
 }
--- a/pinford/store_client.h
+++ b/pinford/store_client.h
@@ -49,7 +49,7 @@
 
  private:
   void Send(HttpCall call, StoreCallback fn);
-  void NoteReachable(bool reachable);
+  void SetReachable(bool reachable);
 
   EventLoop* loop_;
   HttpClient* http_;
--- a/pinford/testing/box_cost_benchmark.cc
+++ b/pinford/testing/box_cost_benchmark.cc
@@ -21,16 +21,16 @@
     {"a", {0, 3}, 4000, 0}, {"b", {3, 6}, 4000, 0}, {"c", {6, 8}, 4000, 0}};
 
 // Seconds between the tokens of `streams` answers driven without a box.
-class Direct {
+class DirectStream {
  public:
-  explicit Direct(const Cluster& cluster)
+  explicit DirectStream(const Cluster& cluster)
       : cluster_(cluster), http_(&loop_, HttpClient::Options()) {}
 
   std::vector<double> Run(int tokens) {
     run_.emplace("direct", kLayers, std::vector<int>{1, 2, 3},
                  ChainRun::Options());
     run_->Fill({0, kLayers}, {{"a", {0, 3}}, {"b", {3, 6}}, {"c", {6, 8}}});
-    left_ = tokens;
+    tokens_left_ = tokens;
     last_ = loop_.now();
     Step();
     loop_.Run();
@@ -51,7 +51,7 @@
       if (run_->OnReply(*ParseStepReply(r.body)) == ReplyVerdict::kToken) {
         gaps_.push_back(ToSeconds(loop_.now() - last_));
         last_ = loop_.now();
-        if (--left_ == 0) {
+        if (--tokens_left_ == 0) {
           loop_.Stop();
           return;
         }
@@ -64,13 +64,13 @@
   EventLoop loop_;
   HttpClient http_;
   std::optional<ChainRun> run_;
-  int left_ = 0;
+  int tokens_left_ = 0;
   Time last_{};
   std::vector<double> gaps_;
 };
 
 // Seconds between the tokens of one answer streamed by the box.
-std::vector<double> ThroughBox(const Cluster& cluster, int tokens) {
+std::vector<double> BoxTokenGaps(const Cluster& cluster, int tokens) {
   RawCaller caller(cluster.callers(0));
   EventLoop clock;
   caller.Send(RawChatRequest("one two three", tokens));
@@ -100,28 +100,28 @@
 }
 
 // The bounds that a run must keep; beyond one the program fails.
-constexpr double kMostAddedUs = 1000;
-constexpr double kMostRatio = 3;
-constexpr double kMostMegabytes = 128;
+constexpr double kMaxAddedUs = 1000;
+constexpr double kMaxRatio = 3;
+constexpr double kMaxMegabytes = 128;
 
-bool Within(const char* what, double value, double most) {
-  if (value <= most) return true;
-  printf("| BEYOND THE BOUND of %.0f: %s | %.1f |\n", most, what, value);
+bool CheckBound(const char* what, double value, double limit) {
+  if (value <= limit) return true;
+  printf("| BEYOND THE BOUND of %.0f: %s | %.1f |\n", limit, what, value);
   return false;
 }
 
 bool Latency(const Cluster& cluster) {
   constexpr int kTokens = 600;
-  std::vector<double> direct = Direct(cluster).Run(kTokens);
-  std::vector<double> box = ThroughBox(cluster, kTokens);
+  std::vector<double> direct = DirectStream(cluster).Run(kTokens);
+  std::vector<double> box = BoxTokenGaps(cluster, kTokens);
   const double d = Quantile(direct, 0.5) * 1e6;
   const double b = Quantile(box, 0.5) * 1e6;
   printf("| a token, three stages, direct, median | %.0f us |\n", d);
   printf("| the same through the box | %.0f us |\n", b);
   printf("| added by the box to a token | %.0f us |\n", b - d);
   printf("| through the box over direct | %.2f |\n", b / d);
-  const bool added = Within("added us", b - d, kMostAddedUs);
-  return Within("ratio", b / d, kMostRatio) && added;
+  const bool added = CheckBound("added us", b - d, kMaxAddedUs);
+  return CheckBound("ratio", b / d, kMaxRatio) && added;
 }
 
 void Load(Cluster* cluster) {
@@ -133,7 +133,7 @@
     constexpr int kTokens = 40;
     int sent = 0;
     int done = 0;
-    int good = 0;
+    int succeeded = 0;
     std::function<void()> next = [&] {
       if (sent == requests) return;
       HttpCall call;
@@ -143,26 +143,27 @@
       call.body = ChatBody("load " + std::to_string(sent++), kTokens, false);
       call.timeout = seconds(60);
       http.Send(std::move(call), [&](const HttpResult& r) {
-        good += r.ok();
+        succeeded += r.ok();
         if (++done == requests) loop.Stop();
         next();
       });
     };
     const double before = ProcessorSeconds(pid);
-    const Time begun = loop.now();
+    const Time start = loop.now();
     for (int i = 0; i < callers; i++) next();
     loop.Run();
-    const double wall = ToSeconds(loop.now() - begun);
+    const double wall = ToSeconds(loop.now() - start);
     const double used = ProcessorSeconds(pid) - before;
-    const double tokens = static_cast<double>(good) * kTokens;
+    const double tokens = static_cast<double>(succeeded) * kTokens;
     printf("| %d callers: tokens a second | %.0f |\n", callers, tokens / wall);
     printf(
         "| %d callers: box's processor time a token (three steps) | %.0f us "
         "|\n",
         callers, used / tokens * 1e6);
     printf("| %d callers: requests of %d tokens a core-second | %.0f |\n",
-           callers, kTokens, good / used);
-    if (good != requests) printf("| FAILED requests | %d |\n", requests - good);
+           callers, kTokens, succeeded / used);
+    if (succeeded != requests)
+      printf("| FAILED requests | %d |\n", requests - succeeded);
   }
 }
 
@@ -193,8 +194,8 @@
     printf("| resident memory, %d streams%s | %.1f MB |\n", target,
            open ? "" : " (NOT ALL OPEN)", ResidentMegabytes(pid));
   }
-  return Within("MB with 1,000 streams", ResidentMegabytes(pid),
-                kMostMegabytes);
+  return CheckBound("MB with 1,000 streams", ResidentMegabytes(pid),
+                    kMaxMegabytes);
 }
 
 int Main() {
--- a/pinford/testing/cluster.h
+++ b/pinford/testing/cluster.h
@@ -21,7 +21,7 @@
 // A started program. Killed, if it still runs, when this goes.
 class Process {
  public:
-  Process(const std::vector<std::string>& words, const std::string& log);
+  Process(const std::vector<std::string>& args, const std::string& log);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
@@ -55,7 +55,7 @@
                                        {"c0", {6, 8}}, {"c1", {6, 8}}};
     int services = 2;
     bool balancer = false;
-    int balancer_look_ms = 300;
+    int balancer_probe_ms = 300;
     int stop_listen_ms = 600;
     // A file of the source tree; "" submits none.
     std::string policy = "examples/tablewise.lua";
@@ -63,7 +63,7 @@
     bool records = true;
     // This box has another key than its peers, so it is cut off from them;
     // -1 for none.
-    int cut_off = -1;
+    int isolated_box = -1;
   };
 
   Cluster() : Cluster(Options()) {}
@@ -86,17 +86,17 @@
   void StartBox(int i);
   void StartEngine(const EngineSpec& spec);
   // Puts the platform's list as it is now, with `leaving` marked so.
-  void PutList(const std::vector<std::string>& leaving = {});
+  void PublishList(const std::vector<std::string>& leaving = {});
   bool WaitForBoxes(Duration limit);
   bool BoxReady(int box) const;
 
   void SetFault(const Address& standin, const std::string& json);
   // A metric's value at a box, or -1.
   double Metric(int box, const std::string& series) const;
-  HttpResult Operate(int box, HttpMethod method, const std::string& target,
-                     const std::string& body = "") const;
+  HttpResult CallOperator(int box, HttpMethod method, const std::string& target,
+                          const std::string& body = "") const;
   // Runs the pinford program and gives its exit code and output.
-  int Run(const std::vector<std::string>& words, std::string* output) const;
+  int Run(const std::vector<std::string>& args, std::string* output) const;
   // All layer runs of the engines that still answer.
   std::vector<LayerRun> LayerRuns() const;
   std::string Log() const;
@@ -104,7 +104,7 @@
   const Options& options() const { return options_; }
 
  private:
-  std::string SettingsOf(int box) const;
+  std::string BoxSettings(int box) const;
   std::string ListJson(const std::vector<std::string>& leaving) const;
 
   Options options_;
@@ -123,10 +123,10 @@
 std::string RawChatRequest(const std::string& prompt, int max_tokens,
                            const std::string& headers = "");
 // The prompt as the box hands it to the engines.
-std::string ChatPromptOf(const std::string& prompt);
+std::string EnginePrompt(const std::string& prompt);
 // The answer's text, of a whole answer or of a stream; `whole` tells whether
 // it ended as it should.
-std::string AnswerOf(const std::string& body, bool stream, bool* whole);
+std::string ResponseText(const std::string& body, bool stream, bool* complete);
 
 // One raw connection, for callers that misbehave.
 class RawCaller {
@@ -135,7 +135,7 @@
   ~RawCaller();
   bool Send(const std::string& text);
   // Reads until `enough` is in what was read, the end, or the limit.
-  std::string Read(const std::string& enough, Duration limit);
+  std::string Read(const std::string& delimiter, Duration limit);
   // Waits for more than was read before. Gives all that was read.
   const std::string& ReadMore(Duration limit);
   void Close();
--- a/pinford/testing/cluster_standin.cc
+++ b/pinford/testing/cluster_standin.cc
@@ -38,11 +38,10 @@
 
 // --- processes -------------------------------------------------------------
 
-Process::Process(const std::vector<std::string>& words,
-                 const std::string& log) {
+Process::Process(const std::vector<std::string>& args, const std::string& log) {
   std::vector<char*> argv;
-  argv.reserve(words.size() + 1);
-  for (const std::string& w : words)
+  argv.reserve(args.size() + 1);
+  for (const std::string& w : args)
     argv.push_back(const_cast<char*>(w.c_str()));
   argv.push_back(nullptr);
   posix_spawn_file_actions_t actions;
@@ -141,7 +140,7 @@
   return WriteEndpointList(list);
 }
 
-std::string Cluster::SettingsOf(int box) const {
+std::string Cluster::BoxSettings(int box) const {
   const std::string name = BoxName(box);
   std::ostringstream out;
   out << "box: " << name << "\nhall: hall-1\nlisten:\n";
@@ -150,7 +149,7 @@
         << "\n";
   }
   out << "keys:\n  operators: " << kKey << "\n  peers: " << kKey
-      << (box == options_.cut_off ? "-alone" : "-peers")
+      << (box == options_.isolated_box ? "-alone" : "-peers")
       << "\nstore: " << store().ToString()
       << "\nstop: {listen_ms: " << options_.stop_listen_ms << "}\nseeds: [";
   for (int i = 0; i < options_.boxes; i++) {
@@ -163,14 +162,14 @@
 
 void Cluster::StartBox(int i) {
   const std::string file = directory_ + "/" + BoxName(i) + ".yaml";
-  std::ofstream(file) << SettingsOf(i);
+  std::ofstream(file) << BoxSettings(i);
   processes_[BoxName(i)] = std::make_unique<Process>(
       std::vector<std::string>{PINFORD_BINARY, "serve", "--settings=" + file},
       directory_ + "/log");
 }
 
 void Cluster::StartEngine(const EngineSpec& spec) {
-  std::vector<std::string> words = {
+  std::vector<std::string> args = {
       STANDIN_BINARY,
       "engine",
       "--listen=" + addresses_.at(spec.name).ToString(),
@@ -179,8 +178,8 @@
       "--end=" + std::to_string(spec.holds.end),
       "--slots=" + std::to_string(spec.slots),
       "--layer-us=" + std::to_string(spec.layer_us)};
-  if (!options_.records) words.push_back("--no-records");
-  processes_[spec.name] = std::make_unique<Process>(words, directory_ + "/log");
+  if (!options_.records) args.push_back("--no-records");
+  processes_[spec.name] = std::make_unique<Process>(args, directory_ + "/log");
 }
 
 bool Cluster::Start() {
@@ -215,13 +214,13 @@
     }
   }
   if (options_.balancer) {
-    std::vector<std::string> words = {
+    std::vector<std::string> args = {
         STANDIN_BINARY, "balancer", "--listen=" + balancer().ToString(),
-        "--look-ms=" + std::to_string(options_.balancer_look_ms)};
+        "--look-ms=" + std::to_string(options_.balancer_probe_ms)};
     for (int i = 0; i < options_.boxes; i++) {
-      words.push_back(callers(i).ToString());
+      args.push_back(callers(i).ToString());
     }
-    processes_["balancer"] = std::make_unique<Process>(words, log);
+    processes_["balancer"] = std::make_unique<Process>(args, log);
     HttpCall call;
     call.to = balancer();
     call.target = "/readyz";
@@ -247,8 +246,8 @@
       if (!processes_.contains(BoxName(i))) continue;
       if (!BoxReady(i)) return false;
       if (Metric(i, "usable_endpoints") < endpoints) return false;
-      const bool alone = i == options_.cut_off;
-      const int peers = options_.boxes - (options_.cut_off >= 0 ? 1 : 0);
+      const bool alone = i == options_.isolated_box;
+      const int peers = options_.boxes - (options_.isolated_box >= 0 ? 1 : 0);
       if (!alone && Metric(i, "live_boxes") < peers) return false;
     }
     return true;
@@ -257,7 +256,7 @@
   return ready;
 }
 
-void Cluster::PutList(const std::vector<std::string>& leaving) {
+void Cluster::PublishList(const std::vector<std::string>& leaving) {
   HttpCall call;
   call.method = HttpMethod::kPost;
   call.to = store();
@@ -280,15 +279,15 @@
   call.to = operators(box);
   call.target = "/metrics";
   const HttpResult r = CallAndWait(call);
-  const std::string want = "\npinford_" + series + " ";
-  const size_t at = ("\n" + r.body).find(want);
+  const std::string expected = "\npinford_" + series + " ";
+  const size_t at = ("\n" + r.body).find(expected);
   if (!r.ok() || at == std::string::npos) return -1;
-  return strtod(r.body.c_str() + at + want.size() - 1, nullptr);
+  return strtod(r.body.c_str() + at + expected.size() - 1, nullptr);
 }
 
-HttpResult Cluster::Operate(int box, HttpMethod method,
-                            const std::string& target,
-                            const std::string& body) const {
+HttpResult Cluster::CallOperator(int box, HttpMethod method,
+                                 const std::string& target,
+                                 const std::string& body) const {
   HttpCall call;
   call.method = method;
   call.to = operators(box);
@@ -298,12 +297,12 @@
   return CallAndWait(call);
 }
 
-int Cluster::Run(const std::vector<std::string>& words,
+int Cluster::Run(const std::vector<std::string>& args,
                  std::string* output) const {
   const std::string file = directory_ + "/output";
   std::filesystem::remove(file);
   std::vector<std::string> all = {PINFORD_BINARY};
-  all.insert(all.end(), words.begin(), words.end());
+  all.insert(all.end(), args.begin(), args.end());
   Process process(all, file);
   const int code = process.Wait(seconds(20));
   std::ifstream in(file);
@@ -350,23 +349,23 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-std::string ChatPromptOf(const std::string& prompt) {
+std::string EnginePrompt(const std::string& prompt) {
   return "user: " + prompt + "\n";
 }
 
-std::string AnswerOf(const std::string& body, bool stream, bool* whole) {
-  *whole = false;
+std::string ResponseText(const std::string& body, bool stream, bool* complete) {
+  *complete = false;
   if (!stream) {
     const Json v = ParseJson(body);
-    *whole = JsonField<std::string>(v, "outcome", "") == "complete";
-    return *whole ? v["choices"][0]["message"]["content"].get<std::string>()
-                  : "";
+    *complete = JsonField<std::string>(v, "outcome", "") == "complete";
+    return *complete ? v["choices"][0]["message"]["content"].get<std::string>()
+                     : "";
   }
   std::string text;
   std::istringstream in(body);
   std::string line;
   while (std::getline(in, line)) {
-    if (line == "data: [DONE]") *whole = true;
+    if (line == "data: [DONE]") *complete = true;
     if (line.compare(0, 7, "data: {") != 0) continue;
     const Json v = ParseJson(line.substr(6));
     if (!v.contains("choices")) continue;
@@ -395,9 +394,9 @@
          static_cast<ssize_t>(text.size());
 }
 
-std::string RawCaller::Read(const std::string& enough, Duration limit) {
+std::string RawCaller::Read(const std::string& delimiter, Duration limit) {
   const auto end = std::chrono::steady_clock::now() + limit;
-  while (read_.find(enough) == std::string::npos) {
+  while (read_.find(delimiter) == std::string::npos) {
     const auto left = std::chrono::duration_cast<milliseconds>(
         end - std::chrono::steady_clock::now());
     if (left.count() <= 0) break;
--- a/pinford/testing/control_cost_benchmark.cc
+++ b/pinford/testing/control_cost_benchmark.cc
@@ -12,9 +12,9 @@
 namespace pinford {
 namespace {
 
-constexpr double kSeconds = 15;
+constexpr double kMeasuredSeconds = 15;
 
-void Row(int boxes, int engines) {
+void MeasureRow(int boxes, int engines) {
   Cluster::Options options;
   options.boxes = boxes;
   options.services = 0;
@@ -45,9 +45,9 @@
   const double received = sum("peer_bytes_received");
   const double calls = sum("store_calls");
   const double used = processor();
-  const Time begun = clock.now();
-  WaitUntil(FromSeconds(kSeconds), [] { return false; });
-  const double took = ToSeconds(clock.now() - begun);
+  const Time start = clock.now();
+  WaitUntil(FromSeconds(kMeasuredSeconds), [] { return false; });
+  const double took = ToSeconds(clock.now() - start);
   const double used_rate = (processor() - used) / took / boxes;
   const double sent_rate = (sum("peer_bytes_sent") - sent) / took / boxes;
   const double received_rate =
@@ -58,7 +58,7 @@
     memory = std::max(
         memory, ResidentMegabytes(cluster.process(Cluster::BoxName(i)).pid()));
   }
-  std::vector<double> spread;
+  std::vector<double> adoption_ms;
   for (int round = 1; round <= 5; round++) {
     std::string output;
     cluster.Run({"policy", "submit",
@@ -73,11 +73,11 @@
       }
       return true;
     });
-    spread.push_back(ToSeconds(clock.now() - accepted) * 1000);
+    adoption_ms.push_back(ToSeconds(clock.now() - accepted) * 1000);
   }
   printf("| %d | %d | %.2f%% | %.1f | %.0f | %.0f | %.2f | %.0f |\n", boxes,
          engines, used_rate * 100, memory, sent_rate, received_rate, call_rate,
-         Quantile(spread, 1));
+         Quantile(adoption_ms, 1));
   fflush(stdout);
 }
 
@@ -89,7 +89,7 @@
   const struct {
     int boxes, engines;
   } rows[] = {{8, 8}, {16, 8}, {33, 8}, {66, 8}, {8, 32}, {8, 96}};
-  for (const auto& r : rows) Row(r.boxes, r.engines);
+  for (const auto& r : rows) MeasureRow(r.boxes, r.engines);
   return 0;
 }
 
--- a/pinford/testing/process_test.cc
+++ b/pinford/testing/process_test.cc
@@ -39,10 +39,10 @@
 }
 
 // Callers that send one request after the other until they are stopped.
-class Load {
+class LoadGenerator {
  public:
   // To the boxes in turn.
-  Load(std::vector<Address> to, int callers, int tokens)
+  LoadGenerator(std::vector<Address> to, int callers, int tokens)
       : http_(&loop_, HttpClient::Options()),
         to_(std::move(to)),
         tokens_(tokens) {
@@ -51,9 +51,9 @@
 
   // Runs `during` after `lead` and goes on until `length` has passed; then
   // waits for what is under way.
-  void Run(Duration lead, const std::function<void()>& during,
+  void Run(Duration delay, const std::function<void()>& action,
            Duration length) {
-    loop_.After(lead, during);
+    loop_.After(delay, action);
     loop_.After(length, [this] { stopping_ = true; });
     loop_.After(length + seconds(30), [this] { loop_.Stop(); });
     loop_.Run();
@@ -62,19 +62,19 @@
   // One more request, of its own length.
   void Send(const std::string& prompt, int tokens) {
     const bool stream = ++sent % 2 == 0;
-    const Time begun = loop_.now();
+    const Time start = loop_.now();
     http_.Send(Chat(to_[sent % to_.size()], prompt, tokens, stream),
-               [this, prompt, tokens, stream, begun](HttpResult r) {
-                 longest = std::max(longest, loop_.now() - begun);
+               [this, prompt, tokens, stream, start](HttpResult r) {
+                 max_latency = std::max(max_latency, loop_.now() - start);
                  Check(prompt, tokens, stream, r);
                  Next();
                });
   }
 
   int sent = 0;
-  int whole = 0;
-  std::vector<std::string> faults;
-  Duration longest{};
+  int complete = 0;
+  std::vector<std::string> failures;
+  Duration max_latency{};
 
  private:
   void Next() {
@@ -88,15 +88,15 @@
   void Check(const std::string& prompt, int tokens, bool stream,
              const HttpResult& r) {
     bool ended = false;
-    const std::string text = AnswerOf(r.body, stream, &ended);
-    const std::string want =
-        ToyModel().AnswerText(ChatPromptOf(prompt), tokens);
-    if (r.ok() && ended && text == want) {
-      whole++;
+    const std::string text = ResponseText(r.body, stream, &ended);
+    const std::string expected =
+        ToyModel().AnswerText(EnginePrompt(prompt), tokens);
+    if (r.ok() && ended && text == expected) {
+      complete++;
       return;
     }
-    faults.push_back(prompt + ": " + std::string(TransportName(r.transport)) +
-                     " " + std::to_string(r.status) + " " + r.body);
+    failures.push_back(prompt + ": " + std::string(TransportName(r.transport)) +
+                       " " + std::to_string(r.status) + " " + r.body);
   }
 
   EventLoop loop_;
@@ -106,14 +106,14 @@
   bool stopping_ = false;
 };
 
-std::string First(const std::vector<std::string>& faults) {
-  return faults.empty() ? "" : faults[0];
+std::string FirstOrEmpty(const std::vector<std::string>& failures) {
+  return failures.empty() ? "" : failures[0];
 }
 
-TEST(Process, AnswersAreWholeWhileStagesDieFreezeAndLoseReplies) {
+TEST(Process, AnswersAreCompleteDespiteKilledFrozenAndLossyStages) {
   Cluster cluster;
   ASSERT_TRUE(cluster.Start());
-  Load load({cluster.callers(0)}, 16, 20);
+  LoadGenerator load({cluster.callers(0)}, 16, 20);
   load.Run(
       milliseconds(300),
       [&] {
@@ -122,9 +122,9 @@
         cluster.SetFault(cluster.engine("c0"), R"({"lose_replies": 20})");
       },
       seconds(3));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   EXPECT_GT(load.sent, 50);
-  EXPECT_LT(load.longest, seconds(4));
+  EXPECT_LT(load.max_latency, seconds(4));
   cluster.process("b0").Signal(SIGCONT);
   const LayerCheck check = CheckLayers(cluster.LayerRuns(), 8, {});
   for (const std::string& fault : check.faults) {
@@ -133,18 +133,18 @@
         << fault;
   }
   EXPECT_EQ(check.recomputed, 0);
-  printf("longest answer %ld ms, %d answers\n", ToMillis(load.longest),
-         load.whole);
+  printf("longest answer %ld ms, %d answers\n", ToMillis(load.max_latency),
+         load.complete);
 }
 
 TEST(Process, APlannedStopOfEveryBoxInTurnInterruptsNothing) {
   Cluster::Options options;
   options.balancer = true;
-  options.balancer_look_ms = 2000;
+  options.balancer_probe_ms = 2000;
   options.stop_listen_ms = 3000;
   Cluster cluster(options);
   ASSERT_TRUE(cluster.Start());
-  Load load({cluster.balancer()}, 12, 20);
+  LoadGenerator load({cluster.balancer()}, 12, 20);
   // Answers that take far longer than the box goes on listening.
   for (int i = 0; i < 3; i++) load.Send("long " + std::to_string(i), 1000);
   load.Run(
@@ -154,17 +154,17 @@
         cluster.process("a0").Signal(SIGKILL);
       },
       seconds(4));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   EXPECT_EQ(cluster.process("box-0").Wait(seconds(10)), 0);
   cluster.StartBox(0);
   ASSERT_TRUE(WaitUntil(seconds(10), [&] { return cluster.BoxReady(0); }));
   for (int i : {1, 2}) {
-    Load more({cluster.balancer()}, 12, 20);
+    LoadGenerator more({cluster.balancer()}, 12, 20);
     more.Run(
         milliseconds(1500),
         [&] { cluster.process(Cluster::BoxName(i)).Signal(SIGTERM); },
         seconds(5));
-    EXPECT_EQ(more.whole, more.sent) << First(more.faults);
+    EXPECT_EQ(more.complete, more.sent) << FirstOrEmpty(more.failures);
     EXPECT_EQ(cluster.process(Cluster::BoxName(i)).Wait(seconds(10)), 0);
   }
 }
@@ -174,18 +174,18 @@
 TEST(Process, ALeavingEndpointGetsNoNewWorkAfterSeconds) {
   Cluster::Options options;
   options.boxes = 8;
-  options.cut_off = 7;
+  options.isolated_box = 7;
   Cluster cluster(options);
   ASSERT_TRUE(cluster.Start());
   std::vector<Address> boxes;
   boxes.reserve(8);
   for (int i = 0; i < 8; i++) boxes.push_back(cluster.callers(i));
-  Load load(boxes, 24, 10);
+  LoadGenerator load(boxes, 24, 10);
   load.Run(
       milliseconds(500),
       [&] { cluster.SetFault(cluster.engine("a0"), R"({"leaving": true})"); },
       seconds(4));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   HttpCall call;
   call.to = cluster.engine("a0");
   call.target = "/offers";
@@ -209,7 +209,7 @@
          "--key-file=" + cluster.key_file(), "--expect=" + expect, file},
         out);
   };
-  auto everywhere = [&](double generation) {
+  auto adopted_by_all = [&](double generation) {
     for (int i = 0; i < 8; i++) {
       if (cluster.Metric(i, "generation") < generation) return false;
     }
@@ -218,7 +218,7 @@
   std::string output;
   ASSERT_EQ(submit(3, "1", &output), 0) << output;
   const Time accepted = clock.now();
-  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return everywhere(2); }));
+  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(2); }));
   const Duration took = clock.now() - accepted;
   EXPECT_LT(took, seconds(1));
   printf("in force on 8 boxes after %ld ms\n", ToMillis(took));
@@ -229,12 +229,12 @@
   // A write whose reply is lost is accepted all the same.
   cluster.SetFault(cluster.store(), R"({"lose_replies": 1})");
   EXPECT_EQ(submit(4, "2", &output), 0) << output;
-  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return everywhere(3); }));
+  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(3); }));
 
   // A slow store delays a submission and nothing else.
   cluster.SetFault(cluster.store(), R"({"delay_ms": 400})");
   EXPECT_EQ(submit(1, "3", &output), 0) << output;
-  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return everywhere(4); }));
+  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(4); }));
   cluster.SetFault(cluster.store(), R"({"delay_ms": 0})");
 
   // The store is gone: submissions are told so, a box that starts anew takes
@@ -244,14 +244,14 @@
   cluster.process("box-6").Signal(SIGKILL);
   cluster.process("box-6").Wait(seconds(5));
   cluster.StartBox(6);
-  EXPECT_TRUE(WaitUntil(seconds(10), [&] { return everywhere(4); }))
+  EXPECT_TRUE(WaitUntil(seconds(10), [&] { return adopted_by_all(4); }))
       << cluster.Log();
   EXPECT_TRUE(WaitUntil(seconds(5), [&] { return cluster.BoxReady(6); }));
-  bool whole = false;
+  bool complete = false;
   const HttpResult r =
       CallAndWait(Chat(cluster.callers(6), "in the outage", 4, false));
-  AnswerOf(r.body, false, &whole);
-  EXPECT_TRUE(whole) << r.body;
+  ResponseText(r.body, false, &complete);
+  EXPECT_TRUE(complete) << r.body;
   EXPECT_EQ(CallAndWait(Book(cluster.callers(1), "outage")).status, 503);
 }
 
@@ -312,7 +312,7 @@
   EXPECT_EQ(CallAndWait(Book(cluster.callers(2), "")).status, 200);
 }
 
-TEST(Process, ACallerWhoHangsUpCancelsTheWork) {
+TEST(Process, ADisconnectedCallerCancelsTheWork) {
   Cluster cluster;
   ASSERT_TRUE(cluster.Start());
   const std::string request = RawChatRequest("hang up", 2000);
@@ -347,11 +347,11 @@
   for (const EngineSpec& e : options.engines) {
     cluster.SetFault(cluster.engine(e.name), R"({"delay_ms": 40})");
   }
-  Load load({cluster.callers(0)}, 4, 12);
+  LoadGenerator load({cluster.callers(0)}, 4, 12);
   load.Run(
       milliseconds(10), [] {}, milliseconds(100));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
-  EXPECT_GT(load.longest, seconds(1));
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
+  EXPECT_GT(load.max_latency, seconds(1));
 }
 
 // Prompts that wait are bounded in bytes; what is over is refused at once.
@@ -385,7 +385,7 @@
 }
 
 // A caller that asks and does not read is cut, and others are served.
-TEST(Process, ASlowCallerBoundsItsOwnAnswer) {
+TEST(Process, ACallerThatDoesNotReadIsDisconnected) {
   Cluster::Options options;
   options.boxes = 1;
   options.settings = "limits: {unsent_bytes: 4096, tokens: 1000000}\n";
@@ -400,10 +400,10 @@
   }));
   EXPECT_TRUE(WaitUntil(
       seconds(5), [&] { return cluster.Metric(0, "active_requests") == 0; }));
-  bool whole = false;
+  bool complete = false;
   const HttpResult r = CallAndWait(Chat(cluster.callers(0), "quick", 5, false));
-  AnswerOf(r.body, false, &whole);
-  EXPECT_TRUE(whole) << r.body;
+  ResponseText(r.body, false, &complete);
+  EXPECT_TRUE(complete) << r.body;
 }
 
 // A policy asks for two replicas; a runner too many on the first layers is
@@ -416,10 +416,10 @@
   options.settings = "planner: {load_ms: 300}\n";
   Cluster cluster(options);
   ASSERT_TRUE(cluster.Start());
-  Load load({cluster.callers(0), cluster.callers(1)}, 8, 10);
+  LoadGenerator load({cluster.callers(0), cluster.callers(1)}, 8, 10);
   load.Run(
       milliseconds(10), [] {}, seconds(5));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   int holders = 0;
   for (const EngineSpec& e : options.engines) {
     HttpCall call;
@@ -448,7 +448,7 @@
       std::string(SOURCE_DIR) + "/examples/tablewise.lua";
   const std::string bad = std::string(SOURCE_DIR) + "/README.md";
   const struct {
-    std::vector<std::string> words;
+    std::vector<std::string> args;
     int code;
     const char* text;
   } cases[] = {
@@ -476,10 +476,10 @@
   };
   for (const auto& c : cases) {
     std::string line;
-    for (const std::string& w : c.words) line += w + " ";
+    for (const std::string& w : c.args) line += w + " ";
     SCOPED_TRACE(line);
     std::string output;
-    EXPECT_EQ(cluster.Run(c.words, &output), c.code);
+    EXPECT_EQ(cluster.Run(c.args, &output), c.code);
     EXPECT_NE(output.find(c.text), std::string::npos) << output;
   }
 }
--- a/pinford/testing/recovery_benchmark.cc
+++ b/pinford/testing/recovery_benchmark.cc
@@ -20,12 +20,12 @@
 
 struct Round {
   double longest_gap = 0;  // seconds between two tokens
-  bool whole = false;
+  bool complete = false;
   std::string victim;  // "" when no fault was caused
 };
 
 // The runner of the middle block that carries the only stream.
-std::string Carrier(const Cluster& cluster) {
+std::string FindStreamRunner(const Cluster& cluster) {
   for (const char* name : {"b0", "b1"}) {
     HttpCall call;
     call.to = cluster.engine(name);
@@ -37,7 +37,7 @@
   return "";
 }
 
-Round StreamAndStrike(Cluster* cluster, int signal, int round) {
+Round StreamWithFault(Cluster* cluster, int signal, int round) {
   RawCaller caller(cluster->callers(0));
   EventLoop clock;
   const std::string prompt = "recovery " + std::to_string(round);
@@ -45,7 +45,7 @@
   Round result;
   Time last{};
   size_t seen = 0;
-  bool struck = signal == 0;
+  bool fault_injected = signal == 0;
   std::string read;
   while (read.find("[DONE]") == std::string::npos) {
     read = caller.ReadMore(seconds(10));
@@ -57,22 +57,23 @@
     }
     if (read.find("data: ") != std::string::npos) last = now;
     seen = read.size();
-    if (!struck && read.size() > 5000) {
-      struck = true;
-      result.victim = Carrier(*cluster);
+    if (!fault_injected && read.size() > 5000) {
+      fault_injected = true;
+      result.victim = FindStreamRunner(*cluster);
       if (!result.victim.empty()) {
         cluster->process(result.victim).Signal(signal);
       }
     }
   }
-  const std::string want = ToyModel().AnswerText(ChatPromptOf(prompt), kTokens);
+  const std::string expected =
+      ToyModel().AnswerText(EnginePrompt(prompt), kTokens);
   bool ended = false;
   // Chunk sizes stand on lines of their own; the events' lines are enough.
-  result.whole = AnswerOf(read, true, &ended) == want && ended;
+  result.complete = ResponseText(read, true, &ended) == expected && ended;
   return result;
 }
 
-void Case(const char* name, int signal) {
+void RunCase(const char* name, int signal) {
   Cluster::Options options;
   options.boxes = 1;
   options.services = 0;
@@ -80,11 +81,11 @@
   Cluster cluster(options);
   if (!cluster.Start()) return;
   std::vector<double> gaps;
-  int whole = 0;
-  int struck = 0;
+  int complete = 0;
+  int faults = 0;
   for (int i = 0; i < kRounds; i++) {
-    const Round r = StreamAndStrike(&cluster, signal, i);
-    whole += r.whole;
+    const Round r = StreamWithFault(&cluster, signal, i);
+    complete += r.complete;
     gaps.push_back(r.longest_gap * 1000);
     if (signal == SIGKILL && !r.victim.empty()) {
       cluster.process(r.victim).Wait(seconds(5));
@@ -92,11 +93,12 @@
     } else if (signal != 0 && !r.victim.empty()) {
       cluster.process(r.victim).Signal(SIGCONT);
     }
-    struck += !r.victim.empty();
+    faults += !r.victim.empty();
     cluster.WaitForBoxes(seconds(20));
   }
-  printf("| %s | %d | %d of %d | %.0f | %.0f | %.0f |\n", name, struck, whole,
-         kRounds, Quantile(gaps, 0.5), Quantile(gaps, 0.9), Quantile(gaps, 1));
+  printf("| %s | %d | %d of %d | %.0f | %.0f | %.0f |\n", name, faults,
+         complete, kRounds, Quantile(gaps, 0.5), Quantile(gaps, 0.9),
+         Quantile(gaps, 1));
 }
 
 int Main() {
@@ -104,9 +106,9 @@
       "| fault | struck | whole answers | longest gap: median ms | p90 ms | "
       "most ms "
       "|\n|---|---|---|---|---|---|\n");
-  Case("none", 0);
-  Case("a runner killed", SIGKILL);
-  Case("a runner frozen", SIGSTOP);
+  RunCase("none", 0);
+  RunCase("a runner killed", SIGKILL);
+  RunCase("a runner frozen", SIGSTOP);
   return 0;
 }
 
--- a/pinford/timeline.cc
+++ b/pinford/timeline.cc
@@ -30,10 +30,10 @@
     {EventKind::kStageRepaired, "stage_repaired"},
     {EventKind::kCallEnded, "call_ended"},
     {EventKind::kStoreLost, "store_lost"},
-    {EventKind::kStoreBack, "store_back"},
+    {EventKind::kStoreRegained, "store_back"},
     {EventKind::kPolicyError, "policy_error"},
     {EventKind::kOrderSent, "order_sent"},
-    {EventKind::kLeaseTaken, "lease_taken"},
+    {EventKind::kLeaseAcquired, "lease_taken"},
     {EventKind::kLeaseLost, "lease_lost"},
 };
 
@@ -63,17 +63,17 @@
 }
 
 void Timeline::Add(EventKind kind, std::string request, std::string detail) {
-  if (ring_.size() >= capacity_) {
-    ring_.pop_front();
+  if (events_.size() >= capacity_) {
+    events_.pop_front();
     dropped_++;
   }
-  ring_.push_back({now(), box_, incarnation_, ++sequence_, kind,
-                   std::move(request), std::move(detail)});
+  events_.push_back({now(), box_, incarnation_, ++sequence_, kind,
+                     std::move(request), std::move(detail)});
 }
 
 std::vector<TimelineEvent> Timeline::Events(std::string_view request) const {
   std::vector<TimelineEvent> events;
-  for (const TimelineEvent& e : ring_) {
+  for (const TimelineEvent& e : events_) {
     if (request.empty() || e.request == request) events.push_back(e);
   }
   return events;
--- a/pinford/timeline.h
+++ b/pinford/timeline.h
@@ -37,10 +37,10 @@
   kStageRepaired,
   kCallEnded,
   kStoreLost,
-  kStoreBack,
+  kStoreRegained,
   kPolicyError,
   kOrderSent,
-  kLeaseTaken,
+  kLeaseAcquired,
   kLeaseLost,
 };
 
@@ -85,7 +85,7 @@
   HybridTime last_;
   uint64_t sequence_ = 0;
   uint64_t dropped_ = 0;
-  std::deque<TimelineEvent> ring_;
+  std::deque<TimelineEvent> events_;
 };
 
 // Sorts events of several boxes into one order.
