--- a/pinford/box.cc
+++ b/pinford/box.cc
@@ -47,7 +47,7 @@
     context_.timeline.Add(
         down ? EventKind::kStoreLost : EventKind::kStoreRegained, "", "");
     Log(LogPart::kBox, down ? LogLevel::kWarn : LogLevel::kInfo,
-        down ? "The store does not answer." : "The store answers again.");
+        down ? "The store is unreachable." : "The store is reachable again.");
   });
 }
 
@@ -150,10 +150,11 @@
   for (const auto& [endpoint, incarnation] : digest.leaving) {
     if (!context_.table.OnLeaving(endpoint, incarnation)) continue;
     changed = true;
-    context_.timeline.Add(EventKind::kEndpointLeaving, "",
-                          endpoint + ", as " + digest.sender.name + " says");
+    context_.timeline.Add(
+        EventKind::kEndpointLeaving, "",
+        endpoint + " (reported by " + digest.sender.name + ")");
   }
-  // News from another hall is passed on in this one.
+  // A box that receives an announcement from another hall relays it in its own.
   const bool from_other_hall = digest.sender.hall != context_.settings.hall;
   if (changed && from_other_hall) gossip_.Announce();
   documents_.Tick();
@@ -170,11 +171,11 @@
       reply.kind = request.kind;
       reply.events = context_.timeline.Events(request.request);
       break;
-    case FetchKind::kMembers:  // Gossip answers it
-    case FetchKind::kShared:   // of forwarding boxes
+    case FetchKind::kMembers:  // handled by Gossip
+    case FetchKind::kShared:   // used by forwarding boxes only
       break;
   }
-  // A kind that this version does not know gets an empty reply.
+  // A kind that this version does not know gets an empty reply, too.
   return reply;
 }
 
@@ -198,7 +199,7 @@
 HallPlannerEvents Box::PlannerEvents() {
   HallPlannerEvents events;
   events.view = [this] { return MakeHallView(); };
-  // Without a wish of the policy nobody needs the lease.
+  // Without a placement by the policy, no box needs the planner's lease.
   events.is_candidate = [this] {
     return has_initial_state_ && !context_.stopping &&
            !wanted_replicas_.empty() &&
@@ -271,7 +272,7 @@
   m.Set("usable_endpoints", "", usable);
 }
 
-// --- the planned stop ------------------------------------------------------
+// --- graceful shutdown -----------------------------------------------------
 
 void Box::BeginStop() {
   if (context_.stopping) return;
@@ -291,7 +292,7 @@
   if (now - stop_started_ < s.stop_listening_after) return;
   caller_server_.StopListening();
   if (caller_api_.active() > 0) idle_since_ = now;
-  // Answers may still be on their way out of the last connections.
+  // The last connections may still be sending out their responses.
   constexpr Duration kIdleBeforeStop = milliseconds(300);
   const bool idle = now - idle_since_ >= kIdleBeforeStop;
   const bool timed_out = now - stop_started_ >= s.stop_at_latest;
--- a/pinford/box.h
+++ b/pinford/box.h
@@ -1,10 +1,11 @@
-// One box: all parts put together on one event loop.
+// A box: the router process, with all its components on one event loop.
 //
-// A box is equal to every other and keeps nothing that may not be lost.
-// Start listens and joins; it serves once its documents are there. BeginStop
-// is the planned stop: the box says that it leaves (to its peers, and to the
-// balancer by /readyz), serves on while the balancer may still send, then
-// stops listening, lets every request in its care finish, and ends the loop.
+// All boxes are equal, and none holds state that must not be lost. Start opens
+// the listening sockets and joins the peers; the box serves requests once it
+// has its documents. BeginStop starts a graceful shutdown: the box announces
+// that it is leaving (to its peers, and to the load balancer by /readyz), keeps
+// serving while the balancer may still send requests, then stops listening,
+// drains its active requests and stops the loop.
 
 #ifndef PINFORD_BOX_H_
 #define PINFORD_BOX_H_
@@ -30,8 +31,9 @@
   Box(const Settings& settings, EventLoop* loop);
   ~Box();
 
-  // False, with `error` set, if an address cannot be listened on.
+  // Returns false and sets `error` if it cannot listen on an address.
   bool Start(std::string* error);
+  // Starts a graceful shutdown, at the end of which the loop stops.
   void BeginStop();
 
  private:
@@ -62,10 +64,11 @@
   HallPlanner<StoreClient, EngineClient, EventLoop> planner_;
   HttpServer caller_server_;
   HttpServer operator_server_;
-  // The documents are there and every listed endpoint was asked once.
+  // The documents are loaded and every listed endpoint was polled once.
   bool has_initial_state_ = false;
   bool was_ready_ = false;
-  std::map<std::string, int> wanted_replicas_;  // replicas here, by the policy
+  // By model, the replicas that the policy places in this hall.
+  std::map<std::string, int> wanted_replicas_;
   Time stop_started_{};
   Time idle_since_{};
 };
--- a/pinford/box_parts.h
+++ b/pinford/box_parts.h
@@ -1,6 +1,6 @@
-// What the parts of one box share.
+// The state that all components of a box share.
 //
-// Box owns everything here and outlives every user of it.
+// Box owns it and outlives every component that uses it.
 
 #ifndef PINFORD_BOX_PARTS_H_
 #define PINFORD_BOX_PARTS_H_
@@ -44,12 +44,12 @@
   std::unique_ptr<Policy> policy;  // never null
   bool stopping = false;
 
-  // Tells the peers at once that the endpoint is leaving.
+  // Announces to the peers at once that the endpoint is leaving.
   std::function<void(const std::string& endpoint)> announce_leaving;
 
-  // The hour of the day where this box stands, 0 to 24.
+  // The local hour of the day, 0 to 24.
   double Hour() const;
-  // Counts a policy call that failed since the last look, and tells of it.
+  // Counts, records and logs policy errors since the previous call.
   void ReportPolicyErrors();
 
  private:
@@ -57,14 +57,15 @@
   const Policy* reported_policy_ = nullptr;
 };
 
+// Wall clock, in milliseconds since 1970.
 uint64_t WallMillis();
-// The hour of the day, 0 to 24, at that distance from UTC.
+// The hour of the day, 0 to 24, at that offset from UTC.
 double HourOfDay(int utc_offset_minutes);
-// Gives `listening`; if that is false, `error` says what could not be listened
-// for and why (errno).
+// Returns `listening`. If it is false, sets `error` to a message that names the
+// interface, the address and the reason (errno).
 bool ListenOr(bool listening, const char* what, const Address& address,
               std::string* error);
-// How a box describes itself to its peers, and how much it tells them.
+// The box's own row, as gossip spreads it.
 MemberRow SelfRow(const Settings& settings, uint64_t incarnation);
 Membership::Options GossipOptions(const Settings& settings);
 
--- a/pinford/call_api.cc
+++ b/pinford/call_api.cc
@@ -11,7 +11,8 @@
 static constexpr Duration kNoRetry = Duration(0);
 static constexpr Duration kRetryDelay = seconds(1);
 
-// The call that a request asks for: /services/NAME/REST becomes /REST.
+// Converts a caller's request: the path /services/NAME/REST becomes a call to
+// /REST of the service NAME.
 static ServiceCall MakeCall(const HttpExchange& exchange, std::string id,
                             Duration timeout) {
   const std::string service_and_target =
@@ -41,7 +42,7 @@
     exchange->Reply(
         405, kJsonType,
         WriteCallerError(id, OutcomeName(Outcome::kNotRun), "method",
-                         "a service takes GET, POST, PUT and DELETE"),
+                         "services accept GET, POST, PUT and DELETE"),
         ResponseHeaders(id, Outcome::kNotRun));
     return;
   }
--- a/pinford/call_api.h
+++ b/pinford/call_api.h
@@ -1,4 +1,4 @@
-// HTTP for callers: plain calls, under /services/NAME/.
+// The callers' HTTP interface to services, under /services/NAME/.
 
 #ifndef PINFORD_CALL_API_H_
 #define PINFORD_CALL_API_H_
@@ -17,10 +17,10 @@
  public:
   explicit ServiceApi(BoxParts* context) : context_(context) {}
 
-  // Takes a request whose path begins with kServicesPath.
+  // Handles a request whose path begins with kServicesPath.
   void OnRequest(ExchangePtr exchange);
 
-  // Calls that are not over. One whose caller has gone may still run.
+  // Calls in progress. A call may go on after its caller disconnects.
   int active() const { return active_; }
 
  private:
--- a/pinford/caller_answer.h
+++ b/pinford/caller_answer.h
@@ -1,4 +1,4 @@
-// What all answers to callers share.
+// Headers that all responses to callers have.
 
 #ifndef PINFORD_CALLER_ANSWER_H_
 #define PINFORD_CALLER_ANSWER_H_
@@ -11,8 +11,8 @@
 
 namespace pinford {
 
-// The headers that name the request and its outcome; with Retry-After, in
-// whole seconds, if `retry_after` is over 0.
+// The headers with the request's id and its outcome, and Retry-After, rounded
+// up to whole seconds, if `retry_after` is above 0.
 HttpHeaders ResponseHeaders(const std::string& id, Outcome outcome,
                             Duration retry_after = Duration(0));
 
--- a/pinford/caller_api.cc
+++ b/pinford/caller_api.cc
@@ -1,7 +1,7 @@
-// The life of a completion: it is read and checked, classed by the policy,
-// admitted to its model's queue, begun when a slot is free, driven by a
-// CompletionDriver, and closed once. A stream's headers wait for its first
-// token, so that a refusal still has its own status.
+// A completion is parsed, classified by the policy, admitted to its model's
+// queue, started when a slot is free, run by a CompletionDriver, and closed
+// exactly once. A stream's headers are sent with its first token, so that a
+// request that is refused earlier still gets an error status.
 
 #include "pinford/caller_api.h"
 
@@ -27,12 +27,13 @@
   ExchangePtr exchange;
   CallerRequest request;
   RequestClass request_class;
-  std::string model;  // that runs it
+  std::string
+      model;  // that serves it; the policy may replace the requested one
   Time arrived{};
   Time last_token{};
   double cost = 0;
-  std::string text;          // of an answer that is not streamed
-  size_t waiting_bytes = 0;  // counted for it while it waits
+  std::string text;          // generated so far, unless it is streamed
+  size_t waiting_bytes = 0;  // its share of CallerApi::waiting_bytes_
   bool started = false;
   bool closed = false;
   std::unique_ptr<Driver> driver;
@@ -106,7 +107,7 @@
   if (!request) {
     const std::string body =
         WriteCallerError(c->id, OutcomeName(Outcome::kNotRun), "request",
-                         "the request has faults", findings);
+                         "the request is invalid", findings);
     exchange->Reply(400, kJsonType, body,
                     ResponseHeaders(c->id, Outcome::kNotRun));
     Close(c.get(), Outcome::kNotRun, "bad request");
@@ -151,7 +152,7 @@
                                     context_->settings.max_waiting)}),
                      0});
   Pool& pool = it->second;
-  // Four bytes a token is the usual estimate before a prompt is tokenized.
+  // The usual estimate for a prompt that is not tokenized yet.
   constexpr double kBytesPerToken = 4;
   c->cost = static_cast<double>(c->request.prompt.size()) / kBytesPerToken +
             c->request.max_tokens;
@@ -181,8 +182,8 @@
 
 bool CallerApi::CanStart(const std::string& model, const Pool& pool) {
   const Time now = context_->loop->now();
-  // This box's even part of the slots is always its own; beyond it, it may
-  // use what nobody seems to have.
+  // This box may always use an equal share of the slots; beyond that, only
+  // slots that seem to be free in the whole fleet.
   const double slots = context_->table.StreamSlots(now, model);
   const double own = slots / context_->membership.live_boxes(now);
   if (pool.running < own) return true;
@@ -246,8 +247,8 @@
     context_->timeline.Add(
         EventKind::kStageRepaired, p->id,
         repair.endpoint + " " + std::string(StepStatusName(repair.cause)) +
-            ", silent for " + std::to_string(ToMillis(repair.interruption)) +
-            " ms");
+            ", interrupted for " +
+            std::to_string(ToMillis(repair.interruption)) + " ms");
   };
   events.on_leaving = context_->announce_leaving;
   c->driver = std::make_unique<Driver>(
@@ -274,7 +275,7 @@
         {{kRequestIdHeader, c->id}, {"Cache-Control", "no-cache"}});
   }
   c->exchange->Write(WriteChunk(c->request, c->id, text, FinishReason::kNone));
-  // A caller that does not read holds memory here and a slot there.
+  // A caller that does not read occupies memory here and a slot on the runners.
   const size_t limit = context_->settings.max_unsent_bytes;
   if (c->exchange->unsent() <= limit) return;
   context_->metrics.Count("slow_callers_total");
@@ -282,7 +283,7 @@
       "A caller does not read its answer. It is cut off.");
   c->driver->Cancel();
   c->exchange->Abort();
-  // The driver is on the stack: it goes when this call is done.
+  // Deferred, since Close destroys the driver, which is on the call stack.
   context_->loop->After(Duration(0), [this, item = c->item] {
     auto it = completions_.find(item);
     if (it == completions_.end()) return;
@@ -298,7 +299,7 @@
   }
   const std::string model = c->model;
   pools_.at(model).admission.OnFinished(context_->loop->now(), c->cost);
-  // The driver that calls is on the stack.
+  // Deferred, since Close destroys the driver, which calls this.
   context_->loop->After(Duration(0), [this, item = c->item,
                                       outcome = end.outcome, detail, model] {
     auto it = completions_.find(item);
@@ -362,7 +363,7 @@
   if (!c->started && it != pools_.end()) it->second.admission.Cancel(c->item);
   if (c->driver != nullptr) c->driver->Cancel();
   context_->metrics.Count("hang_ups_total");
-  // Not from within whatever the driver or the server is doing.
+  // Deferred, since the driver or the server may be on the call stack.
   context_->loop->After(Duration(0), [this, c] {
     if (c->closed) return;
     Close(c.get(), c->started ? Outcome::kFailed : Outcome::kNotRun,
--- a/pinford/caller_api.h
+++ b/pinford/caller_api.h
@@ -1,8 +1,9 @@
-// HTTP for callers: completions, and the way to plain calls (call_api.h).
+// The callers' HTTP interface: completions, models, and calls to services
+// (call_api.h).
 //
-// docs/INTERFACES.md describes the interface. Every answer carries the
-// request's id and its outcome. A request that is given up gets its answer
-// at once, with Retry-After where it makes sense to come back.
+// docs/INTERFACES.md describes the interface. Every response carries the
+// request's id and its outcome. A request that cannot be served gets its error
+// response at once, with Retry-After if a retry can succeed.
 
 #ifndef PINFORD_CALLER_API_H_
 #define PINFORD_CALLER_API_H_
@@ -30,15 +31,16 @@
 
   void OnRequest(ExchangePtr exchange);
 
-  // Starts what may start, refuses what waits too long. Call it often.
+  // Starts queued requests for which slots are free and refuses those that
+  // waited too long. Must be called often.
   void Tick();
 
-  // Requests whose answer is not finished, plain calls among them.
+  // Requests without a finished response, including calls to services.
   int active() const { return active_ + calls_.active(); }
   int running() const { return running_; }
   int waiting() const;
 
-  // By the policy, the weight of each hall for a model.
+  // Sets the policy's weight of each hall, by model.
   void set_hall_weights(
       std::map<std::string, std::map<std::string, double>> weights) {
     hall_weights_ = std::move(weights);
@@ -47,7 +49,7 @@
 
  private:
   struct Completion;
-  // The requests for one model.
+  // Queued and running requests for one model.
   struct Pool {
     Admission admission;
     int running = 0;
@@ -60,7 +62,7 @@
   void Admit(const std::shared_ptr<Completion>& c);
   bool CanStart(const std::string& model, const Pool& pool);
   void StartQueued(const std::string& model, Pool* pool);
-  // Its prompt no longer counts among those that wait.
+  // Subtracts its prompt from the bytes of queued prompts.
   void ReleaseWaitingBytes(Completion* c);
   void StartCompletion(const std::shared_ptr<Completion>& c);
   void OnToken(Completion* c, std::string_view text);
@@ -69,7 +71,7 @@
   void Respond(Completion* c, const CompletionEnd& end);
   void Refuse(Completion* c, int status, std::string_view code,
               std::string_view message, Duration retry_after);
-  // The completion is over, whatever the reason.
+  // Records the end of a completion, for any reason, and releases it.
   void Close(Completion* c, Outcome outcome, const std::string& detail);
 
   BoxParts* context_;
--- a/pinford/caller_request.cc
+++ b/pinford/caller_request.cc
@@ -22,7 +22,7 @@
   return "";
 }
 
-// The turns of a chat as one text, a line each.
+// The messages of a chat as one prompt, a line each.
 static std::string ChatPrompt(const Json& v, Findings* findings) {
   auto it = v.find("messages");
   if (it == v.end() || !it->is_array() || it->empty()) {
--- a/pinford/caller_request.h
+++ b/pinford/caller_request.h
@@ -1,4 +1,4 @@
-// A caller's completion request, read from its JSON body.
+// The JSON bodies of completion requests and their responses.
 
 #ifndef PINFORD_CALLER_REQUEST_H_
 #define PINFORD_CALLER_REQUEST_H_
@@ -21,24 +21,25 @@
   bool stream = false;
 };
 
-// Reads the body. Every fault is a finding whose place is the field's path.
+// Parses a request's body. Returns nothing, and adds a finding for each invalid
+// field, if the body is not valid.
 std::optional<CallerRequest> ParseCallerRequest(CompletionForm form,
                                                 std::string_view json,
                                                 int token_limit,
                                                 Findings* findings);
 
-// How an answer ended, in the API's word.
+// Why a completion ended; named as in the API.
 enum class FinishReason { kNone, kStop, kLength };
 
-// Bodies of answers in the OpenAI form.
+// The body of a whole response, in OpenAI's format.
 std::string WriteResponse(const CallerRequest& request, std::string_view id,
                           std::string_view text, FinishReason reason,
                           int prompt_tokens, int answer_tokens);
-// One event of a stream, with its "data: " and the blank line. The last event
-// of a whole answer carries the reason and the outcome.
+// One server-sent event of a stream, with its "data: " and the blank line. The
+// last event of a complete response has a reason, and carries the outcome.
 std::string WriteChunk(const CallerRequest& request, std::string_view id,
                        std::string_view text, FinishReason reason);
-// What ends a stream: of a whole answer, and of a broken one.
+// The last event of a stream that is complete, and of one that failed.
 std::string WriteStreamEnd();
 std::string WriteStreamError(std::string_view id, std::string_view outcome,
                              std::string_view message);
--- a/pinford/engine_client.cc
+++ b/pinford/engine_client.cc
@@ -13,8 +13,8 @@
                             std::string target, std::string body) const {
   HttpCall call;
   call.method = method;
-  // An endpoint that has left the table since is met with a refused
-  // connection: port 0 is never open.
+  // Connecting to port 0 always fails, so a call to an endpoint that has left
+  // the table ends as one that could not connect.
   call.to = table_->AddressOf(endpoint).value_or(Address{"127.0.0.1", 0});
   call.target = std::move(target);
   call.body = std::move(body);
@@ -22,7 +22,8 @@
   return call;
 }
 
-// What a call's end says, before its body is looked at.
+// Sets the result's status, error and backoff from an HTTP result, but does not
+// parse the body of a success.
 template <typename Result>
 static void SetStatus(const HttpResult& r, Result* result) {
   if (r.transport == Transport::kNotSent) {
--- a/pinford/engine_client.h
+++ b/pinford/engine_client.h
@@ -1,4 +1,4 @@
-// Engines over HTTP. A StepClient and an OrderClient.
+// Calls engines over HTTP. Implements StepClient and OrderClient.
 
 #ifndef PINFORD_ENGINE_CLIENT_H_
 #define PINFORD_ENGINE_CLIENT_H_
@@ -18,8 +18,8 @@
   EngineClient(HttpClient* http, const EndpointTable* table)
       : http_(http), table_(table) {}
 
-  // StepClient. The driver's own deadline cancels a call, so the timeout here
-  // is only a last bound.
+  // StepClient. The driver cancels calls at its own deadline, so the timeout
+  // here is only a safety limit.
   uint64_t SendStep(const std::string& endpoint, const StepRequest& step,
                     std::function<void(StepResult)> fn);
   uint64_t SendTokenize(const std::string& endpoint, const std::string& text,
--- a/pinford/error_body.h
+++ b/pinford/error_body.h
@@ -1,4 +1,4 @@
-// The JSON body of an answer that pinford gives itself.
+// The JSON body of error responses that the router itself generates.
 
 #ifndef PINFORD_ERROR_BODY_H_
 #define PINFORD_ERROR_BODY_H_
--- a/pinford/load_poller.cc
+++ b/pinford/load_poller.cc
@@ -43,7 +43,7 @@
   if (!report) {
     context_->metrics.Count("bad_reports_total");
     Log(LogPart::kEndpoints, LogLevel::kWarn,
-        "Endpoint " + name + " sent a report that cannot be read.");
+        "Endpoint " + name + " sent an invalid load report.");
     return;
   }
   const bool was_leaving = context_->table.IsLeaving(name);
--- a/pinford/load_poller.h
+++ b/pinford/load_poller.h
@@ -1,4 +1,4 @@
-// Asks every listed endpoint for its load, over and over.
+// Polls the load reports of all listed endpoints.
 
 #ifndef PINFORD_LOAD_POLLER_H_
 #define PINFORD_LOAD_POLLER_H_
@@ -14,10 +14,11 @@
  public:
   explicit LoadPoller(BoxParts* context) : context_(context) {}
 
-  // Asks each endpoint that is not being asked. Call it once an interval.
+  // Polls each endpoint that has no poll in flight. Must be called once per
+  // report interval.
   void Poll();
-  // Whether every listed endpoint has answered, or failed to, at least once.
-  // Before that this box cannot tell a caller what there is.
+  // Whether every listed endpoint has responded, or failed to, at least once.
+  // Before that, this box does not know what the endpoints can serve.
   bool polled_all() const;
 
  private:
--- a/pinford/operator_api.cc
+++ b/pinford/operator_api.cc
@@ -53,7 +53,7 @@
     return;
   }
   if (known_path) {
-    ReplyError(exchange, 405, "method", "no such method here");
+    ReplyError(exchange, 405, "method", "method not allowed");
   } else {
     ReplyError(exchange, 404, "path", "no such path");
   }
@@ -90,7 +90,7 @@
 
 static void ReplyFindings(const ExchangePtr& exchange,
                           const Findings& findings) {
-  Json error{{"code", "policy"}, {"message", "the policy has faults"}};
+  Json error{{"code", "policy"}, {"message", "the policy is invalid"}};
   for (const Finding& f : findings.list()) {
     error["findings"].push_back(f.ToString());
   }
@@ -117,7 +117,7 @@
     ReplyFindings(exchange, findings);
     return;
   }
-  // Values of the platform's service are at most a megabyte.
+  // The platform's key-value service stores values of up to 1 MB.
   constexpr size_t kMaxPolicyBytes = 512 << 10;
   size_t bytes = 0;
   for (const PolicyFile& f : request.policy) bytes += f.source.size();
@@ -163,10 +163,10 @@
 void OperatorApi::ShowSubmission(ExchangePtr exchange) {
   const std::string id = exchange->query("id");
   if (id.empty()) {
-    ReplyError(exchange, 400, "id", "id must be given");
+    ReplyError(exchange, 400, "id", "id is required");
     return;
   }
-  // The store knows what every box has been told; this box may not yet.
+  // The store has every accepted submission; this box may not have the latest.
   context_->store.Get(
       kConfigurationKey, [this, exchange, id](const StoreResult& r) {
         Configuration c = documents_->configuration();
@@ -188,9 +188,9 @@
       });
 }
 
-// --- the time line ---------------------------------------------------------
+// --- timeline --------------------------------------------------------------
 
-// Events gathered from all boxes until each has answered or run out of time.
+// Collects the events of all boxes until each box has responded or timed out.
 struct TimelineQuery {
   std::vector<TimelineEvent> events;
   std::vector<std::string> unanswered;
--- a/pinford/operator_api.h
+++ b/pinford/operator_api.h
@@ -1,14 +1,14 @@
-// HTTP for operators, on an address of its own.
+// The operators' HTTP interface, on an address of its own.
 //
-//   GET  /v1/configuration        the one in force
-//   POST /v1/configuration        submit a new one
-//   GET  /v1/submissions?id=ID    what became of a submission
+//   GET  /v1/configuration        the configuration in force
+//   POST /v1/configuration        submits a new one
+//   GET  /v1/submissions?id=ID    the status of a submission
 //   GET  /v1/timeline?request=ID  events of all boxes, merged
-//   GET  /v1/boxes                the boxes as this one sees them
-//   GET  /v1/endpoints            the endpoints as this one sees them
+//   GET  /v1/boxes                all boxes, as this box sees them
+//   GET  /v1/endpoints            all endpoints, as this box sees them
 //   GET  /metrics, /healthz, /readyz      without a key
 //
-// All but the last line ask for "Authorization: Bearer KEY".
+// All but the last line require "Authorization: Bearer KEY".
 
 #ifndef PINFORD_OPERATOR_API_H_
 #define PINFORD_OPERATOR_API_H_
@@ -31,7 +31,7 @@
 
   void OnRequest(ExchangePtr exchange);
 
-  // Asked for before the metrics are written.
+  // Called before the metrics are written.
   void set_refresh_metrics(std::function<void()> fn) {
     refresh_metrics_ = std::move(fn);
   }
@@ -42,7 +42,7 @@
   struct Route {
     HttpMethod method;
     const char* path;
-    bool is_public;  // asks for no key
+    bool is_public;  // requires no key
     Handler handler;
   };
   static const Route kRoutes[];
--- a/pinford/operator_client.h
+++ b/pinford/operator_client.h
@@ -1,4 +1,4 @@
-// The operator's side of OperatorApi, for the command line.
+// Client of OperatorApi, for the command line.
 
 #ifndef PINFORD_OPERATOR_CLIENT_H_
 #define PINFORD_OPERATOR_CLIENT_H_
@@ -12,7 +12,7 @@
 
 namespace pinford {
 
-// One call that is waited for. kTimeout if it takes longer than 15 s.
+// Makes one call and blocks until it ends; kTimeout after 15 s.
 HttpResult CallAndWait(HttpCall call);
 
 class OperatorClient {
--- a/pinford/peer_link.cc
+++ b/pinford/peer_link.cc
@@ -16,7 +16,7 @@
 static constexpr Duration kFetchTimeout = seconds(2);
 static constexpr size_t kLengthBytes = 4;
 
-// An address in the form that the socket calls take.
+// An address as the socket calls take it.
 struct SocketAddress {
   sockaddr_storage storage{};
   int size = sizeof(sockaddr_storage);
@@ -27,12 +27,12 @@
   return evutil_parse_sockaddr_port(text.c_str(), out->get(), &out->size) == 0;
 }
 
-// One connection, on either side.
+// A TCP connection, as client or server.
 struct PeerLink::Connection {
   PeerLink* link;
   bufferevent* bev;
   bool is_client = false;
-  std::function<void(std::optional<FetchReply>)> fn;  // of the asking side
+  std::function<void(std::optional<FetchReply>)> fn;  // set if is_client
   TimerId timer = 0;
 };
 
@@ -97,14 +97,14 @@
     dropped_++;
     return;
   }
-  // A datagram that the kernel does not take is as lost as one on the way.
+  // A datagram that the kernel does not accept counts as lost in transit.
   const ssize_t n = sendto(socket_, bytes.data(), bytes.size(), 0, at.get(),
                            static_cast<socklen_t>(at.size));
   if (n > 0) bytes_sent_ += n;
 }
 
 void PeerLink::ReceiveAll() {
-  // Bounded, so that a flood of datagrams cannot hold up the loop.
+  // Bounded, so that a flood of datagrams cannot block the loop.
   constexpr int kMaxDatagramsPerRead = 64;
   std::string bytes(kMaxDatagramBytes + 1, '\0');
   for (int i = 0; i < kMaxDatagramsPerRead; i++) {
@@ -240,7 +240,8 @@
 void PeerLink::OnWritten(bufferevent* bev, void* arg) {
   auto* connection = static_cast<Connection*>(arg);
   if (evbuffer_get_length(bufferevent_get_output(bev)) > 0) return;
-  // The asking side closes once it has read; the timer is the last bound.
+  // The client closes the connection once it has the reply; otherwise the timer
+  // does.
   bufferevent_setcb(bev, nullptr, nullptr, OnEvent, connection);
 }
 
--- a/pinford/peer_link.h
+++ b/pinford/peer_link.h
@@ -1,9 +1,9 @@
-// The boxes' own interface: datagrams and short connections.
+// The transport between boxes: UDP datagrams and short TCP connections.
 //
-// Digests, DownNotes, RetryAsks and RetryLoans go by UDP and may be lost.
-// Documents and time lines go by TCP: one FetchRequest, one FetchReply, each
-// behind a length of four bytes. Whatever does not decode is dropped and
-// counted.
+// Digests, DownNotes, RetryAsks and RetryLoans are sent by UDP and may be lost.
+// Documents, timelines and member rows are fetched by TCP: one FetchRequest and
+// one FetchReply per connection, each preceded by its length in four bytes.
+// Messages that do not decode are dropped and counted.
 
 #ifndef PINFORD_PEER_LINK_H_
 #define PINFORD_PEER_LINK_H_
@@ -39,15 +39,16 @@
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  // Listens on UDP and TCP. False, with errno set, if it cannot.
+  // Listens on UDP and TCP. Returns false and sets errno if it cannot.
   bool Listen(const Address& address);
 
+  // The size in bytes of the digest's datagram.
   size_t SizeOf(const Digest& digest) const;
   void Send(const std::string& to, const Digest& digest);
   void Send(const std::string& to, const DownNote& note);
   void Send(const std::string& to, const RetryAsk& ask);
   void Send(const std::string& to, const RetryLoan& loan);
-  // `fn` gets nothing if no whole answer came in time.
+  // Calls `fn` with the reply, or with nothing if no valid reply came in time.
   void Fetch(const std::string& from, const FetchRequest& request,
              std::function<void(std::optional<FetchReply>)> fn);
 
--- a/pinford/peer_messages.cc
+++ b/pinford/peer_messages.cc
@@ -1,7 +1,7 @@
-// Every message begins with a form number, so that boxes of different
-// versions drop what they do not know rather than misread it. Loading goes
-// through LoadText and LoadList, which check a length before any memory is
-// taken for it; cereal reports short input by an exception, caught in Decode.
+// Every message begins with its type, so that boxes of different versions drop
+// messages that they do not know instead of misreading them. Strings and lists
+// check a length before they allocate memory for it. cereal reports truncated
+// input by an exception, which DecodePayload catches.
 
 #include "pinford/peer_messages.h"
 
@@ -31,8 +31,8 @@
 using Writer = cereal::PortableBinaryOutputArchive;
 using Reader = cereal::PortableBinaryInputArchive;
 
-// One pair of functions serves both directions: Put for a Writer and a Reader
-// alike, so a field cannot be written one way and read another.
+// SerializeFields lists the fields of each message once, for Writer and Reader
+// alike, so that encoding and decoding cannot differ.
 template <typename T>
 concept Scalar = std::is_arithmetic_v<T> || std::is_enum_v<T>;
 
@@ -52,8 +52,9 @@
 static void Serialize(Reader& ar, std::string& v) {
   uint32_t n = 0;
   ar(n);
-  if (n > kMaxPeerMessage) throw cereal::Exception("text too long");
-  // In pieces, so that a false length ends at the end of the input.
+  if (n > kMaxPeerMessage) throw cereal::Exception("string too long");
+  // Read in chunks, so that a false length allocates at most one chunk more
+  // than the input has.
   constexpr uint32_t kChunkBytes = 1 << 16;
   v.clear();
   while (n > 0) {
--- a/pinford/peer_messages.h
+++ b/pinford/peer_messages.h
@@ -1,11 +1,11 @@
-// What boxes tell each other, and how it is put into bytes.
+// The messages between boxes and their binary encoding.
 //
-// Datagrams carry a Digest, a DownNote, a RetryAsk or a RetryLoan; connections
-// carry a FetchRequest one way and a FetchReply the other. All are cereal
-// portable binary behind an HMAC-SHA256 tag under the fleet's peer key: bytes
-// that were not made with the key are dropped before they are decoded. Decoding
-// bounds every length by itself too, so that a faulty peer cannot make a box
-// run out of memory.
+// A datagram carries a Digest, a DownNote, a RetryAsk or a RetryLoan; a
+// connection carries a FetchRequest one way and a FetchReply the other. Each
+// message is a cereal portable binary archive preceded by an HMAC-SHA256 tag
+// under the fleet's peer key. Messages with a wrong tag are dropped before they
+// are decoded. Decoding also checks every length, so that a faulty peer cannot
+// make a box run out of memory.
 
 #ifndef PINFORD_PEER_MESSAGES_H_
 #define PINFORD_PEER_MESSAGES_H_
@@ -25,126 +25,125 @@
 
 enum class MemberState : uint8_t { kLive = 0, kLeaving = 1 };
 
-// A member as it describes itself.
+// A member's own description of itself.
 struct MemberRow {
   std::string name;
   std::string hall;
-  std::string address;       // of its peers' interface
-  uint64_t incarnation = 0;  // when it started, ms since 1970
-  uint64_t heartbeat = 0;    // grows while it runs
+  std::string address;       // for peers
+  uint64_t incarnation = 0;  // start time, ms since 1970
+  uint64_t heartbeat = 0;    // increases while it runs
   MemberState state = MemberState::kLive;
-  // Versions of the documents that it has, by DocumentKind.
+  // Versions of its documents, by DocumentKind.
   uint64_t versions[kDocumentKinds] = {};
 };
 
-// A member as others pass it on.
+// A member's heartbeat, as others relay it.
 struct MemberBeat {
-  uint32_t id = 0;  // of its name
+  uint32_t id = 0;  // NameId of its name
   uint64_t incarnation = 0;
   uint64_t heartbeat = 0;
 };
 
-// How much work the sender has on an endpoint, as EndpointTable counts it.
+// The sender's own work on an endpoint, as EndpointTable counts it.
 struct EndpointCount {
-  uint32_t id = 0;  // of the endpoint's name
+  uint32_t id = 0;  // NameId of the endpoint's name
   uint16_t count = 0;
-  uint16_t entries = 0;  // requests that it has there as their first stage
+  uint16_t entries = 0;  // requests that have the endpoint as first stage
 };
 
 struct Digest {
-  HybridTime time;  // when it was sent
+  HybridTime time;  // at which it was sent
   MemberRow sender;
-  std::vector<MemberRow> joined;  // members that came of late, in full
+  std::vector<MemberRow> joined;  // full rows of members that joined recently
   std::vector<MemberBeat> beats;
   std::vector<EndpointCount> counts;
   std::vector<LeavingMark> leaving;
-  // Streams the sender has running and waiting, for all its customers.
+  // The sender's running and queued streams, over all customers.
   uint32_t running = 0;
   uint32_t waiting = 0;
-  // How long ago the sender knew its configuration to be the newest.
+  // Time since the sender last knew its configuration to be the newest.
   uint32_t proof_age_ms = UINT32_MAX;
 };
 
-// Runners that did not answer the sender's own question a moment ago, or said
-// that they are slow. Names in
-// full: a hash would have to be looked up among all runners.
+// Runners that just failed to answer the sender's own probe, or that reported
+// that they are slow. They are named in full: a hash would have to be looked up
+// among all runners.
 struct DownNote {
   std::vector<std::string> endpoints;
 };
 
-// The sender lacks retries for a service.
+// Asks for retries for a service, of which the sender has none left.
 struct RetryAsk {
-  uint64_t nonce = 0;  // random; the answer carries it back
-  std::string from;    // the address that takes the answer
+  uint64_t nonce = 0;  // random; echoed in the reply
+  std::string from;    // address for the reply
   std::string service;
   uint8_t count = 0;
 };
-// Longest texts of a RetryAsk; one with longer ones does not decode.
+// Maximum lengths of a RetryAsk's strings; with longer ones it does not decode.
 inline constexpr size_t kMostAskFrom = 64;
 inline constexpr size_t kMostAskService = 256;
 
-// So many retries are the asker's, until the end of its ask.
+// Lends `count` retries to the sender of a RetryAsk, until that expires.
 struct RetryLoan {
-  uint64_t nonce = 0;  // of the ask
+  uint64_t nonce = 0;  // of the RetryAsk
   uint8_t count = 0;
 };
 
-// What the sender has on an endpoint, by its table.
+// The sender's count for an endpoint, from its row in the sender's table.
+// Messages carry names as 32-bit hashes where receivers know the full name.
 EndpointCount CountOf(const std::string& name, const EndpointTable::Row& row);
 
-// Names are passed as 32-bit hashes where the full name is already known.
-
 enum class FetchKind : uint8_t {
-  kConfiguration = 0,  // as DocumentKind
+  kConfiguration = 0,  // the first two as in DocumentKind
   kEndpoints = 1,
   kTimeline = 2,
   kMembers = 3,
-  kShared = 4,  // all that boxes of a hall share: both documents
+  kShared = 4,  // both documents, which boxes of a hall share
 };
 
-// A moment of the list of endpoints on one box, by that box's own count.
+// A position in one box's sequence of changes to the list of endpoints.
 struct ListCursor {
-  uint64_t life = 0;  // the box's incarnation; 0 is none
-  uint64_t at = 0;
+  uint64_t life = 0;  // incarnation of the box; 0 if there is none
+  uint64_t at = 0;    // number of the change on that box
 
   bool operator==(const ListCursor&) const = default;
 };
 
 struct FetchRequest {
   FetchKind kind = FetchKind::kConfiguration;
-  uint64_t above_version = 0;  // of a document
-  std::string request;         // of the time line: one request's id, or ""
-  // Of kShared: the versions that the asker has, by DocumentKind.
+  uint64_t above_version = 0;  // for documents: the client's version
+  std::string request;  // for kTimeline: a request's id, or "" for all events
+  // For kShared: the client's versions, by DocumentKind.
   uint64_t above_versions[kDocumentKinds] = {};
-  // ... and the moment at which it last had the list from who is asked.
+  // For kShared: the position up to which the client has the server's list.
   ListCursor list;
 };
 
-// What the sender has of a document.
+// The sender's copy of a document.
 struct DocumentState {
   uint64_t version = 0;
-  // How long ago the sender knew it to be the newest.
+  // Time since the sender last knew its copy to be the newest.
   uint64_t proof_age_ms = 0;
-  // If the version is above the asker's, or some entry changed since the
-  // asker's moment.
+  // Set if the version is above the client's, or if some entry of the list
+  // changed since the client's position.
   std::string body;
-  bool changes = false;  // the body has what changed since, not the whole
-  ListCursor list;       // the sender's present moment, of the list
+  bool changes = false;  // the body has only the changes since that position
+  ListCursor list;       // for the list: the sender's current position
 };
 
 struct FetchReply {
   FetchKind kind = FetchKind::kConfiguration;
   uint64_t version = 0;
-  // The store does not answer the sender, which mirrors it.
+  // The sender mirrors the store, but cannot reach it.
   bool store_fails = false;
   std::string body;
   std::vector<TimelineEvent> events;
   std::vector<MemberRow> members;
-  DocumentState documents[kDocumentKinds];  // of kShared
+  DocumentState documents[kDocumentKinds];  // for kShared
 };
 
-// Bytes with the tag in front, and back. Decode* give nothing for bytes with
-// a wrong tag, an unknown form or lengths out of bounds.
+// Encodes messages with their tag, and decodes them. Decode* return nothing for
+// a wrong tag, another or unknown message type, or lengths out of bounds.
 class PeerCodec {
  public:
   explicit PeerCodec(std::string key) : key_(std::move(key)) {}
@@ -162,16 +161,17 @@
   std::optional<FetchRequest> DecodeFetchRequest(std::string_view bytes) const;
   std::optional<FetchReply> DecodeFetchReply(std::string_view bytes) const;
 
-  // Any payload with the tag that belongs to it.
+  // Returns the payload preceded by its tag.
   std::string Seal(const std::string& payload) const;
 
  private:
+  // Checks and strips the tag. Returns nothing if it is wrong.
   std::optional<std::string_view> Verify(std::string_view bytes) const;
 
   std::string key_;
 };
 
-// Largest datagram that is sent or taken.
+// Largest datagram that is sent or accepted.
 inline constexpr size_t kMaxDatagramBytes = 60000;
 // Largest message on a connection.
 inline constexpr size_t kMaxPeerMessage = 8 << 20;
--- a/pinford/plain_client.h
+++ b/pinford/plain_client.h
@@ -1,8 +1,8 @@
-// Plain services over HTTP. A ServiceClient.
+// Calls services over HTTP. Implements ServiceClient.
 //
-// A service that refuses a call before it began answers 503 or 429 with
-// {"started": false, "error": {"code": "leaving" or "busy"}}. Without that
-// word any answer counts as an answer.
+// A service that refuses a call before running any of it responds with 503 or
+// 429 and {"started": false, "error": {"code": "leaving" or "busy"}}. Any
+// response without "started": false is the result of a call that ran.
 
 #ifndef PINFORD_PLAIN_CLIENT_H_
 #define PINFORD_PLAIN_CLIENT_H_
--- a/pinford/store_client.cc
+++ b/pinford/store_client.cc
@@ -37,7 +37,7 @@
   }
   const Json v = ParseJson(r.body);
   if (!v.is_object()) {
-    // An answer that cannot be read tells nothing.
+    // A malformed response does not show whether the operation took effect.
     out.status = StoreStatus::kUnknown;
     return out;
   }
--- a/pinford/store_client.h
+++ b/pinford/store_client.h
@@ -1,4 +1,4 @@
-// The platform's key-value service over HTTP. A Store.
+// Client of the platform's key-value service, over HTTP. Implements Store.
 //
 //   GET  /v1/kv?key=K                       200 {value, revision}, 404
 //   GET  /v1/kv?key=K&after=R&wait_ms=N     the same, or 204 after N ms
@@ -6,9 +6,9 @@
 //                                           revision}
 //   POST /v1/lease  {key, holder, ttl_ms}   200 {token}, 409 {holder, token}
 //
-// While the service does not answer, one call in `probe_interval` is tried
-// and the others fail at once as not sent: an outage costs callers no wait
-// and the service no storm when it comes back.
+// While the service is unreachable, one call per `probe_interval` is sent and
+// the others fail at once as not sent. So callers do not wait during an outage,
+// and the service is not flooded when it recovers.
 
 #ifndef PINFORD_STORE_CLIENT_H_
 #define PINFORD_STORE_CLIENT_H_
@@ -41,7 +41,8 @@
                     Duration ttl, StoreCallback fn);
 
   bool down() const { return down_; }
-  // Called when the service stops and starts answering.
+  // Called when the service becomes unreachable, and when it is reachable
+  // again.
   void set_on_change(std::function<void(bool down)> fn) {
     on_change_ = std::move(fn);
   }
--- a/pinford/timeline.h
+++ b/pinford/timeline.h
@@ -1,10 +1,10 @@
-// The time line: what happened, in one order over all boxes.
+// The timeline: an event log that has one order over all boxes.
 //
-// Each box keeps its latest events in a ring. An event's time is a hybrid
-// logical clock (Kulkarni et al., "Logical physical clocks", OPODIS 2014): the
-// wall clock where that moves on, and a counter where it does not or where a
-// peer is ahead. So an event that another box caused never sorts before its
-// cause, however the boxes' clocks differ.
+// Each box keeps its latest events in memory. Events are timestamped by a
+// hybrid logical clock (Kulkarni et al., "Logical physical clocks", OPODIS
+// 2014): the wall clock while that advances, and a counter while it does not or
+// a peer's clock is ahead. So an event that another box caused never sorts
+// before its cause, however far the boxes' clocks differ.
 
 #ifndef PINFORD_TIMELINE_H_
 #define PINFORD_TIMELINE_H_
@@ -56,25 +56,27 @@
   HybridTime time;
   std::string box;
   uint64_t incarnation = 0;  // of the box
-  uint64_t sequence = 0;     // of the event on its box
+  uint64_t sequence = 0;     // number of the event on its box
   EventKind kind = EventKind::kBoxStarted;
-  std::string request;  // "" when it is of no single request
+  std::string request;  // id, or "" if it concerns no single request
   std::string detail;
 };
 
 class Timeline {
  public:
-  // `wall` gives milliseconds since 1970. Keeps the latest `capacity` events.
+  // `wall` returns milliseconds since 1970. Keeps the latest `capacity` events.
   Timeline(std::string box, uint64_t incarnation, size_t capacity,
            std::function<uint64_t()> wall);
 
   void Add(EventKind kind, std::string request, std::string detail);
-  // A peer's time was seen: what follows here sorts after it.
+  // Advances the clock to a peer's time, so that later events sort after it.
   void Observe(const HybridTime& other);
+  // Advances the clock and returns its time.
   HybridTime now();
 
-  // The kept events of `request`, or all of them if it is "".
+  // The retained events of `request`, or all of them if it is "".
   std::vector<TimelineEvent> Events(std::string_view request) const;
+  // Events dropped because newer ones took their place.
   uint64_t dropped() const { return dropped_; }
 
  private:
@@ -88,9 +90,9 @@
   std::deque<TimelineEvent> events_;
 };
 
-// Sorts events of several boxes into one order.
+// Sorts events of several boxes by time.
 void SortEvents(std::vector<TimelineEvent>* events);
-// One line for a person.
+// One line of human-readable text.
 std::string FormatEvent(const TimelineEvent& e);
 
 }  // namespace pinford
