--- a/pinford/testing/box_cost_benchmark.cc
+++ b/pinford/testing/box_cost_benchmark.cc
@@ -1,7 +1,7 @@
-// What a box itself costs, over real processes on loopback: the latency that
-// it adds to a token, the processor time of a token and of a step, and its
-// memory with 1,000 streams open. Direct calls drive the same engines by the
-// same steps from this process, so both figures come from one run.
+// Measures the cost of a box, over real processes on loopback: the latency that
+// it adds to a token, its CPU time per token and per step, and its memory with
+// 1,000 open streams. As a baseline, this process makes the same steps on the
+// same engines without a box, in the same run.
 
 #include <algorithm>
 #include <cstdio>
@@ -20,7 +20,7 @@
 const std::vector<EngineSpec> kEngines = {
     {"a", {0, 3}, 4000, 0}, {"b", {3, 6}, 4000, 0}, {"c", {6, 8}, 4000, 0}};
 
-// Seconds between the tokens of `streams` answers driven without a box.
+// Runs one stream without a box and measures the seconds between its tokens.
 class DirectStream {
  public:
   explicit DirectStream(const Cluster& cluster)
@@ -69,7 +69,7 @@
   std::vector<double> gaps_;
 };
 
-// Seconds between the tokens of one answer streamed by the box.
+// Seconds between the tokens of one response streamed by the box.
 std::vector<double> BoxTokenGaps(const Cluster& cluster, int tokens) {
   RawCaller caller(cluster.callers(0));
   EventLoop clock;
@@ -99,14 +99,14 @@
   return gaps;
 }
 
-// The bounds that a run must keep; beyond one the program fails.
+// Limits for the measured values; the program fails if one is exceeded.
 constexpr double kMaxAddedUs = 1000;
 constexpr double kMaxRatio = 3;
 constexpr double kMaxMegabytes = 128;
 
 bool CheckBound(const char* what, double value, double limit) {
   if (value <= limit) return true;
-  printf("| BEYOND THE BOUND of %.0f: %s | %.1f |\n", limit, what, value);
+  printf("| LIMIT of %.0f EXCEEDED: %s | %.1f |\n", limit, what, value);
   return false;
 }
 
@@ -170,11 +170,11 @@
 bool Memory(Cluster* cluster) {
   const pid_t pid = cluster->process("box-0").pid();
   std::vector<std::unique_ptr<RawCaller>> callers;
-  // Slow engines keep the streams open.
+  // Slow engines, so that the streams stay open.
   for (const EngineSpec& e : kEngines) {
     cluster->SetFault(cluster->engine(e.name), R"({"delay_ms": 1000})");
   }
-  // A few streams first, so that the deadlines know how slow they are.
+  // A few streams first, so that the box's deadlines adapt to the slow engines.
   for (int i = 0; i < 4; i++) {
     callers.push_back(std::make_unique<RawCaller>(cluster->callers(0)));
     callers.back()->Send(RawChatRequest("first " + std::to_string(i), 4000));
--- a/pinford/testing/cluster.h
+++ b/pinford/testing/cluster.h
@@ -1,5 +1,5 @@
-// Real processes on loopback for the few tests that need them: stand-ins,
-// boxes, and callers that speak to them. Every wait is bounded.
+// Runs boxes and stand-ins as processes on loopback, for tests that need real
+// processes, and provides callers for them. Every wait has a time limit.
 
 #ifndef PINFORD_TESTING_CLUSTER_H_
 #define PINFORD_TESTING_CLUSTER_H_
@@ -18,7 +18,7 @@
 
 namespace pinford {
 
-// A started program. Killed, if it still runs, when this goes.
+// A child process. The destructor kills it if it is still running.
 class Process {
  public:
   Process(const std::vector<std::string>& args, const std::string& log);
@@ -27,10 +27,10 @@
   Process& operator=(const Process&) = delete;
 
   void Signal(int signal) const;
-  // Without waiting for it.
+  // Whether it has ended; does not block.
   bool HasEnded();
-  // Its exit code once it has ended, -1 if it has not ended in time or was
-  // ended by a signal.
+  // Waits for its end. Returns its exit code, or -1 if it did not end in time
+  // or was ended by a signal.
   int Wait(Duration limit);
   pid_t pid() const { return pid_; }
 
@@ -57,12 +57,12 @@
     bool balancer = false;
     int balancer_probe_ms = 300;
     int stop_listen_ms = 600;
-    // A file of the source tree; "" submits none.
+    // Path within the source tree; "" submits no policy.
     std::string policy = "examples/tablewise.lua";
-    std::string settings;  // more lines of each box
-    bool records = true;
-    // This box has another key than its peers, so it is cut off from them;
-    // -1 for none.
+    std::string settings;  // appended to each box's settings file
+    bool records = true;   // whether engines record their layer runs
+    // This box has another peer key than the others, which isolates it from
+    // them; -1 for none.
     int isolated_box = -1;
   };
 
@@ -70,8 +70,8 @@
   explicit Cluster(const Options& options);
   ~Cluster();
 
-  // Starts everything and waits until all boxes see all endpoints. False,
-  // with the logs printed, if that takes too long.
+  // Starts all processes and waits until all boxes see all endpoints. Prints
+  // the logs and returns false if that takes too long.
   bool Start();
 
   Address store() const { return addresses_.at("store"); }
@@ -85,19 +85,20 @@
 
   void StartBox(int i);
   void StartEngine(const EngineSpec& spec);
-  // Puts the platform's list as it is now, with `leaving` marked so.
+  // Writes the platform's list of endpoints, with those in `leaving` marked as
+  // leaving.
   void PublishList(const std::vector<std::string>& leaving = {});
   bool WaitForBoxes(Duration limit);
   bool BoxReady(int box) const;
 
   void SetFault(const Address& standin, const std::string& json);
-  // A metric's value at a box, or -1.
+  // The value of a box's metric, or -1.
   double Metric(int box, const std::string& series) const;
   HttpResult CallOperator(int box, HttpMethod method, const std::string& target,
                           const std::string& body = "") const;
-  // Runs the pinford program and gives its exit code and output.
+  // Runs the pinford program. Returns its exit code and sets `output`.
   int Run(const std::vector<std::string>& args, std::string* output) const;
-  // All layer runs of the engines that still answer.
+  // The layer runs that the reachable engines recorded.
   std::vector<LayerRun> LayerRuns() const;
   std::string Log() const;
   std::string key_file() const { return directory_ + "/key"; }
@@ -113,35 +114,36 @@
   std::map<std::string, std::unique_ptr<Process>> processes_;
 };
 
-// Polls `done` until it is true or `limit` has passed; gives its last value.
+// Polls `done` until it is true or `limit` has passed; returns its last value.
 bool WaitUntil(Duration limit, const std::function<bool()>& done);
 
 // The body of a completion request for the toy model.
 std::string ChatBody(const std::string& prompt, int max_tokens, bool stream);
-// The same request as a caller writes it on its connection, streamed.
-// `headers` are whole lines, each with its end.
+// The same request for a streamed response, as the bytes of an HTTP request.
+// `headers` are lines that end in CRLF each.
 std::string RawChatRequest(const std::string& prompt, int max_tokens,
                            const std::string& headers = "");
-// The prompt as the box hands it to the engines.
+// The prompt as the box sends it to the engines.
 std::string EnginePrompt(const std::string& prompt);
-// The answer's text, of a whole answer or of a stream; `whole` tells whether
-// it ended as it should.
+// The generated text in a response's body, streamed or not. Sets `complete` to
+// whether the response ended regularly.
 std::string ResponseText(const std::string& body, bool stream, bool* complete);
 
-// One raw connection, for callers that misbehave.
+// A caller on a raw TCP connection, for tests of misbehaving callers.
 class RawCaller {
  public:
   explicit RawCaller(const Address& to);
   ~RawCaller();
   bool Send(const std::string& text);
-  // Reads until `enough` is in what was read, the end, or the limit.
+  // Reads until `delimiter` was received, the connection ended, or `limit` has
+  // passed. Returns everything received so far.
   std::string Read(const std::string& delimiter, Duration limit);
-  // Waits for more than was read before. Gives all that was read.
+  // Waits for more bytes. Returns everything received so far.
   const std::string& ReadMore(Duration limit);
   void Close();
 
  private:
-  // Reads once. False at the end or the limit.
+  // Receives once. Returns false at the connection's end or the time limit.
   bool ReadOnce(Duration limit);
 
   int fd_;
--- a/pinford/testing/cluster_standin.cc
+++ b/pinford/testing/cluster_standin.cc
@@ -209,7 +209,8 @@
              std::string(SOURCE_DIR) + "/" + options_.policy},
             &output);
     if (code != 0) {
-      fprintf(stderr, "no policy: %s\n%s\n", output.c_str(), Log().c_str());
+      fprintf(stderr, "cannot submit the policy: %s\n%s\n", output.c_str(),
+              Log().c_str());
       return false;
     }
   }
@@ -252,7 +253,7 @@
     }
     return true;
   });
-  if (!ready) fprintf(stderr, "not ready:\n%s\n", Log().c_str());
+  if (!ready) fprintf(stderr, "the boxes are not ready:\n%s\n", Log().c_str());
   return ready;
 }
 
--- a/pinford/testing/control_cost_benchmark.cc
+++ b/pinford/testing/control_cost_benchmark.cc
@@ -1,6 +1,6 @@
-// What a box spends on control while no caller asks anything, over real
-// processes: processor time, memory, bytes to peers, calls of the store; and
-// how soon a submitted configuration is in force on all boxes.
+// Measures the cost of idle boxes, over real processes: CPU time, memory, bytes
+// exchanged with peers and store calls; and the time until a submitted
+// configuration is in force on all boxes.
 
 #include <algorithm>
 #include <cstdio>
@@ -26,7 +26,7 @@
   }
   Cluster cluster(options);
   if (!cluster.Start()) return;
-  // New rows are passed on whole for the first seconds.
+  // Membership gossips full rows of new members for the first seconds.
   WaitUntil(seconds(15), [] { return false; });
   auto sum = [&](const char* series) {
     double total = 0;
@@ -83,9 +83,9 @@
 
 int Main() {
   printf(
-      "| boxes | endpoints | of a core, a box | memory MB, most | bytes/s "
-      "sent, a box | received | store calls/s, all boxes | in force "
-      "everywhere, longest of 5, ms |\n|---|---|---|---|---|---|---|---|\n");
+      "| boxes | endpoints | CPU per box | max memory MB | bytes/s sent per "
+      "box | received | store calls/s, all boxes | in force on all boxes, max "
+      "of 5, ms |\n|---|---|---|---|---|---|---|---|\n");
   const struct {
     int boxes, engines;
   } rows[] = {{8, 8}, {16, 8}, {33, 8}, {66, 8}, {8, 32}, {8, 96}};
--- a/pinford/testing/process_test.cc
+++ b/pinford/testing/process_test.cc
@@ -1,5 +1,6 @@
-// The promises over real processes: kills, freezes, cuts, planned stops and
-// an absent store. Few, since each takes seconds.
+// End-to-end tests over real processes: killed and frozen processes, network
+// isolation, graceful shutdown, and an unreachable store. There are few of
+// them, since each takes seconds.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -38,10 +39,10 @@
   return call;
 }
 
-// Callers that send one request after the other until they are stopped.
+// Callers that each send one request after another until they are stopped.
 class LoadGenerator {
  public:
-  // To the boxes in turn.
+  // Requests go to the addresses in turn.
   LoadGenerator(std::vector<Address> to, int callers, int tokens)
       : http_(&loop_, HttpClient::Options()),
         to_(std::move(to)),
@@ -49,8 +50,8 @@
     for (int i = 0; i < callers; i++) Next();
   }
 
-  // Runs `during` after `lead` and goes on until `length` has passed; then
-  // waits for what is under way.
+  // Sends requests until `length` has passed, then waits for those in progress.
+  // Calls `action` after `delay`.
   void Run(Duration delay, const std::function<void()>& action,
            Duration length) {
     loop_.After(delay, action);
@@ -59,7 +60,7 @@
     loop_.Run();
   }
 
-  // One more request, of its own length.
+  // Sends one request for `tokens` tokens.
   void Send(const std::string& prompt, int tokens) {
     const bool stream = ++sent % 2 == 0;
     const Time start = loop_.now();
@@ -128,7 +129,8 @@
   cluster.process("b0").Signal(SIGCONT);
   const LayerCheck check = CheckLayers(cluster.LayerRuns(), 8, {});
   for (const std::string& fault : check.faults) {
-    // The killed engine's record is gone, so its layers are missing below.
+    // The killed engine's records are lost, so the layers that it ran are
+    // missing below others.
     EXPECT_NE(fault.find("ran before the layer below"), std::string::npos)
         << fault;
   }
@@ -145,7 +147,7 @@
   Cluster cluster(options);
   ASSERT_TRUE(cluster.Start());
   LoadGenerator load({cluster.balancer()}, 12, 20);
-  // Answers that take far longer than the box goes on listening.
+  // Responses that take far longer than the box keeps listening.
   for (int i = 0; i < 3; i++) load.Send("long " + std::to_string(i), 1000);
   load.Run(
       milliseconds(300),
@@ -169,8 +171,8 @@
   }
 }
 
-// The platform's list lags for good, one box is cut off from its peers, and
-// all eight are under load.
+// The platform's list never shows that the endpoint is leaving, one box is
+// isolated from its peers, and all eight boxes are under load.
 TEST(Process, ALeavingEndpointGetsNoNewWorkAfterSeconds) {
   Cluster::Options options;
   options.boxes = 8;
@@ -222,23 +224,23 @@
   const Duration took = clock.now() - accepted;
   EXPECT_LT(took, seconds(1));
   printf("in force on 8 boxes after %ld ms\n", ToMillis(took));
-  // The loser of a race is told the generation that beat it.
+  // A submission with an outdated generation is rejected with the current one.
   EXPECT_EQ(submit(5, "1", &output), 3);
   EXPECT_NE(output.find("generation 2"), std::string::npos) << output;
 
-  // A write whose reply is lost is accepted all the same.
+  // A submission whose write succeeds is accepted even if its reply is lost.
   cluster.SetFault(cluster.store(), R"({"lose_replies": 1})");
   EXPECT_EQ(submit(4, "2", &output), 0) << output;
   EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(3); }));
 
-  // A slow store delays a submission and nothing else.
+  // A slow store delays a submission, but does not make it fail.
   cluster.SetFault(cluster.store(), R"({"delay_ms": 400})");
   EXPECT_EQ(submit(1, "3", &output), 0) << output;
   EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(4); }));
   cluster.SetFault(cluster.store(), R"({"delay_ms": 0})");
 
-  // The store is gone: submissions are told so, a box that starts anew takes
-  // the configuration from its peers, and nothing reverts.
+  // The store is unreachable: submissions fail, a restarted box gets the
+  // configuration from its peers, and no box reverts to an older one.
   cluster.SetFault(cluster.store(), R"({"down": true})");
   EXPECT_EQ(submit(2, "4", &output), 1) << output;
   cluster.process("box-6").Signal(SIGKILL);
@@ -270,12 +272,12 @@
     }
     return runs;
   };
-  // The same key at two boxes, one after the other.
+  // The same key is sent to two boxes, one after the other.
   EXPECT_EQ(CallAndWait(Book(cluster.callers(0), "k1")).status, 200);
   EXPECT_EQ(CallAndWait(Book(cluster.callers(1), "k1")).status, 200);
   EXPECT_EQ(runs_of("k1"), 1);
 
-  // The answer is lost: unknown, and it stays so at another box.
+  // The response is lost: the outcome is unknown, at another box too.
   for (int i = 0; i < 2; i++) {
     cluster.SetFault(cluster.service(i), R"({"lose_replies": 1})");
   }
@@ -286,8 +288,8 @@
     cluster.SetFault(cluster.service(i), R"({"lose_replies": 0})");
   }
 
-  // A box is stopped with a booking under way, another box is asked, and the
-  // first wakes up late.
+  // A box is suspended during a booking, another box receives the same key, and
+  // the first box resumes later.
   for (int i = 0; i < 2; i++) {
     cluster.SetFault(cluster.service(i), R"({"delay_ms": 300})");
   }
@@ -303,7 +305,8 @@
             std::string::npos);
   EXPECT_EQ(runs_of("k3"), 1);
 
-  // No store: not run, at once, and the rest goes on.
+  // Without the store, a call with a key is refused at once as not run; calls
+  // without a key are still served.
   cluster.SetFault(cluster.store(), R"({"down": true})");
   const HttpResult refused = CallAndWait(Book(cluster.callers(2), "k4"));
   EXPECT_EQ(refused.status, 503);
@@ -325,7 +328,7 @@
   }
   EXPECT_TRUE(WaitUntil(
       seconds(5), [&] { return cluster.Metric(0, "active_requests") == 0; }));
-  // No session is left anywhere.
+  // No engine has a session left.
   EXPECT_TRUE(WaitUntil(seconds(5), [&] {
     for (const EngineSpec& e : cluster.options().engines) {
       HttpCall call;
@@ -337,7 +340,8 @@
   }));
 }
 
-// The idle limit is for callers who owe bytes, not for those who wait.
+// The idle limit applies to callers that should send bytes, not to those that
+// wait for a response.
 TEST(Process, AnswersMayTakeLongerThanTheIdleLimit) {
   Cluster::Options options;
   options.boxes = 1;
@@ -354,7 +358,8 @@
   EXPECT_GT(load.max_latency, seconds(1));
 }
 
-// Prompts that wait are bounded in bytes; what is over is refused at once.
+// Queued prompts are limited in bytes; requests above the limit are refused at
+// once.
 TEST(Process, WaitingPromptsAreBoundedInBytes) {
   Cluster::Options options;
   options.boxes = 1;
@@ -373,7 +378,8 @@
                 if (++done == 4) loop.Stop();
               });
   };
-  // The first takes the only slot, the second waits, the third is too much.
+  // The first takes the only slot, the second waits, the third exceeds the
+  // limit.
   send(100);
   loop.After(milliseconds(200), [&] { send(40000); });
   loop.After(milliseconds(250), [&] { send(40000); });
@@ -384,7 +390,7 @@
   EXPECT_EQ(statuses[503], 1);
 }
 
-// A caller that asks and does not read is cut, and others are served.
+// A caller that does not read its response is disconnected; others are served.
 TEST(Process, ACallerThatDoesNotReadIsDisconnected) {
   Cluster::Options options;
   options.boxes = 1;
@@ -406,8 +412,8 @@
   EXPECT_TRUE(complete) << r.body;
 }
 
-// A policy asks for two replicas; a runner too many on the first layers is
-// ordered to the last, under load.
+// The policy wants two replicas, but three runners hold the first layers and
+// one the last. Under load, one runner is ordered to move to the last layers.
 TEST(Process, APlacementIsCarriedOutUnderLoad) {
   Cluster::Options options;
   options.engines = {
@@ -487,7 +493,7 @@
 struct BadInput {
   const char* name;
   std::string bytes;
-  const char* answer;  // what the status line must hold; "" for a close
+  const char* answer;  // expected in the status line; "" if it is closed
 };
 
 TEST(Process, BadInputGetsAClearErrorAndTheBoxStaysUp) {
--- a/pinford/testing/process_usage.h
+++ b/pinford/testing/process_usage.h
@@ -1,4 +1,4 @@
-// What a process has used, from /proc.
+// A process's CPU time and memory, from /proc.
 
 #ifndef PINFORD_TESTING_PROCESS_USAGE_H_
 #define PINFORD_TESTING_PROCESS_USAGE_H_
@@ -7,7 +7,7 @@
 
 namespace pinford {
 
-// Processor seconds, user and system.
+// CPU time, user and system.
 double ProcessorSeconds(pid_t pid);
 double ResidentMegabytes(pid_t pid);
 
--- a/pinford/testing/recovery_benchmark.cc
+++ b/pinford/testing/recovery_benchmark.cc
@@ -1,6 +1,7 @@
-// How long a caller waits for the next token when a stage is lost, over real
-// processes: killed (the connection breaks), frozen (it stays silent), and
-// with no fault. Each round streams one answer and strikes in its middle.
+// Measures how long a caller waits for the next token when a stage is lost,
+// over real processes: the runner is killed (the connection breaks), suspended
+// (it stops responding), or healthy. Each round streams one response and
+// injects the fault in its middle.
 
 #include <signal.h>
 
@@ -21,10 +22,10 @@
 struct Round {
   double longest_gap = 0;  // seconds between two tokens
   bool complete = false;
-  std::string victim;  // "" when no fault was caused
+  std::string victim;  // the runner with the fault, or ""
 };
 
-// The runner of the middle block that carries the only stream.
+// The runner of the middle layers that serves the only stream.
 std::string FindStreamRunner(const Cluster& cluster) {
   for (const char* name : {"b0", "b1"}) {
     HttpCall call;
@@ -51,7 +52,7 @@
     read = caller.ReadMore(seconds(10));
     if (read.size() == seen) break;
     const Time now = clock.now();
-    // The wait for the first token is not a gap between two.
+    // The wait for the first token is no gap between tokens.
     if (seen > 0 && last != Time{}) {
       result.longest_gap = std::max(result.longest_gap, ToSeconds(now - last));
     }
@@ -68,7 +69,8 @@
   const std::string expected =
       ToyModel().AnswerText(EnginePrompt(prompt), kTokens);
   bool ended = false;
-  // Chunk sizes stand on lines of their own; the events' lines are enough.
+  // The chunked encoding's sizes are on lines of their own, which ResponseText
+  // ignores.
   result.complete = ResponseText(read, true, &ended) == expected && ended;
   return result;
 }
@@ -103,9 +105,8 @@
 
 int Main() {
   printf(
-      "| fault | struck | whole answers | longest gap: median ms | p90 ms | "
-      "most ms "
-      "|\n|---|---|---|---|---|---|\n");
+      "| fault | faults | complete responses | longest gap: median ms | p90 ms "
+      "| max ms |\n|---|---|---|---|---|---|\n");
   RunCase("none", 0);
   RunCase("a runner killed", SIGKILL);
   RunCase("a runner frozen", SIGSTOP);
