--- a/pinford/box.cc
+++ b/pinford/box.cc
@@ -55,11 +55,11 @@
 
 bool Box::Start(std::string* error) {
   const Settings& s = context_.settings;
-  if (!ListenOr(caller_server_.Listen(s.callers), "callers", s.callers,
-                error) ||
-      !ListenOr(operator_server_.Listen(s.operators), "operators", s.operators,
-                error) ||
-      !ListenOr(gossip_.Listen(s.peers), "peers", s.peers, error)) {
+  if (!CheckListening(caller_server_.Listen(s.callers), "callers", s.callers,
+                      error) ||
+      !CheckListening(operator_server_.Listen(s.operators), "operators",
+                      s.operators, error) ||
+      !CheckListening(gossip_.Listen(s.peers), "peers", s.peers, error)) {
     return false;
   }
   context_.timeline.Add(EventKind::kBoxStarted, "", s.hall);
@@ -101,7 +101,7 @@
   std::vector<EndpointCount> counts;
   for (const auto& [name, row] : context_.table.rows()) {
     if (row.own_work == 0) continue;
-    counts.push_back(CountOf(name, row));
+    counts.push_back(MakeEndpointCount(name, row));
   }
   context_.membership.set_counts(std::move(counts));
   context_.membership.set_load(caller_api_.running(), caller_api_.waiting());
@@ -295,7 +295,7 @@
   // The last connections may still be sending out their responses.
   constexpr Duration kIdleBeforeStop = milliseconds(300);
   const bool idle = now - idle_since_ >= kIdleBeforeStop;
-  const bool timed_out = now - stop_started_ >= s.stop_at_latest;
+  const bool timed_out = now - stop_started_ >= s.stop_timeout;
   if (!idle && !timed_out) return;
   if (timed_out && caller_api_.active() > 0) {
     Log(LogPart::kBox, LogLevel::kError,
--- a/pinford/box.h
+++ b/pinford/box.h
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/caller_api.h"
 #include "pinford/documents.h"
 #include "pinford/gossip.h"
@@ -55,7 +55,7 @@
   void FinishStop();
 
   uint64_t incarnation_;
-  BoxParts context_;
+  BoxContext context_;
   Gossip gossip_;
   Documents documents_;
   CallerApi caller_api_;
--- a/pinford/caller_api.cc
+++ b/pinford/caller_api.cc
@@ -39,7 +39,8 @@
   std::unique_ptr<Driver> driver;
 };
 
-CallerApi::CallerApi(BoxParts* context) : context_(context), calls_(context) {}
+CallerApi::CallerApi(BoxContext* context)
+    : context_(context), calls_(context) {}
 
 CallerApi::~CallerApi() {
   for (auto& [item, c] : completions_) c->exchange->set_on_disconnect(nullptr);
--- a/pinford/caller_api.h
+++ b/pinford/caller_api.h
@@ -1,5 +1,5 @@
 // The callers' HTTP interface: completions, models, and calls to services
-// (call_api.h).
+// (service_api.h).
 //
 // docs/INTERFACES.md describes the interface. Every response carries the
 // request's id and its outcome. A request that cannot be served gets its error
@@ -15,18 +15,18 @@
 #include <string>
 
 #include "pinford/admission.h"
-#include "pinford/box_parts.h"
-#include "pinford/call_api.h"
-#include "pinford/caller_answer.h"
+#include "pinford/box_context.h"
 #include "pinford/caller_request.h"
+#include "pinford/caller_response.h"
 #include "pinford/completion_driver.h"
 #include "pinford/http_server.h"
+#include "pinford/service_api.h"
 
 namespace pinford {
 
 class CallerApi {
  public:
-  explicit CallerApi(BoxParts* context);
+  explicit CallerApi(BoxContext* context);
   ~CallerApi();
 
   void OnRequest(ExchangePtr exchange);
@@ -74,7 +74,7 @@
   // Records the end of a completion, for any reason, and releases it.
   void Close(Completion* c, Outcome outcome, const std::string& detail);
 
-  BoxParts* context_;
+  BoxContext* context_;
   ServiceApi calls_;
   bool ready_ = false;
   int active_ = 0;
--- a/pinford/caller_answer.h
+++ b/pinford/caller_response.h
@@ -1,7 +1,7 @@
 // Headers that all responses to callers have.
 
-#ifndef PINFORD_CALLER_ANSWER_H_
-#define PINFORD_CALLER_ANSWER_H_
+#ifndef PINFORD_CALLER_RESPONSE_H_
+#define PINFORD_CALLER_RESPONSE_H_
 
 #include <string>
 
@@ -18,4 +18,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_CALLER_ANSWER_H_
+#endif  // PINFORD_CALLER_RESPONSE_H_
--- a/pinford/load_poller.h
+++ b/pinford/load_poller.h
@@ -6,13 +6,13 @@
 #include <set>
 #include <string>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 
 namespace pinford {
 
 class LoadPoller {
  public:
-  explicit LoadPoller(BoxParts* context) : context_(context) {}
+  explicit LoadPoller(BoxContext* context) : context_(context) {}
 
   // Polls each endpoint that has no poll in flight. Must be called once per
   // report interval.
@@ -25,7 +25,7 @@
   void OnResponse(const std::string& name, Time sent_at,
                   const HttpResult& result);
 
-  BoxParts* context_;
+  BoxContext* context_;
   std::set<std::string> in_flight_;
   std::set<std::string> polled_;
 };
--- a/pinford/operator_api.cc
+++ b/pinford/operator_api.cc
@@ -21,7 +21,7 @@
     {HttpMethod::kGet, "/readyz", true, &OperatorApi::ShowReady},
 };
 
-OperatorApi::OperatorApi(BoxParts* context, Documents* documents,
+OperatorApi::OperatorApi(BoxContext* context, Documents* documents,
                          PeerLink* link)
     : context_(context), documents_(documents), link_(link) {}
 
--- a/pinford/peer_messages.cc
+++ b/pinford/peer_messages.cc
@@ -52,7 +52,7 @@
 static void Serialize(Reader& ar, std::string& v) {
   uint32_t n = 0;
   ar(n);
-  if (n > kMaxPeerMessage) throw cereal::Exception("string too long");
+  if (n > kMaxPeerMessageBytes) throw cereal::Exception("string too long");
   // Read in chunks, so that a false length allocates at most one chunk more
   // than the input has.
   constexpr uint32_t kChunkBytes = 1 << 16;
@@ -94,7 +94,7 @@
     Serialize(ar, m.heartbeat);
     Serialize(ar, m.state);
     for (auto& v : m.versions) Serialize(ar, v);
-  } else if constexpr (std::is_same_v<M, MemberBeat>) {
+  } else if constexpr (std::is_same_v<M, MemberHeartbeat>) {
     Serialize(ar, m.id);
     Serialize(ar, m.incarnation);
     Serialize(ar, m.heartbeat);
@@ -119,17 +119,17 @@
     Serialize(ar, m.time.counter);
     SerializeFields(ar, m.sender);
     SerializeList(ar, m.joined);
-    SerializeList(ar, m.beats);
+    SerializeList(ar, m.heartbeats);
     SerializeList(ar, m.counts);
     SerializeList(ar, m.leaving);
     Serialize(ar, m.running);
     Serialize(ar, m.waiting);
-    Serialize(ar, m.proof_age_ms);
+    Serialize(ar, m.freshness_age_ms);
   } else if constexpr (std::is_same_v<M, std::string>) {
     Serialize(ar, m);
-  } else if constexpr (std::is_same_v<M, DownNote>) {
+  } else if constexpr (std::is_same_v<M, FailureNotice>) {
     SerializeList(ar, m.endpoints);
-  } else if constexpr (std::is_same_v<M, RetryAsk>) {
+  } else if constexpr (std::is_same_v<M, RetryRequest>) {
     Serialize(ar, m.nonce);
     Serialize(ar, m.from);
     Serialize(ar, m.service);
@@ -139,24 +139,24 @@
     Serialize(ar, m.count);
   } else if constexpr (std::is_same_v<M, FetchRequest>) {
     Serialize(ar, m.kind);
-    Serialize(ar, m.above_version);
+    Serialize(ar, m.known_version);
     Serialize(ar, m.request);
-    for (auto& v : m.above_versions) Serialize(ar, v);
+    for (auto& v : m.known_versions) Serialize(ar, v);
     SerializeFields(ar, m.list);
   } else if constexpr (std::is_same_v<M, DocumentState>) {
     Serialize(ar, m.version);
-    Serialize(ar, m.proof_age_ms);
+    Serialize(ar, m.freshness_age_ms);
     Serialize(ar, m.body);
     Serialize(ar, m.changes);
     SerializeFields(ar, m.list);
   } else if constexpr (std::is_same_v<M, ListCursor>) {
-    Serialize(ar, m.life);
+    Serialize(ar, m.incarnation);
     Serialize(ar, m.at);
   } else {
     static_assert(std::is_same_v<M, FetchReply>);
     Serialize(ar, m.kind);
     Serialize(ar, m.version);
-    Serialize(ar, m.store_fails);
+    Serialize(ar, m.store_unreachable);
     Serialize(ar, m.body);
     SerializeList(ar, m.events);
     SerializeList(ar, m.members);
@@ -193,7 +193,8 @@
   return m;
 }
 
-EndpointCount CountOf(const std::string& name, const EndpointTable::Row& row) {
+EndpointCount MakeEndpointCount(const std::string& name,
+                                const EndpointTable::Row& row) {
   const auto saturate = [](int n) {
     return static_cast<uint16_t>(std::min<int>(n, UINT16_MAX));
   };
@@ -209,7 +210,7 @@
   return {reinterpret_cast<const char*>(digest), kTagBytes};
 }
 
-std::string PeerCodec::Seal(const std::string& payload) const {
+std::string PeerCodec::Sign(const std::string& payload) const {
   return Tag(key_, payload) + payload;
 }
 
@@ -225,22 +226,22 @@
 }
 
 std::string PeerCodec::Encode(const Digest& m) const {
-  return Seal(EncodePayload(MessageType::kDigest, m));
+  return Sign(EncodePayload(MessageType::kDigest, m));
 }
-std::string PeerCodec::Encode(const DownNote& m) const {
-  return Seal(EncodePayload(MessageType::kDownNote, m));
+std::string PeerCodec::Encode(const FailureNotice& m) const {
+  return Sign(EncodePayload(MessageType::kDownNote, m));
 }
-std::string PeerCodec::Encode(const RetryAsk& m) const {
-  return Seal(EncodePayload(MessageType::kRetryAsk, m));
+std::string PeerCodec::Encode(const RetryRequest& m) const {
+  return Sign(EncodePayload(MessageType::kRetryAsk, m));
 }
 std::string PeerCodec::Encode(const RetryLoan& m) const {
-  return Seal(EncodePayload(MessageType::kRetryLoan, m));
+  return Sign(EncodePayload(MessageType::kRetryLoan, m));
 }
 std::string PeerCodec::Encode(const FetchRequest& m) const {
-  return Seal(EncodePayload(MessageType::kFetchRequest, m));
+  return Sign(EncodePayload(MessageType::kFetchRequest, m));
 }
 std::string PeerCodec::Encode(const FetchReply& m) const {
-  return Seal(EncodePayload(MessageType::kFetchReply, m));
+  return Sign(EncodePayload(MessageType::kFetchReply, m));
 }
 
 std::optional<Digest> PeerCodec::DecodeDigest(std::string_view bytes) const {
@@ -248,20 +249,20 @@
   if (!payload) return std::nullopt;
   return DecodePayload<Digest>(MessageType::kDigest, *payload);
 }
-std::optional<DownNote> PeerCodec::DecodeDownNote(
+std::optional<FailureNotice> PeerCodec::DecodeFailureNotice(
     std::string_view bytes) const {
   auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  return DecodePayload<DownNote>(MessageType::kDownNote, *payload);
+  return DecodePayload<FailureNotice>(MessageType::kDownNote, *payload);
 }
-std::optional<RetryAsk> PeerCodec::DecodeRetryAsk(
+std::optional<RetryRequest> PeerCodec::DecodeRetryRequest(
     std::string_view bytes) const {
   auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  std::optional<RetryAsk> ask =
-      DecodePayload<RetryAsk>(MessageType::kRetryAsk, *payload);
-  if (!ask || ask->from.size() > kMostAskFrom) return std::nullopt;
-  if (ask->service.size() > kMostAskService) return std::nullopt;
+  std::optional<RetryRequest> ask =
+      DecodePayload<RetryRequest>(MessageType::kRetryAsk, *payload);
+  if (!ask || ask->from.size() > kMaxRequesterBytes) return std::nullopt;
+  if (ask->service.size() > kMaxRequestedServiceBytes) return std::nullopt;
   return ask;
 }
 std::optional<RetryLoan> PeerCodec::DecodeRetryLoan(
--- a/pinford/peer_messages.h
+++ b/pinford/peer_messages.h
@@ -1,7 +1,7 @@
 // The messages between boxes and their binary encoding.
 //
-// A datagram carries a Digest, a DownNote, a RetryAsk or a RetryLoan; a
-// connection carries a FetchRequest one way and a FetchReply the other. Each
+// A datagram carries a Digest, a FailureNotice, a RetryRequest or a RetryLoan;
+// a connection carries a FetchRequest one way and a FetchReply the other. Each
 // message is a cereal portable binary archive preceded by an HMAC-SHA256 tag
 // under the fleet's peer key. Messages with a wrong tag are dropped before they
 // are decoded. Decoding also checks every length, so that a faulty peer cannot
@@ -38,7 +38,7 @@
 };
 
 // A member's heartbeat, as others relay it.
-struct MemberBeat {
+struct MemberHeartbeat {
   uint32_t id = 0;  // NameId of its name
   uint64_t incarnation = 0;
   uint64_t heartbeat = 0;
@@ -55,43 +55,45 @@
   HybridTime time;  // at which it was sent
   MemberRow sender;
   std::vector<MemberRow> joined;  // full rows of members that joined recently
-  std::vector<MemberBeat> beats;
+  std::vector<MemberHeartbeat> heartbeats;
   std::vector<EndpointCount> counts;
   std::vector<LeavingMark> leaving;
   // The sender's running and queued streams, over all customers.
   uint32_t running = 0;
   uint32_t waiting = 0;
   // Time since the sender last knew its configuration to be the newest.
-  uint32_t proof_age_ms = UINT32_MAX;
+  uint32_t freshness_age_ms = UINT32_MAX;
 };
 
 // Runners that just failed to answer the sender's own probe, or that reported
 // that they are slow. They are named in full: a hash would have to be looked up
 // among all runners.
-struct DownNote {
+struct FailureNotice {
   std::vector<std::string> endpoints;
 };
 
 // Asks for retries for a service, of which the sender has none left.
-struct RetryAsk {
+struct RetryRequest {
   uint64_t nonce = 0;  // random; echoed in the reply
   std::string from;    // address for the reply
   std::string service;
   uint8_t count = 0;
 };
-// Maximum lengths of a RetryAsk's strings; with longer ones it does not decode.
-inline constexpr size_t kMostAskFrom = 64;
-inline constexpr size_t kMostAskService = 256;
+// Maximum lengths of a RetryRequest's strings; with longer ones it does not
+// decode.
+inline constexpr size_t kMaxRequesterBytes = 64;
+inline constexpr size_t kMaxRequestedServiceBytes = 256;
 
-// Lends `count` retries to the sender of a RetryAsk, until that expires.
+// Lends `count` retries to the sender of a RetryRequest, until that expires.
 struct RetryLoan {
-  uint64_t nonce = 0;  // of the RetryAsk
+  uint64_t nonce = 0;  // of the RetryRequest
   uint8_t count = 0;
 };
 
 // The sender's count for an endpoint, from its row in the sender's table.
 // Messages carry names as 32-bit hashes where receivers know the full name.
-EndpointCount CountOf(const std::string& name, const EndpointTable::Row& row);
+EndpointCount MakeEndpointCount(const std::string& name,
+                                const EndpointTable::Row& row);
 
 enum class FetchKind : uint8_t {
   kConfiguration = 0,  // the first two as in DocumentKind
@@ -103,18 +105,18 @@
 
 // A position in one box's sequence of changes to the list of endpoints.
 struct ListCursor {
-  uint64_t life = 0;  // incarnation of the box; 0 if there is none
-  uint64_t at = 0;    // number of the change on that box
+  uint64_t incarnation = 0;  // incarnation of the box; 0 if there is none
+  uint64_t at = 0;           // number of the change on that box
 
   bool operator==(const ListCursor&) const = default;
 };
 
 struct FetchRequest {
   FetchKind kind = FetchKind::kConfiguration;
-  uint64_t above_version = 0;  // for documents: the client's version
+  uint64_t known_version = 0;  // for documents: the client's version
   std::string request;  // for kTimeline: a request's id, or "" for all events
   // For kShared: the client's versions, by DocumentKind.
-  uint64_t above_versions[kDocumentKinds] = {};
+  uint64_t known_versions[kDocumentKinds] = {};
   // For kShared: the position up to which the client has the server's list.
   ListCursor list;
 };
@@ -123,7 +125,7 @@
 struct DocumentState {
   uint64_t version = 0;
   // Time since the sender last knew its copy to be the newest.
-  uint64_t proof_age_ms = 0;
+  uint64_t freshness_age_ms = 0;
   // Set if the version is above the client's, or if some entry of the list
   // changed since the client's position.
   std::string body;
@@ -135,7 +137,7 @@
   FetchKind kind = FetchKind::kConfiguration;
   uint64_t version = 0;
   // The sender mirrors the store, but cannot reach it.
-  bool store_fails = false;
+  bool store_unreachable = false;
   std::string body;
   std::vector<TimelineEvent> events;
   std::vector<MemberRow> members;
@@ -149,20 +151,21 @@
   explicit PeerCodec(std::string key) : key_(std::move(key)) {}
 
   std::string Encode(const Digest& m) const;
-  std::string Encode(const DownNote& m) const;
-  std::string Encode(const RetryAsk& m) const;
+  std::string Encode(const FailureNotice& m) const;
+  std::string Encode(const RetryRequest& m) const;
   std::string Encode(const RetryLoan& m) const;
   std::string Encode(const FetchRequest& m) const;
   std::string Encode(const FetchReply& m) const;
   std::optional<Digest> DecodeDigest(std::string_view bytes) const;
-  std::optional<DownNote> DecodeDownNote(std::string_view bytes) const;
-  std::optional<RetryAsk> DecodeRetryAsk(std::string_view bytes) const;
+  std::optional<FailureNotice> DecodeFailureNotice(
+      std::string_view bytes) const;
+  std::optional<RetryRequest> DecodeRetryRequest(std::string_view bytes) const;
   std::optional<RetryLoan> DecodeRetryLoan(std::string_view bytes) const;
   std::optional<FetchRequest> DecodeFetchRequest(std::string_view bytes) const;
   std::optional<FetchReply> DecodeFetchReply(std::string_view bytes) const;
 
   // Returns the payload preceded by its tag.
-  std::string Seal(const std::string& payload) const;
+  std::string Sign(const std::string& payload) const;
 
  private:
   // Checks and strips the tag. Returns nothing if it is wrong.
@@ -174,7 +177,7 @@
 // Largest datagram that is sent or accepted.
 inline constexpr size_t kMaxDatagramBytes = 60000;
 // Largest message on a connection.
-inline constexpr size_t kMaxPeerMessage = 8 << 20;
+inline constexpr size_t kMaxPeerMessageBytes = 8 << 20;
 
 }  // namespace pinford
 
--- a/pinford/call_api.cc
+++ b/pinford/service_api.cc
@@ -1,10 +1,10 @@
-#include "pinford/call_api.h"
+#include "pinford/service_api.h"
 
 #include <memory>
 #include <utility>
 
-#include "pinford/caller_answer.h"
 #include "pinford/caller_request.h"
+#include "pinford/caller_response.h"
 
 namespace pinford {
 
@@ -51,7 +51,7 @@
 
 void ServiceApi::Start(const ExchangePtr& exchange, ServiceCall call) {
   const std::string id = call.request;
-  const bool repeatable = context_->policy->Repeatable(
+  const bool repeatable = context_->policy->IsIdempotent(
       {call.customer, call.service, call.method, call.target});
   context_->ReportPolicyErrors();
   context_->timeline.Add(EventKind::kRequestArrived, id,
--- a/pinford/call_api.h
+++ b/pinford/service_api.h
@@ -1,11 +1,11 @@
 // The callers' HTTP interface to services, under /services/NAME/.
 
-#ifndef PINFORD_CALL_API_H_
-#define PINFORD_CALL_API_H_
+#ifndef PINFORD_SERVICE_API_H_
+#define PINFORD_SERVICE_API_H_
 
 #include <string>
 
-#include "pinford/box_parts.h"
+#include "pinford/box_context.h"
 #include "pinford/http_server.h"
 #include "pinford/once_call.h"
 
@@ -15,7 +15,7 @@
 
 class ServiceApi {
  public:
-  explicit ServiceApi(BoxParts* context) : context_(context) {}
+  explicit ServiceApi(BoxContext* context) : context_(context) {}
 
   // Handles a request whose path begins with kServicesPath.
   void OnRequest(ExchangePtr exchange);
@@ -30,10 +30,10 @@
   void Respond(const ExchangePtr& exchange, const std::string& id,
                const CallEnd& end);
 
-  BoxParts* context_;
+  BoxContext* context_;
   int active_ = 0;
 };
 
 }  // namespace pinford
 
-#endif  // PINFORD_CALL_API_H_
+#endif  // PINFORD_SERVICE_API_H_
