--- a/pinford/peer_link.cc
+++ b/pinford/peer_link.cc
@@ -78,12 +78,12 @@
   SendBytes(to, codec_.Encode(digest));
 }
 
-void PeerLink::Send(const std::string& to, const FailureNotice& note) {
-  SendBytes(to, codec_.Encode(note));
+void PeerLink::Send(const std::string& to, const FailureNotice& notice) {
+  SendBytes(to, codec_.Encode(notice));
 }
 
-void PeerLink::Send(const std::string& to, const RetryRequest& ask) {
-  SendBytes(to, codec_.Encode(ask));
+void PeerLink::Send(const std::string& to, const RetryRequest& request) {
+  SendBytes(to, codec_.Encode(request));
 }
 
 void PeerLink::Send(const std::string& to, const RetryLoan& loan) {
@@ -120,18 +120,18 @@
     handlers_.on_digest(*digest);
     return;
   }
-  const std::optional<FailureNotice> note = codec_.DecodeFailureNotice(bytes);
-  if (note && handlers_.on_failure_notice) {
-    handlers_.on_failure_notice(*note);
+  const std::optional<FailureNotice> notice = codec_.DecodeFailureNotice(bytes);
+  if (notice && handlers_.on_failure_notice) {
+    handlers_.on_failure_notice(*notice);
     return;
   }
   if (!ReceiveRetries(bytes)) dropped_++;
 }
 
 bool PeerLink::ReceiveRetries(std::string_view bytes) {
-  const std::optional<RetryRequest> ask = codec_.DecodeRetryRequest(bytes);
-  if (ask && handlers_.on_retry_request) {
-    handlers_.on_retry_request(*ask);
+  const std::optional<RetryRequest> request = codec_.DecodeRetryRequest(bytes);
+  if (request && handlers_.on_retry_request) {
+    handlers_.on_retry_request(*request);
     return true;
   }
   const std::optional<RetryLoan> loan = codec_.DecodeRetryLoan(bytes);
--- a/pinford/peer_link.h
+++ b/pinford/peer_link.h
@@ -1,9 +1,9 @@
 // The transport between boxes: UDP datagrams and short TCP connections.
 //
-// Digests, DownNotes, RetryAsks and RetryLoans are sent by UDP and may be lost.
-// Documents, timelines and member rows are fetched by TCP: one FetchRequest and
-// one FetchReply per connection, each preceded by its length in four bytes.
-// Messages that do not decode are dropped and counted.
+// Digests, FailureNotices, RetryRequests and RetryLoans go by UDP and may be
+// lost. Documents, timelines and member rows are fetched by TCP: one
+// FetchRequest and one FetchReply per connection, each preceded by its length
+// in four bytes. Messages that do not decode are dropped and counted.
 
 #ifndef PINFORD_PEER_LINK_H_
 #define PINFORD_PEER_LINK_H_
@@ -45,8 +45,8 @@
   // The size in bytes of the digest's datagram.
   size_t SizeOf(const Digest& digest) const;
   void Send(const std::string& to, const Digest& digest);
-  void Send(const std::string& to, const FailureNotice& note);
-  void Send(const std::string& to, const RetryRequest& ask);
+  void Send(const std::string& to, const FailureNotice& notice);
+  void Send(const std::string& to, const RetryRequest& request);
   void Send(const std::string& to, const RetryLoan& loan);
   // Calls `fn` with the reply, or with nothing if no valid reply came in time.
   void Fetch(const std::string& from, const FetchRequest& request,
--- a/pinford/peer_messages.cc
+++ b/pinford/peer_messages.cc
@@ -20,8 +20,8 @@
   kDigest = 1,
   kFetchRequest = 2,
   kFetchReply = 3,
-  kDownNote = 4,
-  kRetryAsk = 5,
+  kFailureNotice = 4,
+  kRetryRequest = 5,
   kRetryLoan = 6,
 };
 
@@ -229,10 +229,10 @@
   return Sign(EncodePayload(MessageType::kDigest, m));
 }
 std::string PeerCodec::Encode(const FailureNotice& m) const {
-  return Sign(EncodePayload(MessageType::kDownNote, m));
+  return Sign(EncodePayload(MessageType::kFailureNotice, m));
 }
 std::string PeerCodec::Encode(const RetryRequest& m) const {
-  return Sign(EncodePayload(MessageType::kRetryAsk, m));
+  return Sign(EncodePayload(MessageType::kRetryRequest, m));
 }
 std::string PeerCodec::Encode(const RetryLoan& m) const {
   return Sign(EncodePayload(MessageType::kRetryLoan, m));
@@ -253,17 +253,18 @@
     std::string_view bytes) const {
   auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  return DecodePayload<FailureNotice>(MessageType::kDownNote, *payload);
+  return DecodePayload<FailureNotice>(MessageType::kFailureNotice, *payload);
 }
 std::optional<RetryRequest> PeerCodec::DecodeRetryRequest(
     std::string_view bytes) const {
   auto payload = Verify(bytes);
   if (!payload) return std::nullopt;
-  std::optional<RetryRequest> ask =
-      DecodePayload<RetryRequest>(MessageType::kRetryAsk, *payload);
-  if (!ask || ask->from.size() > kMaxRequesterBytes) return std::nullopt;
-  if (ask->service.size() > kMaxRequestedServiceBytes) return std::nullopt;
-  return ask;
+  std::optional<RetryRequest> request =
+      DecodePayload<RetryRequest>(MessageType::kRetryRequest, *payload);
+  if (!request || request->from.size() > kMaxRequesterBytes)
+    return std::nullopt;
+  if (request->service.size() > kMaxRequestedServiceBytes) return std::nullopt;
+  return request;
 }
 std::optional<RetryLoan> PeerCodec::DecodeRetryLoan(
     std::string_view bytes) const {
