--- a/pinford/box.h
+++ b/pinford/box.h
@@ -1,10 +1,11 @@
-// One box: all parts put together on one event loop.
+// A box: the router process, with all its components on one event loop.
 //
-// A box is equal to every other and keeps nothing that may not be lost.
-// Start listens and joins; it serves once its documents are there. BeginStop
-// is the planned stop: the box says that it leaves (to its peers, and to the
-// balancer by /readyz), serves on while the balancer may still send, then
-// stops listening, lets every request in its care finish, and ends the loop.
+// All boxes are equal, and none holds state that must not be lost. Start opens
+// the listening sockets and joins the peers; the box serves requests once it
+// has its documents. BeginStop starts a graceful shutdown: the box announces
+// that it is leaving (to its peers, and to the load balancer by /readyz), keeps
+// serving while the balancer may still send requests, then stops listening,
+// drains its active requests and stops the loop.
 
 #ifndef PINFORD_BOX_H_
 #define PINFORD_BOX_H_
@@ -30,43 +31,45 @@
   Box(const Settings& settings, EventLoop* loop);
   ~Box();
 
-  // False, with `error` set, if an address cannot be listened on.
+  // Returns false and sets `error` if it cannot listen on an address.
   bool Start(std::string* error);
+  // Starts a graceful shutdown, at the end of which the loop stops.
   void BeginStop();
 
  private:
-  static constexpr Duration kTick = milliseconds(50);
-  static constexpr Duration kShareEvery = seconds(1);
+  static constexpr Duration kTickInterval = milliseconds(50);
+  static constexpr Duration kShareInterval = seconds(1);
 
-  bool ready() const { return informed_ && !parts_.stopping; }
+  bool ready() const { return has_initial_state_ && !context_.stopping; }
   void Tick();
   Gossip::Handlers PeerHandlers();
   void OnDigest(const Digest& digest);
-  void NoteMember(const std::string& name, MemberChange change);
+  void OnMemberChange(const std::string& name, MemberChange change);
   FetchReply OnFetch(const FetchRequest& request);
-  void SpreadLeaving(const std::string& endpoint);
+  void AnnounceLeaving(const std::string& endpoint);
   void UpdateOwnState();
   void UpdateShares();
   void RefreshMetrics();
-  HallView ViewOfHall();
+  HallView MakeHallView();
   HallPlannerEvents PlannerEvents();
   void FinishStop();
 
   uint64_t incarnation_;
-  BoxContext parts_;
-  Gossip peers_;
+  BoxContext context_;
+  Gossip gossip_;
   Documents documents_;
   CallerApi caller_api_;
   OperatorApi operator_api_;
   LoadPoller poller_;
   HallPlanner<StoreClient, EngineClient, EventLoop> planner_;
-  HttpServer callers_;
-  HttpServer operators_;
-  // The documents are there and every listed endpoint was asked once.
-  bool informed_ = false;
+  HttpServer caller_server_;
+  HttpServer operator_server_;
+  // The documents are loaded and every listed endpoint was polled once.
+  bool has_initial_state_ = false;
   bool was_ready_ = false;
-  std::map<std::string, int> wanted_;  // replicas here, by the policy
-  Time stop_begun_{};
+  // By model, the replicas that the policy places in this hall.
+  std::map<std::string, int> wanted_replicas_;
+  Time stop_started_{};
   Time idle_since_{};
 };
 
--- a/pinford/caller_api.h
+++ b/pinford/caller_api.h
@@ -1,8 +1,9 @@
-// HTTP for callers: completions, and the way to plain calls (service_api.h).
+// The callers' HTTP interface: completions, models, and calls to services
+// (service_api.h).
 //
-// docs/INTERFACES.md describes the interface. Every answer carries the
-// request's id and its outcome. A request that is given up gets its answer
-// at once, with Retry-After where it makes sense to come back.
+// docs/INTERFACES.md describes the interface. Every response carries the
+// request's id and its outcome. A request that cannot be served gets its error
+// response at once, with Retry-After if a retry can succeed.
 
 #ifndef PINFORD_CALLER_API_H_
 #define PINFORD_CALLER_API_H_
@@ -25,20 +26,21 @@
 
 class CallerApi {
  public:
-  explicit CallerApi(BoxContext* parts);
+  explicit CallerApi(BoxContext* context);
   ~CallerApi();
 
   void OnRequest(ExchangePtr exchange);
 
-  // Starts what may start, refuses what waits too long. Call it often.
+  // Starts queued requests for which slots are free and refuses those that
+  // waited too long. Must be called often.
   void Tick();
 
-  // Requests whose answer is not finished, plain calls among them.
+  // Requests without a finished response, including calls to services.
   int active() const { return active_ + calls_.active(); }
   int running() const { return running_; }
   int waiting() const;
 
-  // By the policy, the weight of each hall for a model.
+  // Sets the policy's weight of each hall, by model.
   void set_hall_weights(
       std::map<std::string, std::map<std::string, double>> weights) {
     hall_weights_ = std::move(weights);
@@ -47,7 +49,7 @@
 
  private:
   struct Completion;
-  // The requests for one model.
+  // Queued and running requests for one model.
   struct Pool {
     Admission admission;
     int running = 0;
@@ -58,22 +60,22 @@
   void OnModels(ExchangePtr exchange);
 
   void Admit(const std::shared_ptr<Completion>& c);
-  bool MayStart(const std::string& model, const Pool& pool);
-  void Pump(const std::string& model, Pool* pool);
-  // Its prompt no longer counts among those that wait.
-  void StopWaiting(Completion* c);
-  void Begin(const std::shared_ptr<Completion>& c);
+  bool CanStart(const std::string& model, const Pool& pool);
+  void StartQueued(const std::string& model, Pool* pool);
+  // Subtracts its prompt from the bytes of queued prompts.
+  void ReleaseWaitingBytes(Completion* c);
+  void StartCompletion(const std::shared_ptr<Completion>& c);
   void OnToken(Completion* c, std::string_view text);
   void OnEnd(Completion* c, const CompletionEnd& end);
-  void OnHangUp(const std::shared_ptr<Completion>& c);
-  void Answer(Completion* c, const CompletionEnd& end);
+  void OnDisconnect(const std::shared_ptr<Completion>& c);
+  void Respond(Completion* c, const CompletionEnd& end);
   void Refuse(Completion* c, int status, std::string_view code,
               std::string_view message, Duration retry_after);
-  // The completion is over, whatever the reason.
+  // Records the end of a completion, for any reason, and releases it.
   void Close(Completion* c, Outcome outcome, const std::string& detail);
 
-  BoxContext* parts_;
-  CallApi calls_;
+  BoxContext* context_;
+  ServiceApi calls_;
   bool ready_ = false;
   int active_ = 0;
   int running_ = 0;
--- a/pinford/http_service_client.h
+++ b/pinford/http_service_client.h
@@ -1,8 +1,8 @@
-// Plain services over HTTP. A ServiceClient.
+// Calls services over HTTP. Implements ServiceClient.
 //
-// A service that refuses a call before it began answers 503 or 429 with
-// {"started": false, "error": {"code": "leaving" or "busy"}}. Without that
-// word any answer counts as an answer.
+// A service that refuses a call before running any of it responds with 503 or
+// 429 and {"started": false, "error": {"code": "leaving" or "busy"}}. Any
+// response without "started": false is the result of a call that ran.
 
 #ifndef PINFORD_HTTP_SERVICE_CLIENT_H_
 #define PINFORD_HTTP_SERVICE_CLIENT_H_
@@ -16,9 +16,9 @@
 
 namespace pinford {
 
-class PlainClient {
+class HttpServiceClient {
  public:
-  PlainClient(HttpClient* http, const EndpointTable* table)
+  HttpServiceClient(HttpClient* http, const EndpointTable* table)
       : http_(http), table_(table) {}
 
   // ServiceClient.
@@ -31,7 +31,7 @@
   const EndpointTable* table_;
 };
 
-static_assert(ServiceClient<PlainClient>);
+static_assert(ServiceClient<HttpServiceClient>);
 
 }  // namespace pinford
 
--- a/pinford/peer_link.h
+++ b/pinford/peer_link.h
@@ -1,9 +1,9 @@
-// The boxes' own interface: datagrams and short connections.
+// The transport between boxes: UDP datagrams and short TCP connections.
 //
-// Digests, DownNotes, RetryAsks and RetryLoans go by UDP and may be lost.
-// Documents and time lines go by TCP: one FetchRequest, one FetchReply, each
-// behind a length of four bytes. Whatever does not decode is dropped and
-// counted.
+// Digests, FailureNotices, RetryRequests and RetryLoans go by UDP and may be
+// lost. Documents, timelines and member rows are fetched by TCP: one
+// FetchRequest and one FetchReply per connection, each preceded by its length
+// in four bytes. Messages that do not decode are dropped and counted.
 
 #ifndef PINFORD_PEER_LINK_H_
 #define PINFORD_PEER_LINK_H_
@@ -39,15 +39,16 @@
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  // Listens on UDP and TCP. False, with errno set, if it cannot.
+  // Listens on UDP and TCP. Returns false and sets errno if it cannot.
   bool Listen(const Address& address);
 
+  // The size in bytes of the digest's datagram.
   size_t SizeOf(const Digest& digest) const;
   void Send(const std::string& to, const Digest& digest);
-  void Send(const std::string& to, const FailureNotice& note);
-  void Send(const std::string& to, const RetryRequest& ask);
+  void Send(const std::string& to, const FailureNotice& notice);
+  void Send(const std::string& to, const RetryRequest& request);
   void Send(const std::string& to, const RetryLoan& loan);
-  // `fn` gets nothing if no whole answer came in time.
+  // Calls `fn` with the reply, or with nothing if no valid reply came in time.
   void Fetch(const std::string& from, const FetchRequest& request,
              std::function<void(std::optional<FetchReply>)> fn);
 
@@ -56,26 +57,26 @@
   int64_t bytes_received() const { return bytes_received_; }
 
  private:
-  struct Exchange;
+  struct Connection;
 
   void SendBytes(const std::string& to, const std::string& bytes);
   void ReceiveAll();
   void Receive(std::string_view bytes);
   bool ReceiveRetries(std::string_view bytes);
   void Accept(int fd);
-  Exchange* NewExchange(int fd);
+  Connection* NewConnection(int fd);
   static void OnRead(bufferevent* bev, void* arg);
   static void OnEvent(bufferevent* bev, short what, void* arg);
   static void OnWritten(bufferevent* bev, void* arg);
-  void Received(Exchange* exchange, const std::string& message);
-  void Close(Exchange* exchange);
+  void OnMessage(Connection* connection, const std::string& message);
+  void Close(Connection* connection);
 
   EventLoop* loop_;
   PeerCodec codec_;
   Handlers handlers_;
   int socket_ = -1;
   evconnlistener* listener_ = nullptr;
-  std::map<Exchange*, std::unique_ptr<Exchange>> exchanges_;
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;
   int64_t dropped_ = 0;
   int64_t bytes_sent_ = 0;
   int64_t bytes_received_ = 0;
--- a/pinford/service_api.h
+++ b/pinford/service_api.h
@@ -1,4 +1,4 @@
-// HTTP for callers: plain calls, under /services/NAME/.
+// The callers' HTTP interface to services, under /services/NAME/.
 
 #ifndef PINFORD_SERVICE_API_H_
 #define PINFORD_SERVICE_API_H_
@@ -13,24 +13,24 @@
 
 inline constexpr char kServicesPath[] = "/services/";
 
-class CallApi {
+class ServiceApi {
  public:
-  explicit CallApi(BoxContext* parts) : parts_(parts) {}
+  explicit ServiceApi(BoxContext* context) : context_(context) {}
 
-  // Takes a request whose path begins with kServicesPath.
+  // Handles a request whose path begins with kServicesPath.
   void OnRequest(ExchangePtr exchange);
 
-  // Calls that are not over. One whose caller has gone may still run.
+  // Calls in progress. A call may go on after its caller disconnects.
   int active() const { return active_; }
 
  private:
-  using Call = OnceCall<StoreClient, PlainClient, EventLoop>;
+  using Call = OnceCall<StoreClient, HttpServiceClient, EventLoop>;
 
   void Start(const ExchangePtr& exchange, ServiceCall call);
-  void Answer(const ExchangePtr& exchange, const std::string& id,
-              const CallEnd& end);
+  void Respond(const ExchangePtr& exchange, const std::string& id,
+               const CallEnd& end);
 
-  BoxContext* parts_;
+  BoxContext* context_;
   int active_ = 0;
 };
 
--- a/pinford/testing/process_test.cc
+++ b/pinford/testing/process_test.cc
@@ -1,5 +1,6 @@
-// The promises over real processes: kills, freezes, cuts, planned stops and
-// an absent store. Few, since each takes seconds.
+// End-to-end tests over real processes: killed and frozen processes, network
+// isolation, graceful shutdown, and an unreachable store. There are few of
+// them, since each takes seconds.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -38,43 +39,43 @@
   return call;
 }
 
-// Callers that send one request after the other until they are stopped.
-class Load {
+// Callers that each send one request after another until they are stopped.
+class LoadGenerator {
  public:
-  // To the boxes in turn.
-  Load(std::vector<Address> to, int callers, int tokens)
+  // Requests go to the addresses in turn.
+  LoadGenerator(std::vector<Address> to, int callers, int tokens)
       : http_(&loop_, HttpClient::Options()),
         to_(std::move(to)),
         tokens_(tokens) {
     for (int i = 0; i < callers; i++) Next();
   }
 
-  // Runs `during` after `lead` and goes on until `length` has passed; then
-  // waits for what is under way.
-  void Run(Duration lead, const std::function<void()>& during,
+  // Sends requests until `length` has passed, then waits for those in progress.
+  // Calls `action` after `delay`.
+  void Run(Duration delay, const std::function<void()>& action,
            Duration length) {
-    loop_.After(lead, during);
+    loop_.After(delay, action);
     loop_.After(length, [this] { stopping_ = true; });
     loop_.After(length + seconds(30), [this] { loop_.Stop(); });
     loop_.Run();
   }
 
-  // One more request, of its own length.
+  // Sends one request for `tokens` tokens.
   void Send(const std::string& prompt, int tokens) {
     const bool stream = ++sent % 2 == 0;
-    const Time begun = loop_.now();
+    const Time start = loop_.now();
     http_.Send(Chat(to_[sent % to_.size()], prompt, tokens, stream),
-               [this, prompt, tokens, stream, begun](HttpResult r) {
-                 longest = std::max(longest, loop_.now() - begun);
+               [this, prompt, tokens, stream, start](HttpResult r) {
+                 max_latency = std::max(max_latency, loop_.now() - start);
                  Check(prompt, tokens, stream, r);
                  Next();
                });
   }
 
   int sent = 0;
-  int whole = 0;
-  std::vector<std::string> faults;
-  Duration longest{};
+  int complete = 0;
+  std::vector<std::string> failures;
+  Duration max_latency{};
 
  private:
   void Next() {
@@ -88,15 +89,15 @@
   void Check(const std::string& prompt, int tokens, bool stream,
              const HttpResult& r) {
     bool ended = false;
-    const std::string text = AnswerOf(r.body, stream, &ended);
-    const std::string want =
-        ToyModel().AnswerText(ChatPromptOf(prompt), tokens);
-    if (r.ok() && ended && text == want) {
-      whole++;
+    const std::string text = ResponseText(r.body, stream, &ended);
+    const std::string expected =
+        ToyModel().AnswerText(EnginePrompt(prompt), tokens);
+    if (r.ok() && ended && text == expected) {
+      complete++;
       return;
     }
-    faults.push_back(prompt + ": " + std::string(TransportName(r.transport)) +
-                     " " + std::to_string(r.status) + " " + r.body);
+    failures.push_back(prompt + ": " + std::string(TransportName(r.transport)) +
+                       " " + std::to_string(r.status) + " " + r.body);
   }
 
   EventLoop loop_;
@@ -106,14 +107,14 @@
   bool stopping_ = false;
 };
 
-std::string First(const std::vector<std::string>& faults) {
-  return faults.empty() ? "" : faults[0];
+std::string FirstOrEmpty(const std::vector<std::string>& failures) {
+  return failures.empty() ? "" : failures[0];
 }
 
-TEST(Process, AnswersAreWholeWhileStagesDieFreezeAndLoseReplies) {
+TEST(Process, AnswersAreCompleteDespiteKilledFrozenAndLossyStages) {
   Cluster cluster;
   ASSERT_TRUE(cluster.Start());
-  Load load({cluster.callers(0)}, 16, 20);
+  LoadGenerator load({cluster.callers(0)}, 16, 20);
   load.Run(
       milliseconds(300),
       [&] {
@@ -122,30 +123,31 @@
         cluster.SetFault(cluster.engine("c0"), R"({"lose_replies": 20})");
       },
       seconds(3));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   EXPECT_GT(load.sent, 50);
-  EXPECT_LT(load.longest, seconds(4));
+  EXPECT_LT(load.max_latency, seconds(4));
   cluster.process("b0").Signal(SIGCONT);
   const LayerCheck check = CheckLayers(cluster.LayerRuns(), 8, {});
   for (const std::string& fault : check.faults) {
-    // The killed engine's record is gone, so its layers are missing below.
+    // The killed engine's records are lost, so the layers that it ran are
+    // missing below others.
     EXPECT_NE(fault.find("ran before the layer below"), std::string::npos)
         << fault;
   }
   EXPECT_EQ(check.recomputed, 0);
-  printf("longest answer %ld ms, %d answers\n", ToMillis(load.longest),
-         load.whole);
+  printf("longest answer %ld ms, %d answers\n", ToMillis(load.max_latency),
+         load.complete);
 }
 
 TEST(Process, APlannedStopOfEveryBoxInTurnInterruptsNothing) {
   Cluster::Options options;
   options.balancer = true;
-  options.balancer_look_ms = 2000;
+  options.balancer_probe_ms = 2000;
   options.stop_listen_ms = 3000;
   Cluster cluster(options);
   ASSERT_TRUE(cluster.Start());
-  Load load({cluster.balancer()}, 12, 20);
-  // Answers that take far longer than the box goes on listening.
+  LoadGenerator load({cluster.balancer()}, 12, 20);
+  // Responses that take far longer than the box keeps listening.
   for (int i = 0; i < 3; i++) load.Send("long " + std::to_string(i), 1000);
   load.Run(
       milliseconds(300),
@@ -154,38 +156,38 @@
         cluster.process("a0").Signal(SIGKILL);
       },
       seconds(4));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   EXPECT_EQ(cluster.process("box-0").Wait(seconds(10)), 0);
   cluster.StartBox(0);
   ASSERT_TRUE(WaitUntil(seconds(10), [&] { return cluster.BoxReady(0); }));
   for (int i : {1, 2}) {
-    Load more({cluster.balancer()}, 12, 20);
+    LoadGenerator more({cluster.balancer()}, 12, 20);
     more.Run(
         milliseconds(1500),
         [&] { cluster.process(Cluster::BoxName(i)).Signal(SIGTERM); },
         seconds(5));
-    EXPECT_EQ(more.whole, more.sent) << First(more.faults);
+    EXPECT_EQ(more.complete, more.sent) << FirstOrEmpty(more.failures);
     EXPECT_EQ(cluster.process(Cluster::BoxName(i)).Wait(seconds(10)), 0);
   }
 }
 
-// The platform's list lags for good, one box is cut off from its peers, and
-// all eight are under load.
+// The platform's list never shows that the endpoint is leaving, one box is
+// isolated from its peers, and all eight boxes are under load.
 TEST(Process, ALeavingEndpointGetsNoNewWorkAfterSeconds) {
   Cluster::Options options;
   options.boxes = 8;
-  options.cut_off = 7;
+  options.isolated_box = 7;
   Cluster cluster(options);
   ASSERT_TRUE(cluster.Start());
   std::vector<Address> boxes;
   boxes.reserve(8);
   for (int i = 0; i < 8; i++) boxes.push_back(cluster.callers(i));
-  Load load(boxes, 24, 10);
+  LoadGenerator load(boxes, 24, 10);
   load.Run(
       milliseconds(500),
       [&] { cluster.SetFault(cluster.engine("a0"), R"({"leaving": true})"); },
       seconds(4));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   HttpCall call;
   call.to = cluster.engine("a0");
   call.target = "/offers";
@@ -209,7 +211,7 @@
          "--key-file=" + cluster.key_file(), "--expect=" + expect, file},
         out);
   };
-  auto everywhere = [&](double generation) {
+  auto adopted_by_all = [&](double generation) {
     for (int i = 0; i < 8; i++) {
       if (cluster.Metric(i, "generation") < generation) return false;
     }
@@ -218,40 +220,40 @@
   std::string output;
   ASSERT_EQ(submit(3, "1", &output), 0) << output;
   const Time accepted = clock.now();
-  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return everywhere(2); }));
+  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(2); }));
   const Duration took = clock.now() - accepted;
   EXPECT_LT(took, seconds(1));
   printf("in force on 8 boxes after %ld ms\n", ToMillis(took));
-  // The loser of a race is told the generation that beat it.
+  // A submission with an outdated generation is rejected with the current one.
   EXPECT_EQ(submit(5, "1", &output), 3);
   EXPECT_NE(output.find("generation 2"), std::string::npos) << output;
 
-  // A write whose reply is lost is accepted all the same.
+  // A submission whose write succeeds is accepted even if its reply is lost.
   cluster.SetFault(cluster.store(), R"({"lose_replies": 1})");
   EXPECT_EQ(submit(4, "2", &output), 0) << output;
-  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return everywhere(3); }));
+  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(3); }));
 
-  // A slow store delays a submission and nothing else.
+  // A slow store delays a submission, but does not make it fail.
   cluster.SetFault(cluster.store(), R"({"delay_ms": 400})");
   EXPECT_EQ(submit(1, "3", &output), 0) << output;
-  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return everywhere(4); }));
+  EXPECT_TRUE(WaitUntil(seconds(5), [&] { return adopted_by_all(4); }));
   cluster.SetFault(cluster.store(), R"({"delay_ms": 0})");
 
-  // The store is gone: submissions are told so, a box that starts anew takes
-  // the configuration from its peers, and nothing reverts.
+  // The store is unreachable: submissions fail, a restarted box gets the
+  // configuration from its peers, and no box reverts to an older one.
   cluster.SetFault(cluster.store(), R"({"down": true})");
   EXPECT_EQ(submit(2, "4", &output), 1) << output;
   cluster.process("box-6").Signal(SIGKILL);
   cluster.process("box-6").Wait(seconds(5));
   cluster.StartBox(6);
-  EXPECT_TRUE(WaitUntil(seconds(10), [&] { return everywhere(4); }))
+  EXPECT_TRUE(WaitUntil(seconds(10), [&] { return adopted_by_all(4); }))
       << cluster.Log();
   EXPECT_TRUE(WaitUntil(seconds(5), [&] { return cluster.BoxReady(6); }));
-  bool whole = false;
+  bool complete = false;
   const HttpResult r =
       CallAndWait(Chat(cluster.callers(6), "in the outage", 4, false));
-  AnswerOf(r.body, false, &whole);
-  EXPECT_TRUE(whole) << r.body;
+  ResponseText(r.body, false, &complete);
+  EXPECT_TRUE(complete) << r.body;
   EXPECT_EQ(CallAndWait(Book(cluster.callers(1), "outage")).status, 503);
 }
 
@@ -270,12 +272,12 @@
     }
     return runs;
   };
-  // The same key at two boxes, one after the other.
+  // The same key is sent to two boxes, one after the other.
   EXPECT_EQ(CallAndWait(Book(cluster.callers(0), "k1")).status, 200);
   EXPECT_EQ(CallAndWait(Book(cluster.callers(1), "k1")).status, 200);
   EXPECT_EQ(runs_of("k1"), 1);
 
-  // The answer is lost: unknown, and it stays so at another box.
+  // The response is lost: the outcome is unknown, at another box too.
   for (int i = 0; i < 2; i++) {
     cluster.SetFault(cluster.service(i), R"({"lose_replies": 1})");
   }
@@ -286,8 +288,8 @@
     cluster.SetFault(cluster.service(i), R"({"lose_replies": 0})");
   }
 
-  // A box is stopped with a booking under way, another box is asked, and the
-  // first wakes up late.
+  // A box is suspended during a booking, another box receives the same key, and
+  // the first box resumes later.
   for (int i = 0; i < 2; i++) {
     cluster.SetFault(cluster.service(i), R"({"delay_ms": 300})");
   }
@@ -303,7 +305,8 @@
             std::string::npos);
   EXPECT_EQ(runs_of("k3"), 1);
 
-  // No store: not run, at once, and the rest goes on.
+  // Without the store, a call with a key is refused at once as not run; calls
+  // without a key are still served.
   cluster.SetFault(cluster.store(), R"({"down": true})");
   const HttpResult refused = CallAndWait(Book(cluster.callers(2), "k4"));
   EXPECT_EQ(refused.status, 503);
@@ -312,7 +315,7 @@
   EXPECT_EQ(CallAndWait(Book(cluster.callers(2), "")).status, 200);
 }
 
-TEST(Process, ACallerWhoHangsUpCancelsTheWork) {
+TEST(Process, ADisconnectedCallerCancelsTheWork) {
   Cluster cluster;
   ASSERT_TRUE(cluster.Start());
   const std::string request = RawChatRequest("hang up", 2000);
@@ -325,7 +328,7 @@
   }
   EXPECT_TRUE(WaitUntil(
       seconds(5), [&] { return cluster.Metric(0, "active_requests") == 0; }));
-  // No session is left anywhere.
+  // No engine has a session left.
   EXPECT_TRUE(WaitUntil(seconds(5), [&] {
     for (const EngineSpec& e : cluster.options().engines) {
       HttpCall call;
@@ -337,7 +340,8 @@
   }));
 }
 
-// The idle limit is for callers who owe bytes, not for those who wait.
+// The idle limit applies to callers that should send bytes, not to those that
+// wait for a response.
 TEST(Process, AnswersMayTakeLongerThanTheIdleLimit) {
   Cluster::Options options;
   options.boxes = 1;
@@ -347,14 +351,15 @@
   for (const EngineSpec& e : options.engines) {
     cluster.SetFault(cluster.engine(e.name), R"({"delay_ms": 40})");
   }
-  Load load({cluster.callers(0)}, 4, 12);
+  LoadGenerator load({cluster.callers(0)}, 4, 12);
   load.Run(
       milliseconds(10), [] {}, milliseconds(100));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
-  EXPECT_GT(load.longest, seconds(1));
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
+  EXPECT_GT(load.max_latency, seconds(1));
 }
 
-// Prompts that wait are bounded in bytes; what is over is refused at once.
+// Queued prompts are limited in bytes; requests above the limit are refused at
+// once.
 TEST(Process, WaitingPromptsAreBoundedInBytes) {
   Cluster::Options options;
   options.boxes = 1;
@@ -373,7 +378,8 @@
                 if (++done == 4) loop.Stop();
               });
   };
-  // The first takes the only slot, the second waits, the third is too much.
+  // The first takes the only slot, the second waits, the third exceeds the
+  // limit.
   send(100);
   loop.After(milliseconds(200), [&] { send(40000); });
   loop.After(milliseconds(250), [&] { send(40000); });
@@ -384,8 +390,8 @@
   EXPECT_EQ(statuses[503], 1);
 }
 
-// A caller that asks and does not read is cut, and others are served.
-TEST(Process, ASlowCallerBoundsItsOwnAnswer) {
+// A caller that does not read its response is disconnected; others are served.
+TEST(Process, ACallerThatDoesNotReadIsDisconnected) {
   Cluster::Options options;
   options.boxes = 1;
   options.settings = "limits: {unsent_bytes: 4096, tokens: 1000000}\n";
@@ -400,14 +406,14 @@
   }));
   EXPECT_TRUE(WaitUntil(
       seconds(5), [&] { return cluster.Metric(0, "active_requests") == 0; }));
-  bool whole = false;
+  bool complete = false;
   const HttpResult r = CallAndWait(Chat(cluster.callers(0), "quick", 5, false));
-  AnswerOf(r.body, false, &whole);
-  EXPECT_TRUE(whole) << r.body;
+  ResponseText(r.body, false, &complete);
+  EXPECT_TRUE(complete) << r.body;
 }
 
-// A policy asks for two replicas; a runner too many on the first layers is
-// ordered to the last, under load.
+// The policy wants two replicas, but three runners hold the first layers and
+// one the last. Under load, one runner is ordered to move to the last layers.
 TEST(Process, APlacementIsCarriedOutUnderLoad) {
   Cluster::Options options;
   options.engines = {
@@ -416,10 +422,10 @@
   options.settings = "planner: {load_ms: 300}\n";
   Cluster cluster(options);
   ASSERT_TRUE(cluster.Start());
-  Load load({cluster.callers(0), cluster.callers(1)}, 8, 10);
+  LoadGenerator load({cluster.callers(0), cluster.callers(1)}, 8, 10);
   load.Run(
       milliseconds(10), [] {}, seconds(5));
-  EXPECT_EQ(load.whole, load.sent) << First(load.faults);
+  EXPECT_EQ(load.complete, load.sent) << FirstOrEmpty(load.failures);
   int holders = 0;
   for (const EngineSpec& e : options.engines) {
     HttpCall call;
@@ -448,7 +454,7 @@
       std::string(SOURCE_DIR) + "/examples/tablewise.lua";
   const std::string bad = std::string(SOURCE_DIR) + "/README.md";
   const struct {
-    std::vector<std::string> words;
+    std::vector<std::string> args;
     int code;
     const char* text;
   } cases[] = {
@@ -476,10 +482,10 @@
   };
   for (const auto& c : cases) {
     std::string line;
-    for (const std::string& w : c.words) line += w + " ";
+    for (const std::string& w : c.args) line += w + " ";
     SCOPED_TRACE(line);
     std::string output;
-    EXPECT_EQ(cluster.Run(c.words, &output), c.code);
+    EXPECT_EQ(cluster.Run(c.args, &output), c.code);
     EXPECT_NE(output.find(c.text), std::string::npos) << output;
   }
 }
@@ -487,7 +493,7 @@
 struct BadInput {
   const char* name;
   std::string bytes;
-  const char* answer;  // what the status line must hold; "" for a close
+  const char* answer;  // expected in the status line; "" if it is closed
 };
 
 TEST(Process, BadInputGetsAClearErrorAndTheBoxStaysUp) {
