--- a/pinford/admission.cc
+++ b/pinford/admission.cc
@@ -22,16 +22,16 @@
   return NameIn(kVerdictTexts, v);
 }
 
-static constexpr Duration kWindow = seconds(2);
+static constexpr Duration kRateWindow = seconds(2);
 
 AdmissionVerdict Admission::Offer(Time now, const AdmissionItem& item) {
   if (waiting_ >= options_.max_waiting) return AdmissionVerdict::kFull;
   Level& level = levels_[static_cast<int>(item.tier)];
   auto it = level.flows.find(item.share);
   const size_t own = it == level.flows.end() ? 0 : it->second.items.size();
-  const double most =
+  const double max_own =
       options_.max_share_waiting * static_cast<double>(options_.max_waiting);
-  if (static_cast<double>(own) >= most) return AdmissionVerdict::kFull;
+  if (static_cast<double>(own) >= max_own) return AdmissionVerdict::kFull;
   if (now + PredictedWait(now, item.tier) > item.deadline) {
     return AdmissionVerdict::kTooLate;
   }
@@ -62,7 +62,7 @@
   return best;
 }
 
-void Admission::Forget(Level* level, const AdmissionItem& item) {
+void Admission::OnRemoved(Level* level, const AdmissionItem& item) {
   level->cost -= item.cost;
   waiting_--;
   size_t left = 0;
@@ -92,7 +92,7 @@
   level.finish = level.start + item.cost / options_.tier_weight[tier];
   level.start = level.finish;
 
-  Forget(&level, item);
+  OnRemoved(&level, item);
   // An idle flow whose finish tag has passed holds nothing worth keeping.
   std::erase_if(level.flows, [&level](const auto& entry) {
     return entry.second.items.empty() &&
@@ -102,13 +102,13 @@
 }
 
 std::vector<AdmissionItem> Admission::Take(int slots) {
-  std::vector<AdmissionItem> taken;
+  std::vector<AdmissionItem> started;
   while (slots-- > 0) {
     const int tier = NextTier();
     if (tier < 0) break;
-    taken.push_back(Serve(tier));
+    started.push_back(Serve(tier));
   }
-  return taken;
+  return started;
 }
 
 std::vector<AdmissionItem> Admission::Expire(Time now) {
@@ -133,7 +133,7 @@
       if (it == flow.items.end()) continue;
       const AdmissionItem item = *it;
       flow.items.erase(it);
-      Forget(&level, item);
+      OnRemoved(&level, item);
       return;
     }
   }
@@ -144,8 +144,8 @@
     measured_ = true;
     window_begin_ = now;
   }
-  if (now - window_begin_ >= kWindow) {
-    const bool adjacent = now - window_begin_ < 2 * kWindow;
+  if (now - window_begin_ >= kRateWindow) {
+    const bool adjacent = now - window_begin_ < 2 * kRateWindow;
     last_window_cost_ = adjacent ? window_cost_ : 0;
     window_cost_ = 0;
     window_begin_ = now;
@@ -156,9 +156,10 @@
 double Admission::drain_rate(Time now) const {
   if (!measured_) return 0;
   const Duration in_window = now - window_begin_;
-  if (in_window >= 4 * kWindow) return 0;
-  const Duration span = last_window_cost_ > 0 ? kWindow + in_window
-                                              : std::max(in_window, kWindow);
+  if (in_window >= 4 * kRateWindow) return 0;
+  const Duration span = last_window_cost_ > 0
+                            ? kRateWindow + in_window
+                            : std::max(in_window, kRateWindow);
   return (last_window_cost_ + window_cost_) / ToSeconds(span);
 }
 
@@ -179,11 +180,11 @@
 }
 
 Duration Admission::RetryAfter(Time now) const {
-  constexpr Duration kLeast = seconds(1);
-  constexpr Duration kMost = seconds(60);
+  constexpr Duration kMin = seconds(1);
+  constexpr Duration kMax = seconds(60);
   const double rate = drain_rate(now);
-  if (rate <= 0) return kLeast;
-  return std::clamp(FromSeconds(waiting_cost() / rate), kLeast, kMost);
+  if (rate <= 0) return kMin;
+  return std::clamp(FromSeconds(waiting_cost() / rate), kMin, kMax);
 }
 
 }  // namespace pinford
--- a/pinford/admission.h
+++ b/pinford/admission.h
@@ -91,7 +91,7 @@
 
   int NextTier() const;
   AdmissionItem Serve(int tier);
-  void Forget(Level* level, const AdmissionItem& item);
+  void OnRemoved(Level* level, const AdmissionItem& item);
   Duration PredictedWait(Time now, Tier tier) const;
 
   Options options_;
--- a/pinford/chain_picker.cc
+++ b/pinford/chain_picker.cc
@@ -17,7 +17,7 @@
 
 static constexpr double kNoPath = std::numeric_limits<double>::infinity();
 
-static int HallsOf(const std::vector<Candidate>& candidates) {
+static int HallCount(const std::vector<Candidate>& candidates) {
   int halls = 1;
   for (const Candidate& c : candidates) halls = std::max(halls, c.hall + 1);
   return halls;
@@ -26,15 +26,15 @@
 namespace {
 
 // A stage of a path: a candidate by its place, and the layers that it runs.
-struct Part {
+struct PathStage {
   int candidate;
   LayerRange range;
 };
-using Path = std::vector<Part>;
+using Path = std::vector<PathStage>;
 
 // What a path must keep to beyond what the endpoints hold: `only[layer]` is
 // the endpoint that must run the layer, by its place among the candidates.
-using Only = std::map<int, int>;
+using Pinned = std::map<int, int>;
 
 // The cheapest path, in which an endpoint may stand more than once. Work and
 // memory go by the layers that the candidates hold, not by candidates times
@@ -42,19 +42,19 @@
 class PathSearch {
  public:
   PathSearch(const std::vector<Candidate>& candidates, const LayerRange& range,
-             double cross_cost)
+             double cross_hall_cost)
       : candidates_(candidates),
         range_(range),
-        cross_cost_(cross_cost),
-        of_hall_(HallsOf(candidates)),
+        cross_hall_cost_(cross_hall_cost),
+        cheapest_in_hall_(HallCount(candidates)),
         best_(candidates.size(), kNoPath),
-        first_from_(candidates.size()),
+        from_offset_(candidates.size()),
         holders_(range.size()) {
     int held = 0;
     for (size_t e = 0; e < candidates.size(); e++) {
       const int begin = std::max(candidates[e].holds.begin, range.begin);
       const int end = std::min(candidates[e].holds.end, range.end);
-      first_from_[e] = held - begin;
+      from_offset_[e] = held - begin;
       if (end > begin) held += end - begin;
       for (int layer = begin; layer < end; layer++) {
         holders_[layer - range.begin].push_back(static_cast<int>(e));
@@ -63,16 +63,16 @@
     from_.resize(held);
   }
 
-  std::optional<Path> Find(const Only& only) {
+  std::optional<Path> Find(const Pinned& pinned) {
     if (range_.empty()) return Path();
     for (int layer = range_.begin; layer < range_.end; layer++) {
       const bool first = layer == range_.begin;
-      if (!first && !LookBack(layer - 1)) return std::nullopt;
-      const auto must = only.find(layer);
-      Enter(layer, must != only.end() ? must->second : -1);
+      if (!first && !FindCheapest(layer - 1)) return std::nullopt;
+      const auto required = pinned.find(layer);
+      ExtendTo(layer, required != pinned.end() ? required->second : -1);
     }
-    if (!LookBack(range_.end - 1)) return std::nullopt;
-    return WalkBack();
+    if (!FindCheapest(range_.end - 1)) return std::nullopt;
+    return Backtrack();
   }
 
  private:
@@ -80,17 +80,17 @@
     return holders_[layer - range_.begin];
   }
   // Who ran the layer before on the cheapest path that stands at `e` there.
-  int& From(int e, int layer) { return from_[first_from_[e] + layer]; }
+  int& From(int e, int layer) { return from_[from_offset_[e] + layer]; }
 
   // Finds the cheapest of those that have run `layer`, and of each hall. False
   // if nobody has.
-  bool LookBack(int layer) {
+  bool FindCheapest(int layer) {
     cheapest_ = -1;
-    std::fill(of_hall_.begin(), of_hall_.end(), -1);
+    std::fill(cheapest_in_hall_.begin(), cheapest_in_hall_.end(), -1);
     for (const int e : HoldersOf(layer)) {
       if (best_[e] == kNoPath) continue;
-      int& near = of_hall_[candidates_[e].hall];
-      if (near < 0 || best_[e] < best_[near]) near = e;
+      int& in_hall = cheapest_in_hall_[candidates_[e].hall];
+      if (in_hall < 0 || best_[e] < best_[in_hall]) in_hall = e;
       if (cheapest_ < 0 || best_[e] < best_[cheapest_]) cheapest_ = e;
     }
     return cheapest_ >= 0;
@@ -98,12 +98,12 @@
 
   // Runs the layer at each of its holders, or at `must` alone if that is not
   // -1.
-  void Enter(int layer, int must) {
+  void ExtendTo(int layer, int required) {
     const bool first = layer == range_.begin;
     next_.clear();
     for (const int e : HoldersOf(layer)) {
-      next_.push_back(must < 0 || must == e ? CostAt(e, layer, first)
-                                            : kNoPath);
+      next_.push_back(required < 0 || required == e ? CostAt(e, layer, first)
+                                                    : kNoPath);
     }
     if (!first) {
       for (const int e : HoldersOf(layer - 1)) best_[e] = kNoPath;
@@ -116,15 +116,15 @@
   double CostAt(int e, int layer, bool first) {
     const Candidate& c = candidates_[e];
     int before = cheapest_;
-    double enter = c.entry_cost;
+    double enter = c.handoff_cost;
     if (first) {
-      enter += c.first_cost;
+      enter += c.first_stage_cost;
     } else {
-      const int near = of_hall_[c.hall];
+      const int in_hall = cheapest_in_hall_[c.hall];
       const bool same = candidates_[cheapest_].hall == c.hall;
-      const double across = best_[cheapest_] + (same ? 0 : cross_cost_);
-      if (near >= 0 && best_[near] <= across) before = near;
-      enter += before == cheapest_ ? across : best_[near];
+      const double across = best_[cheapest_] + (same ? 0 : cross_hall_cost_);
+      if (in_hall >= 0 && best_[in_hall] <= across) before = in_hall;
+      enter += before == cheapest_ ? across : best_[in_hall];
     }
     const bool stay = !first && best_[e] <= enter;
     From(e, layer) = stay ? e : before;
@@ -132,7 +132,7 @@
   }
 
   // From the cheapest at the end; equal neighbours are one stage.
-  Path WalkBack() {
+  Path Backtrack() {
     Path path;
     int at = cheapest_;
     for (int layer = range_.end - 1; layer >= range_.begin; layer--) {
@@ -149,12 +149,13 @@
 
   const std::vector<Candidate>& candidates_;
   LayerRange range_;
-  double cross_cost_;
+  double cross_hall_cost_;
   int cheapest_ = -1;
-  std::vector<int> of_hall_;
+  std::vector<int> cheapest_in_hall_;
   std::vector<double> best_;  // of those who have run the layer before
   std::vector<double> next_;
-  std::vector<int> first_from_;  // where a candidate's row of from_ would begin
+  std::vector<int>
+      from_offset_;  // where a candidate's row of from_ would begin
   std::vector<int> from_;
   std::vector<std::vector<int>> holders_;  // by layer
 };
@@ -165,30 +166,32 @@
                      const Path& path) {
   Chain chain;
   chain.reserve(path.size());
-  for (const Part& p : path) {
+  for (const PathStage& p : path) {
     chain.push_back({candidates[p.candidate].name, p.range});
   }
   return chain;
 }
 
 static double PathCost(const std::vector<Candidate>& candidates,
-                       const Path& path, double cross_cost) {
+                       const Path& path, double cross_hall_cost) {
   double cost = 0;
   const Candidate* before = nullptr;
-  for (const Part& p : path) {
+  for (const PathStage& p : path) {
     const Candidate& c = candidates[p.candidate];
     assert(c.holds.Contains(p.range));
-    cost += c.entry_cost + c.layer_cost * p.range.size();
-    if (before == nullptr) cost += c.first_cost;
-    if (before != nullptr && before->hall != c.hall) cost += cross_cost;
+    cost += c.handoff_cost + c.layer_cost * p.range.size();
+    if (before == nullptr) cost += c.first_stage_cost;
+    if (before != nullptr && before->hall != c.hall) cost += cross_hall_cost;
     before = &c;
   }
   return cost;
 }
 
 std::optional<Chain> PickChain(const std::vector<Candidate>& candidates,
-                               const LayerRange& range, double cross_cost) {
-  const auto path = PathSearch(candidates, range, cross_cost).Find(Only());
+                               const LayerRange& range,
+                               double cross_hall_cost) {
+  const auto path =
+      PathSearch(candidates, range, cross_hall_cost).Find(Pinned());
   if (!path) return std::nullopt;
   Chain chain = ToChain(candidates, *path);
   assert(Partitions(chain, range));
@@ -197,36 +200,36 @@
 
 namespace {
 
-constexpr int kMostBranches = 200;
+constexpr int kMaxBranches = 200;
 
 // Finds the cheapest path without repeats by branch and bound.
 class SimplePathSearch {
  public:
-  SimplePathSearch(const LayerRange& range, double cross_cost)
-      : range_(range), cross_cost_(cross_cost) {}
+  SimplePathSearch(const LayerRange& range, double cross_hall_cost)
+      : range_(range), cross_hall_cost_(cross_hall_cost) {}
 
-  void Try(const std::vector<Candidate>& candidates, const Only& only) {
-    if (++paths_ > kMostBranches) return;
+  void Search(const std::vector<Candidate>& candidates, const Pinned& pinned) {
+    if (++paths_ > kMaxBranches) return;
     std::optional<Path> path =
-        PathSearch(candidates, range_, cross_cost_).Find(only);
+        PathSearch(candidates, range_, cross_hall_cost_).Find(pinned);
     if (!path) return;
     // Whatever a branch gives is no cheaper than the path without its bounds.
-    const double cost = PathCost(candidates, *path, cross_cost_);
+    const double cost = PathCost(candidates, *path, cross_hall_cost_);
     if (best_ && cost >= best_cost_) return;
-    const std::optional<Part> comes_back = FirstThatComesBack(*path);
-    if (!comes_back) {
+    const std::optional<PathStage> repeated = FirstRepeated(*path);
+    if (!repeated) {
       best_ = std::move(path);
       best_cost_ = cost;
       return;
     }
-    Branch(candidates, only, comes_back->candidate, comes_back->range.end);
+    Branch(candidates, pinned, repeated->candidate, repeated->range.end);
   }
 
   const std::optional<Path>& best() const { return best_; }
 
  private:
   // The first stage whose endpoint stands in the path again, if there is one.
-  static std::optional<Part> FirstThatComesBack(const Path& path) {
+  static std::optional<PathStage> FirstRepeated(const Path& path) {
     for (size_t i = 0; i < path.size(); i++) {
       for (size_t j = i + 1; j < path.size(); j++) {
         if (path[i].candidate == path[j].candidate) return path[i];
@@ -236,21 +239,21 @@
   }
 
   // `gap`: the layer that another runs before the endpoint comes back.
-  void Branch(const std::vector<Candidate>& candidates, const Only& only,
+  void Branch(const std::vector<Candidate>& candidates, const Pinned& pinned,
               int candidate, int gap) {
     const LayerRange holds = candidates[candidate].holds;
-    Only with = only;
-    with[gap] = candidate;
-    Try(candidates, with);
-    std::vector<Candidate> bound = candidates;
-    bound[candidate].holds = {holds.begin, gap};
-    Try(bound, only);
-    bound[candidate].holds = {gap + 1, holds.end};
-    Try(bound, only);
+    Pinned gap_pinned = pinned;
+    gap_pinned[gap] = candidate;
+    Search(candidates, gap_pinned);
+    std::vector<Candidate> restricted = candidates;
+    restricted[candidate].holds = {holds.begin, gap};
+    Search(restricted, pinned);
+    restricted[candidate].holds = {gap + 1, holds.end};
+    Search(restricted, pinned);
   }
 
   LayerRange range_;
-  double cross_cost_;
+  double cross_hall_cost_;
   int paths_ = 0;
   std::optional<Path> best_;
   double best_cost_ = 0;
@@ -260,9 +263,9 @@
 
 std::optional<Chain> PickSimpleChain(const std::vector<Candidate>& candidates,
                                      const LayerRange& range,
-                                     double cross_cost) {
-  SimplePathSearch search(range, cross_cost);
-  search.Try(candidates, Only());
+                                     double cross_hall_cost) {
+  SimplePathSearch search(range, cross_hall_cost);
+  search.Search(candidates, Pinned());
   if (!search.best()) return std::nullopt;
   Chain chain = ToChain(candidates, *search.best());
   assert(Partitions(chain, range));
@@ -270,7 +273,7 @@
 }
 
 double ChainCost(const std::vector<Candidate>& candidates, const Chain& chain,
-                 double cross_cost) {
+                 double cross_hall_cost) {
   Path path;
   for (const Stage& stage : chain) {
     auto it = std::find_if(
@@ -279,12 +282,12 @@
     assert(it != candidates.end());
     path.push_back({static_cast<int>(it - candidates.begin()), stage.range});
   }
-  return PathCost(candidates, path, cross_cost);
+  return PathCost(candidates, path, cross_hall_cost);
 }
 
-double PricedLayerCost(double idle_cost, double backlog, double mean,
-                       const PriceOptions& options) {
-  const double ratio = backlog / std::max(mean, options.least_mean);
+double LoadedLayerCost(double idle_cost, double backlog, double mean,
+                       const CostOptions& options) {
+  const double ratio = backlog / std::max(mean, options.min_mean);
   return idle_cost *
          std::pow(options.factor, std::min(ratio, options.max_ratio));
 }
--- a/pinford/chain_picker.h
+++ b/pinford/chain_picker.h
@@ -27,34 +27,35 @@
 struct Candidate {
   std::string name;
   LayerRange holds;
-  double layer_cost = 0;  // seconds to run one layer of one token, with load
-  double entry_cost = 0;  // seconds to hand a token over to it
-  int hall = 0;           // endpoints of one number hand over among themselves
-  double first_cost = 0;  // more, as the first stage of a chain
+  double layer_cost = 0;    // seconds to run one layer of one token, with load
+  double handoff_cost = 0;  // seconds to hand a token over to it
+  int hall = 0;  // endpoints of one number hand over among themselves
+  double first_stage_cost = 0;  // more, as the first stage of a chain
 };
 
 // The cheapest chain over `range`, or nothing if the candidates do not cover
 // it. An endpoint may stand in it more than once, with others between. Where
-// endpoints hand over to one another, `cross_cost` is added for each stage
+// endpoints hand over to one another, `cross_hall_cost` is added for each stage
 // whose predecessor stands in another hall.
 std::optional<Chain> PickChain(const std::vector<Candidate>& candidates,
-                               const LayerRange& range, double cross_cost = 0);
+                               const LayerRange& range,
+                               double cross_hall_cost = 0);
 
 // The same of the chains in which no endpoint stands twice. Found by branching
 // on the first endpoint that the cheapest path comes back to: it stays before
-// the gap between its stages, or after it, or runs it too. Beyond kMostBranches
+// the gap between its stages, or after it, or runs it too. Beyond kMaxBranches
 // paths the best so far is taken.
 std::optional<Chain> PickSimpleChain(const std::vector<Candidate>& candidates,
                                      const LayerRange& range,
-                                     double cross_cost = 0);
+                                     double cross_hall_cost = 0);
 
 // What PickChain minimises: the cost of `chain`, whose stages must all be
 // among `candidates`.
 double ChainCost(const std::vector<Candidate>& candidates, const Chain& chain,
-                 double cross_cost = 0);
+                 double cross_hall_cost = 0);
 
 // How an endpoint's time for a layer is priced at a load.
-struct PriceOptions {
+struct CostOptions {
   // The price multiplies by this for each time that the endpoint's backlog
   // holds the mean one.
   double factor = 64;
@@ -62,14 +63,14 @@
   double max_ratio = 8;
   // The mean counts as no less than this, in seconds, so that small
   // differences between idle endpoints do not count.
-  double least_mean = 0.010;
+  double min_mean = 0.010;
 };
 
 // `idle_cost` priced for an endpoint whose backlog is `backlog` seconds (what
 // it would take to run one token of each stream in its care) where the mean
 // over all candidates is `mean`.
-double PricedLayerCost(double idle_cost, double backlog, double mean,
-                       const PriceOptions& options);
+double LoadedLayerCost(double idle_cost, double backlog, double mean,
+                       const CostOptions& options);
 
 }  // namespace pinford
 
--- a/pinford/endpoint.cc
+++ b/pinford/endpoint.cc
@@ -91,11 +91,11 @@
   r.holds = {JsonField(v, "begin", 0), JsonField(v, "end", 0)};
   r.layer_seconds = JsonField(v, "layer_seconds", 0.0);
   constexpr int kMaxLayers = 10000;
-  bool sane = r.running >= 0 && r.work >= 0 && r.slots > 0 && r.layers >= 0 &&
-              r.layers <= kMaxLayers && r.layer_seconds >= 0 &&
-              r.holds.begin >= 0 && r.holds.begin <= r.holds.end &&
-              r.holds.end <= r.layers;
-  if (!sane) return std::nullopt;
+  bool valid = r.running >= 0 && r.work >= 0 && r.slots > 0 && r.layers >= 0 &&
+               r.layers <= kMaxLayers && r.layer_seconds >= 0 &&
+               r.holds.begin >= 0 && r.holds.begin <= r.holds.end &&
+               r.holds.end <= r.layers;
+  if (!valid) return std::nullopt;
   return r;
 }
 
--- a/pinford/endpoint_choice.cc
+++ b/pinford/endpoint_choice.cc
@@ -48,7 +48,7 @@
   return layers > 0 && covered >= layers;
 }
 
-std::optional<std::string> EndpointTable::WholeVersion(
+std::optional<std::string> EndpointTable::CompleteVersion(
     const std::string& model, const std::string& wanted,
     const std::function<bool(const Row&)>& takes) const {
   const auto below = [](const std::string& a, const std::string& b) {
@@ -68,11 +68,12 @@
 
 std::optional<std::string> EndpointTable::VersionFor(
     Time now, const std::string& model, const std::string& wanted) const {
-  auto version = WholeVersion(
+  auto version = CompleteVersion(
       model, wanted, [&](const Row& row) { return TakesNewWork(now, row); });
-  if (version || !on(Mechanism::kServeAtNeed)) return version;
-  return WholeVersion(
-      model, wanted, [&](const Row& row) { return TakesWorkAtNeed(now, row); });
+  if (version || !enabled(Mechanism::kServeAtNeed)) return version;
+  return CompleteVersion(model, wanted, [&](const Row& row) {
+    return TakesWorkAsLastResort(now, row);
+  });
 }
 
 EndpointTable::Means EndpointTable::MeansOf(
@@ -99,39 +100,41 @@
     const int number =
         halls.emplace(hall, static_cast<int>(halls.size())).first->second;
     const bool far = hall != hall_ && !options_.hand_over_directly;
-    const double hop = far ? options_.other_hall_seconds : options_.hop_seconds;
-    const double price = PriceOf(now, *row, means) *
-                         std::pow(options_.price.factor, jitter(random_));
+    const double handoff =
+        far ? options_.other_hall_seconds : options_.handoff_seconds;
+    const double cost = CostOf(now, *row, means) *
+                        std::pow(options_.cost.factor, jitter(random_));
     const bool elsewhere = hall != hall_ && options_.hand_over_directly;
     const double first = options_.hand_over_directly
-                             ? EntryPrice(now, *row) +
+                             ? FirstStageCost(now, *row) +
                                    (elsewhere ? options_.other_hall_seconds : 0)
                              : 0;
     candidates.push_back({row->listed.name, row->report->holds,
-                          price / hall_weight(hall), hop, number, first});
+                          cost / hall_weight(hall), handoff, number, first});
   }
   if (!options_.hand_over_directly) return PickChain(candidates, range);
-  const double crossing = CrossingPrice(now, static_cast<int>(halls.size()));
-  return PickSimpleChain(candidates, range, crossing);
+  const double transfer = TransferCost(now, static_cast<int>(halls.size()));
+  return PickSimpleChain(candidates, range, transfer);
 }
 
 std::optional<Chain> EndpointTable::PickChainFor(
     Time now, const std::string& model, const std::string& version,
     const LayerRange& range, const HallWeight& hall_weight, double layer_work,
     const std::set<std::string>& avoid) {
-  std::vector<const Row*> able;
-  std::vector<const Row*> at_need;
+  std::vector<const Row*> available;
+  std::vector<const Row*> last_resort;
   for (const auto& [name, row] : rows_) {
     if (!Holds(row, model, version)) continue;
     if (hall_weight(row.listed.hall) <= 0) continue;
-    if (!TakesWorkAtNeed(now, row) || !HasRoom(now, row, layer_work)) continue;
+    if (!TakesWorkAsLastResort(now, row) || !HasMemoryFor(now, row, layer_work))
+      continue;
     if (avoid.contains(name)) continue;
-    at_need.push_back(&row);
-    if (TakesNewWork(now, row)) able.push_back(&row);
+    last_resort.push_back(&row);
+    if (TakesNewWork(now, row)) available.push_back(&row);
   }
-  std::optional<Chain> chain = PickAmong(now, able, range, hall_weight);
-  if (chain || able.size() == at_need.size()) return chain;
-  return PickAmong(now, at_need, range, hall_weight);
+  std::optional<Chain> chain = PickAmong(now, available, range, hall_weight);
+  if (chain || available.size() == last_resort.size()) return chain;
+  return PickAmong(now, last_resort, range, hall_weight);
 }
 
 EndpointTable::Shortage EndpointTable::ShortestOf(
@@ -141,7 +144,8 @@
     at_layer[l].layer = static_cast<int>(l);
   }
   for (const auto& [name, row] : rows_) {
-    if (!Holds(row, model, version) || !TakesWorkAtNeed(now, row)) continue;
+    if (!Holds(row, model, version) || !TakesWorkAsLastResort(now, row))
+      continue;
     const LayerRange& r = row.report->holds;
     for (int l = r.begin; l < r.end; l++) {
       Shortage& s = at_layer[l];
@@ -152,25 +156,25 @@
   const auto less = [](const Shortage& a, const Shortage& b) {
     return a.holders > 0 && (b.holders == 0 || a.taken < b.taken);
   };
-  const auto most = std::max_element(at_layer.begin(), at_layer.end(), less);
-  return most == at_layer.end() ? Shortage() : *most;
+  const auto worst = std::max_element(at_layer.begin(), at_layer.end(), less);
+  return worst == at_layer.end() ? Shortage() : *worst;
 }
 
 std::optional<std::string> EndpointTable::PickService(
     Time now, const std::string& service, const std::set<std::string>& tried) {
   std::vector<const Row*> usable;
-  std::vector<const Row*> resting;
+  std::vector<const Row*> backing_off;
   for (const auto& [name, row] : rows_) {
     if (row.listed.role != EndpointRole::kService) continue;
     if (row.listed.service != service || tried.contains(name)) continue;
     if (TakesNewWork(now, row)) {
       usable.push_back(&row);
     } else if (MaySend(now, row)) {
-      resting.push_back(&row);
+      backing_off.push_back(&row);
     }
   }
   // One that failed of late may do; nobody at all does not.
-  if (usable.empty()) usable = std::move(resting);
+  if (usable.empty()) usable = std::move(backing_off);
   if (usable.empty()) return std::nullopt;
   std::uniform_int_distribution<size_t> any(0, usable.size() - 1);
   const Row* a = usable[any(random_)];
--- a/pinford/endpoint_rests.cc
+++ b/pinford/endpoint_rests.cc
@@ -4,15 +4,16 @@
 
 namespace pinford {
 
-void EndpointRests::OnAsked(Time now, const std::string& endpoint,
-                            Duration rest) {
+void EndpointBackoffs::OnRequested(Time now, const std::string& endpoint,
+                                   Duration backoff) {
   std::erase_if(until_, [now](const auto& e) { return e.second <= now; });
-  if (rest <= Duration(0)) return;
+  if (backoff <= Duration(0)) return;
   Time& until = until_[endpoint];
-  until = std::max(until, now + std::min(rest, kLongest));
+  until = std::max(until, now + std::min(backoff, kMaxBackoff));
 }
 
-Duration EndpointRests::Left(Time now, const std::string& endpoint) const {
+Duration EndpointBackoffs::Remaining(Time now,
+                                     const std::string& endpoint) const {
   // The usual case: this is asked for each endpoint at each choice.
   if (until_.empty()) return Duration(0);
   const auto it = until_.find(endpoint);
@@ -20,7 +21,7 @@
                             : Duration(0);
 }
 
-size_t EndpointRests::Count(Time now) const {
+size_t EndpointBackoffs::Count(Time now) const {
   return std::count_if(until_.begin(), until_.end(),
                        [now](const auto& e) { return e.second > now; });
 }
--- a/pinford/endpoint_rests.h
+++ b/pinford/endpoint_rests.h
@@ -7,7 +7,7 @@
 // EndpointTable, which come and go with the list, begin anew with each life and
 // are put right by successes. It ends with its time alone.
 //
-//   rests.OnAsked(now, "a", seconds(3));
+//   rests.OnRequested(now, "a", seconds(3));
 //   if (rests.Left(now, "a") > Duration(0)) ...  // not to be sent to
 //
 // Rests are this box's own: an endpoint asks the one that it turned away.
@@ -22,22 +22,22 @@
 
 namespace pinford {
 
-class EndpointRests {
+class EndpointBackoffs {
  public:
   // More is not believed: a damaged figure must not take an endpoint away for
   // good. One request then finds out whether it still holds.
-  static constexpr Duration kLongest = seconds(600);
+  static constexpr Duration kMaxBackoff = seconds(600);
 
   // The endpoint's answer, read at `now`, asks for `rest`. Of two rests that
   // overlap the one that ends last holds: answers overtake one another.
-  void OnAsked(Time now, const std::string& endpoint, Duration rest);
+  void OnRequested(Time now, const std::string& endpoint, Duration backoff);
   // What is left of its rest; 0 when there is none.
-  Duration Left(Time now, const std::string& endpoint) const;
+  Duration Remaining(Time now, const std::string& endpoint) const;
   // Endpoints that rest now.
   size_t Count(Time now) const;
 
  private:
-  // Those that rest, and those whose rest has ended since the last OnAsked.
+  // Those that rest, and those whose rest has ended since the last OnRequested.
   std::unordered_map<std::string, Time> until_;
 };
 
--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -29,11 +29,11 @@
 void EndpointTable::OnList(const std::vector<ListedEndpoint>& list) {
   for (auto& [name, row] : rows_) row.is_listed = false;
   for (const ListedEndpoint& listed : list) OnListed(listed);
-  std::erase_if(rows_, [](const auto& e) { return IsOver(e.second); });
+  std::erase_if(rows_, [](const auto& e) { return IsObsolete(e.second); });
 }
 
-bool EndpointTable::IsOver(const Row& row) {
-  return !row.is_listed && row.own == 0 && row.lost.streams == 0;
+bool EndpointTable::IsObsolete(const Row& row) {
+  return !row.is_listed && row.own == 0 && row.orphaned.streams == 0;
 }
 
 void EndpointTable::OnListed(const ListedEndpoint& listed) {
@@ -45,7 +45,7 @@
   }
   if (listed.incarnation > row.listed.incarnation) {
     row.failures = 0;
-    row.resting_until = Time{};
+    row.backoff_until = Time{};
   }
   row.listed = listed;
   row.is_listed = true;
@@ -58,7 +58,7 @@
   const auto it = rows_.find(name);
   if (it == rows_.end()) return;
   it->second.is_listed = false;
-  if (IsOver(it->second)) rows_.erase(it);
+  if (IsObsolete(it->second)) rows_.erase(it);
 }
 
 void EndpointTable::OnReport(Time now, const std::string& name,
@@ -102,26 +102,26 @@
   fresh.is_listed = row->is_listed;
   fresh.leaving = row->leaving;
   fresh.deadline = StepDeadline(options_.deadline);
-  fresh.begun = now;
-  fresh.lost.streams = row->lost.streams + row->own;
-  fresh.lost.work = row->lost.work + row->own_work;
-  fresh.lost.entries = row->lost.entries + row->own_entries;
+  fresh.restarted = now;
+  fresh.orphaned.streams = row->orphaned.streams + row->own;
+  fresh.orphaned.work = row->orphaned.work + row->own_work;
+  fresh.orphaned.entries = row->orphaned.entries + row->own_entries;
   *row = std::move(fresh);
 }
 
 Time EndpointTable::LifeBegun(const std::string& name) const {
   const Row* row = Find(name);
-  return row != nullptr ? row->begun : Time{};
+  return row != nullptr ? row->restarted : Time{};
 }
 
 // Which life a stream was on is not kept: those of lives that are over break
 // off, and count as the first to end. What that mistakes is made up for with
 // the last of them.
-void EndpointTable::EndLost(int work, Row* row) {
-  row->lost.work -= work;
-  if (--row->lost.streams > 0) return;
-  row->own_work = std::max(0, row->own_work + row->lost.work);
-  row->lost.work = 0;
+void EndpointTable::EndOrphaned(int work, Row* row) {
+  row->orphaned.work -= work;
+  if (--row->orphaned.streams > 0) return;
+  row->own_work = std::max(0, row->own_work + row->orphaned.work);
+  row->orphaned.work = 0;
 }
 
 void EndpointTable::OnReportWrong(const std::string& name) {
@@ -129,7 +129,7 @@
 }
 
 void EndpointTable::OnPeerCounts(const PeerCounts& counts) {
-  if (!on(Mechanism::kPeerCounts)) return;
+  if (!enabled(Mechanism::kPeerCounts)) return;
   for (auto& [name, row] : rows_) {
     const auto it = counts.find(row.id);
     row.peers = it != counts.end() ? it->second : PeerCount();
@@ -141,9 +141,9 @@
   Row* row = Find(name);
   if (row == nullptr) return;
   row->observed = now;
-  if (!on(Mechanism::kObservedRoom)) return;
-  row->unknown_work = work - WorkOf(*row);
-  row->unknown_entries = entries - row->own_entries - row->peers.entries;
+  if (!enabled(Mechanism::kObservedRoom)) return;
+  row->unattributed_work = work - WorkOf(*row);
+  row->unattributed_entries = entries - row->own_entries - row->peers.entries;
 }
 
 void EndpointTable::OnEntry(const std::string& name) {
@@ -153,7 +153,8 @@
 void EndpointTable::OnEntryDone(const std::string& name) {
   Row* row = Find(name);
   if (row == nullptr) return;
-  int& entries = row->lost.entries > 0 ? row->lost.entries : row->own_entries;
+  int& entries =
+      row->orphaned.entries > 0 ? row->orphaned.entries : row->own_entries;
   if (entries > 0) entries--;
 }
 
@@ -167,8 +168,8 @@
 void EndpointTable::OnDone(const std::string& name, int work) {
   Row* row = Find(name);
   if (row == nullptr) return;
-  if (row->lost.streams > 0) {
-    EndLost(work, row);
+  if (row->orphaned.streams > 0) {
+    EndOrphaned(work, row);
     return;
   }
   if (row->own == 0) return;
@@ -179,44 +180,44 @@
 void EndpointTable::OnPrompt(Time now, const std::string& name, double tokens) {
   Row* row = Find(name);
   if (row == nullptr || !row->report) return;
-  if (!on(Mechanism::kReadingAccount)) return;
-  row->reading.Add(now, tokens * row->report->read_seconds,
-                   options_.reading_span);
+  if (!enabled(Mechanism::kReadingAccount)) return;
+  row->prefill_load.Add(now, tokens * row->report->read_seconds,
+                        options_.load_window);
 }
 
 void EndpointTable::OnWaiting(const std::string& name, double tokens) {
-  if (Row* row = Find(name)) row->waiting += tokens;
+  if (Row* row = Find(name)) row->queued_tokens += tokens;
 }
 
 void EndpointTable::OnWaitingDone(const std::string& name, double tokens) {
   if (Row* row = Find(name))
-    row->waiting = std::max(0.0, row->waiting - tokens);
+    row->queued_tokens = std::max(0.0, row->queued_tokens - tokens);
 }
 
 void EndpointTable::OnCrossing(Time now, double tokens) {
-  if (!on(Mechanism::kCrossingAccount)) return;
-  crossing_.Add(now, tokens * crossing_seconds_, options_.reading_span);
+  if (!enabled(Mechanism::kCrossingAccount)) return;
+  transfer_load_.Add(now, tokens * crossing_seconds_, options_.load_window);
 }
 
 void EndpointTable::OnCrossingDone(double tokens) {
-  crossing_waiting_ = std::max(0.0, crossing_waiting_ - tokens);
+  queued_transfer_tokens_ = std::max(0.0, queued_transfer_tokens_ - tokens);
 }
 
 // Seconds for one token, the links' load counted. Each pair of halls has a link
 // of its own; what crosses is taken to spread over them.
-double EndpointTable::CrossingPrice(Time now, int halls) const {
-  constexpr double kLeastIdle = 0.01;
-  const Duration span = options_.reading_span;
-  const bool pairs = on(Mechanism::kLinkPairs);
+double EndpointTable::TransferCost(Time now, int halls) const {
+  constexpr double kMinIdle = 0.01;
+  const Duration span = options_.load_window;
+  const bool pairs = enabled(Mechanism::kLinkPairs);
   const int links = pairs ? std::max(1, halls * (halls - 1) / 2) : 1;
-  const double taken =
-      boxes_ * crossing_.At(now, span) / ToSeconds(span) / links;
-  const double waiting =
-      on(Mechanism::kWaitingPrompts)
-          ? boxes_ * crossing_waiting_ * crossing_seconds_ / links
+  const double utilization =
+      boxes_ * transfer_load_.At(now, span) / ToSeconds(span) / links;
+  const double queue_seconds =
+      enabled(Mechanism::kWaitingPrompts)
+          ? boxes_ * queued_transfer_tokens_ * crossing_seconds_ / links
           : 0;
-  return options_.other_hall_seconds * QueueFactor(waiting) /
-         std::max(kLeastIdle, 1 - taken);
+  return options_.other_hall_seconds * QueueFactor(queue_seconds) /
+         std::max(kMinIdle, 1 - utilization);
 }
 
 void EndpointTable::OnSuccess(const std::string& name, double work,
@@ -224,24 +225,25 @@
   Row* row = Find(name);
   if (row == nullptr) return;
   row->failures = 0;
-  row->resting_until = Time{};
+  row->backoff_until = Time{};
   row->deadline.Measure(work, took);
 }
 
 void EndpointTable::OnFailure(Time now, const std::string& name, Time sent) {
   Row* row = Find(name);
-  if (row == nullptr || sent < row->begun) return;
+  if (row == nullptr || sent < row->restarted) return;
   row->failed = now;
   // What was sent under the last deadline says nothing of the present one.
-  if (sent >= row->backed_off) {
+  if (sent >= row->deadline_doubled) {
     row->deadline.BackOff();
-    row->backed_off = now;
+    row->deadline_doubled = now;
   }
   // Streams that share an endpoint fail together; that is one failure.
-  if (now < row->resting_until) return;
+  if (now < row->backoff_until) return;
   constexpr int kMaxDoublings = 10;
-  Duration rest = options_.rest * (1 << std::min(row->failures, kMaxDoublings));
-  row->resting_until = now + std::min(rest, options_.max_rest);
+  Duration backoff =
+      options_.backoff * (1 << std::min(row->failures, kMaxDoublings));
+  row->backoff_until = now + std::min(backoff, options_.max_backoff);
   row->failures++;
 }
 
@@ -255,7 +257,7 @@
 }
 
 void EndpointTable::SetPace(const std::string& name, double pace) {
-  if (!on(Mechanism::kPacePrice)) return;
+  if (!enabled(Mechanism::kPacePrice)) return;
   if (Row* row = Find(name)) row->pace = std::max(1.0, pace);
 }
 
@@ -266,13 +268,13 @@
 // What the endpoint asked for goes before what this box guesses, and holds
 // whatever else is learned of it: boxes that go by the guess alone come back
 // long before that rest is over.
-bool EndpointTable::LeftAlone(Time now, const Row& row) const {
+bool EndpointTable::IsBackingOff(Time now, const Row& row) const {
   return now < row.full_until ||
-         rests_.Left(now, row.listed.name) > Duration(0);
+         backoffs_.Remaining(now, row.listed.name) > Duration(0);
 }
 
 bool EndpointTable::MaySend(Time now, const Row& row) const {
-  return IsUp(row) && !LeftAlone(now, row);
+  return IsUp(row) && !IsBackingOff(now, row);
 }
 
 bool EndpointTable::MaySend(Time now, const std::string& name) const {
@@ -280,17 +282,17 @@
   return row != nullptr && MaySend(now, *row);
 }
 
-bool EndpointTable::TakesWorkAtNeed(Time now, const Row& row) const {
+bool EndpointTable::TakesWorkAsLastResort(Time now, const Row& row) const {
   if (!MaySend(now, row)) return false;
   if (!row.report || row.reported + options_.report_valid < now) return false;
-  const bool answers = on(Mechanism::kServeAtNeed);
-  const Time heard =
-      answers ? std::max(row.reported, row.observed) : row.reported;
-  return now >= row.resting_until || heard > row.failed;
+  const bool last_resort = enabled(Mechanism::kServeAtNeed);
+  const Time last_heard =
+      last_resort ? std::max(row.reported, row.observed) : row.reported;
+  return now >= row.backoff_until || last_heard > row.failed;
 }
 
 bool EndpointTable::TakesNewWork(Time now, const Row& row) const {
-  return TakesWorkAtNeed(now, row) && now >= row.resting_until;
+  return TakesWorkAsLastResort(now, row) && now >= row.backoff_until;
 }
 
 bool EndpointTable::TakesNewWork(Time now, const std::string& name) const {
@@ -345,19 +347,20 @@
   return row.own_work + std::max(expected, 0);
 }
 
-double EndpointTable::UnknownLeft(Time now, const Row& row) const {
+double EndpointTable::UnattributedFraction(Time now, const Row& row) const {
   if (row.observed == Time{}) return 0;
   return std::exp(-ToSeconds(now - row.observed) /
-                  ToSeconds(options_.unknown_for));
+                  ToSeconds(options_.unattributed_decay));
 }
 
-double EndpointTable::RoomTakenOf(Time now, const Row& row) const {
-  return std::max(0.0, WorkOf(row) + row.unknown_work * UnknownLeft(now, row));
+double EndpointTable::MemoryUsedOf(Time now, const Row& row) const {
+  return std::max(0.0, WorkOf(row) + row.unattributed_work *
+                                         UnattributedFraction(now, row));
 }
 
 double EndpointTable::TakenOf(Time now, const Row& row) const {
   const bool known = row.report && row.report->room > 0;
-  return known ? RoomTakenOf(now, row) / row.report->room : 0;
+  return known ? MemoryUsedOf(now, row) / row.report->room : 0;
 }
 
 double EndpointTable::TakenOf(Time now, const std::string& name) const {
@@ -369,7 +372,7 @@
   const Row* row = Find(name);
   const bool known = row != nullptr && row->report && row->report->room > 0;
   if (!known || row->report->holds.empty()) return 0;
-  return RoomTakenOf(now, *row) / row->report->holds.size();
+  return MemoryUsedOf(now, *row) / row->report->holds.size();
 }
 
 double EndpointTable::StepSecondsOf(const std::string& name, int layers,
@@ -380,18 +383,18 @@
 }
 
 double EndpointTable::ReadingOf(Time now, const Row& row) const {
-  const Duration span = options_.reading_span;
-  return boxes_ * row.reading.At(now, span) / ToSeconds(span);
+  const Duration span = options_.load_window;
+  return boxes_ * row.prefill_load.At(now, span) / ToSeconds(span);
 }
 
-double EndpointTable::WaitingOf(const Row& row) const {
-  if (!on(Mechanism::kWaitingPrompts) || !row.report) return 0;
-  return boxes_ * row.waiting * row.report->read_seconds * row.pace;
+double EndpointTable::PrefillQueueSecondsOf(const Row& row) const {
+  if (!enabled(Mechanism::kWaitingPrompts) || !row.report) return 0;
+  return boxes_ * row.queued_tokens * row.report->read_seconds * row.pace;
 }
 
-double EndpointTable::WaitingOf(const std::string& name) const {
+double EndpointTable::PrefillQueueSecondsOf(const std::string& name) const {
   const Row* row = Find(name);
-  return row != nullptr ? WaitingOf(*row) : 0;
+  return row != nullptr ? PrefillQueueSecondsOf(*row) : 0;
 }
 
 double EndpointTable::ReadingOf(Time now, const std::string& name) const {
@@ -399,30 +402,33 @@
   return row != nullptr ? ReadingOf(now, *row) : 0;
 }
 
-bool EndpointTable::HasRoom(Time now, const Row& row, double layer_work) const {
-  if (row.report->room <= 0 || !on(Mechanism::kRoomBound)) return true;
+bool EndpointTable::HasMemoryFor(Time now, const Row& row,
+                                 double layer_work) const {
+  if (row.report->room <= 0 || !enabled(Mechanism::kRoomBound)) return true;
   const double more = layer_work * row.report->holds.size();
-  return RoomTakenOf(now, row) + more <= row.report->room * options_.most_room;
+  return MemoryUsedOf(now, row) + more <=
+         row.report->room * options_.max_memory_utilization;
 }
 
-double EndpointTable::PriceOf(Time now, const Row& row,
-                              const Means& means) const {
+double EndpointTable::CostOf(Time now, const Row& row,
+                             const Means& means) const {
   const double idle = row.report->layer_seconds;
   if (row.report->room <= 0) {
-    return PricedLayerCost(idle, BacklogOf(row), means.backlog, options_.price);
+    return LoadedLayerCost(idle, BacklogOf(row), means.backlog, options_.cost);
   }
   const double weight =
-      on(Mechanism::kSpreadPrice) ? SpeedWeight(gap_share_) : 1;
-  return LayerPrice(
-      {idle, row.pace, ReadingOf(now, row), TakenOf(now, row), WaitingOf(row)},
-      means.layer_seconds, weight);
-}
-
-double EndpointTable::EntryPrice(Time now, const Row& row) const {
-  if (!on(Mechanism::kEntrySlots)) return 0;
-  const double entries = row.own_entries + row.peers.entries +
-                         row.unknown_entries * UnknownLeft(now, row);
-  return EntrySlotPrice(entries, row.report->slots);
+      enabled(Mechanism::kSpreadPrice) ? SpeedWeight(gap_share_) : 1;
+  return LayerCost({idle, row.pace, ReadingOf(now, row), TakenOf(now, row),
+                    PrefillQueueSecondsOf(row)},
+                   means.layer_seconds, weight);
+}
+
+double EndpointTable::FirstStageCost(Time now, const Row& row) const {
+  if (!enabled(Mechanism::kEntrySlots)) return 0;
+  const double entries =
+      row.own_entries + row.peers.entries +
+      row.unattributed_entries * UnattributedFraction(now, row);
+  return FirstStageSlotCost(entries, row.report->slots);
 }
 
 double EndpointTable::LoadOf(const std::string& name) const {
--- a/pinford/endpoint_table.h
+++ b/pinford/endpoint_table.h
@@ -66,9 +66,9 @@
  public:
   struct Options {
     Duration report_valid = seconds(5);  // a report older than this is none
-    Duration rest = seconds(1);          // after a failure, doubled each time
-    Duration max_rest = seconds(30);
-    double hop_seconds = 0.0005;        // inside a hall, one hand-over
+    Duration backoff = seconds(1);       // after a failure, doubled each time
+    Duration max_backoff = seconds(30);
+    double handoff_seconds = 0.0005;    // inside a hall, one hand-over
     double other_hall_seconds = 0.002;  // between halls, until measured
     // Endpoints hand over to one another, so that what counts is whether two
     // neighbours share a hall; else each hand-over goes by this box.
@@ -77,23 +77,23 @@
     // a request counts with its whole answer from its start, and what runners
     // say corrects the account: below, runners stood at 57 in 100 of their
     // memory while requests were refused for want of room.
-    double most_room = 1.0;
+    double max_memory_utilization = 1.0;
     // How long an endpoint that refused work as full is left alone, if it does
     // not ask for more. What is there ends within seconds.
     Duration full_rest = milliseconds(300);
     // Over how long prompts sent are counted against what an endpoint can
     // read. Shorter than the bursts that callers make, long enough for a box
     // to have sent several prompts.
-    Duration reading_span = milliseconds(2000);
+    Duration load_window = milliseconds(2000);
     // How long what an endpoint said counts against the account. What it has
     // beyond what living boxes sent there (their boxes were killed, or this one
     // has just started) ends within seconds; so do counts of boxes that are
     // gone or cut off, which made the account 94 in 100 where the runner
     // had 57.
-    Duration unknown_for = milliseconds(2000);
+    Duration unattributed_decay = milliseconds(2000);
     // Random part of a price, as a part of the mean backlog.
     double jitter = 0.02;
-    PriceOptions price;
+    CostOptions cost;
     StepDeadline::Options deadline;
     MechanismsOff off;
   };
@@ -122,8 +122,8 @@
   // The endpoint refused work because it has no room.
   void OnFull(Time now, const std::string& name);
   // The endpoint wants nothing from this box for so long.
-  void OnRestAsked(Time now, const std::string& name, Duration rest) {
-    rests_.OnAsked(now, name, rest);
+  void OnRestAsked(Time now, const std::string& name, Duration backoff) {
+    backoffs_.OnRequested(now, name, backoff);
   }
   // The endpoint does not hold what its last report said: that report counts
   // no more.
@@ -159,7 +159,7 @@
   // `tokens` are sent that pass from one hall to another.
   void OnCrossing(Time now, double tokens);
   // Those wait to pass; they have passed, or will not.
-  void OnCrossingWaiting(double tokens) { crossing_waiting_ += tokens; }
+  void OnCrossingWaiting(double tokens) { queued_transfer_tokens_ += tokens; }
   void OnCrossingDone(double tokens);
   // Results of single steps and calls.
   void OnSuccess(const std::string& name, double work, Duration took);
@@ -173,10 +173,10 @@
   bool MaySend(Time now, const std::string& name) const;
   // What is left of the rest that it asked for.
   Duration RestLeft(Time now, const std::string& name) const {
-    return rests_.Left(now, name);
+    return backoffs_.Remaining(now, name);
   }
   // Endpoints that rest because they asked to.
-  size_t Resting(Time now) const { return rests_.Count(now); }
+  size_t Resting(Time now) const { return backoffs_.Count(now); }
   // Whether its present incarnation is known to be leaving.
   bool IsLeaving(const std::string& name) const;
   // Its present incarnation; 0 if it is not known.
@@ -195,7 +195,7 @@
   // Part of its room that is taken, by all boxes; 0 where none is known.
   double TakenOf(Time now, const std::string& name) const;
   // Seconds that what waits to be read there takes, by all boxes.
-  double WaitingOf(const std::string& name) const;
+  double PrefillQueueSecondsOf(const std::string& name) const;
   // Thousands of tokens of each of its layers there, by all boxes; 0 where no
   // room is known.
   double LayerWorkOf(Time now, const std::string& name) const;
@@ -258,7 +258,7 @@
                                           const std::string& model) const;
 
   // What this box had on lives that are over, until it is done there too.
-  struct LostLoad {
+  struct OrphanedLoad {
     int streams = 0;
     int work = 0;
     int entries = 0;
@@ -278,20 +278,20 @@
     PeerCount peers;
     // What it said it had beyond what was known here, less where negative, and
     // when.
-    double unknown_work = 0;
-    int unknown_entries = 0;
+    double unattributed_work = 0;
+    int unattributed_entries = 0;
     Time observed{};
-    DecayingSum reading;         // seconds that this box's prompts take to read
-    double waiting = 0;          // of them, what has not been read, tokens
+    DecayingSum prefill_load;    // seconds that this box's prompts take to read
+    double queued_tokens = 0;    // of them, what has not been read, tokens
     std::set<uint64_t> leaving;  // incarnations known to leave
     int failures = 0;            // in a row
-    Time resting_until{};
+    Time backoff_until{};
     Time failed{};
     Time full_until{};
-    Time backed_off{};  // when its deadline was last doubled
+    Time deadline_doubled{};  // when its deadline was last doubled
     StepDeadline deadline;
-    LostLoad lost;
-    Time begun{};  // when it was seen to have started anew
+    OrphanedLoad orphaned;
+    Time restarted{};  // when it was seen to have started anew
     bool is_listed = true;
     bool down = false;  // does not answer, though it is listed
     double pace = 1;    // over 1: slower than it should be
@@ -301,12 +301,12 @@
   std::vector<LeavingMark> LeavingMarks() const;
 
  private:
-  bool on(Mechanism m) const { return options_.off.on(m); }
-  static void EndLost(int work, Row* row);
+  bool enabled(Mechanism m) const { return options_.off.on(m); }
+  static void EndOrphaned(int work, Row* row);
   Row* Find(const std::string& name);
   const Row* Find(const std::string& name) const;
   // Whether nothing of the row is of use any more.
-  static bool IsOver(const Row& row);
+  static bool IsObsolete(const Row& row);
   // That a row speaks of: its report may be ahead of the list.
   static uint64_t IncarnationOf(const Row& row);
   // Its present incarnation is known to be leaving.
@@ -314,12 +314,12 @@
   // Listed, and not known to be leaving.
   static bool IsUp(const Row& row);
   // It has refused work, and is not to be sent to for a while.
-  bool LeftAlone(Time now, const Row& row) const;
+  bool IsBackingOff(Time now, const Row& row) const;
   bool MaySend(Time now, const Row& row) const;
   bool TakesNewWork(Time now, const Row& row) const;
-  bool TakesWorkAtNeed(Time now, const Row& row) const;
+  bool TakesWorkAsLastResort(Time now, const Row& row) const;
   // The greatest version that the rows of `takes` hold every layer of.
-  std::optional<std::string> WholeVersion(
+  std::optional<std::string> CompleteVersion(
       const std::string& model, const std::string& wanted,
       const std::function<bool(const Row&)>& takes) const;
   std::optional<Chain> PickAmong(Time now, const std::vector<const Row*>& rows,
@@ -327,22 +327,22 @@
                                  const HallWeight& hall_weight);
   double WorkOf(const Row& row) const;
   // Part of what was observed beyond what was known that is likely left.
-  double UnknownLeft(Time now, const Row& row) const;
-  double RoomTakenOf(Time now, const Row& row) const;
+  double UnattributedFraction(Time now, const Row& row) const;
+  double MemoryUsedOf(Time now, const Row& row) const;
   double TakenOf(Time now, const Row& row) const;
   double ReadingOf(Time now, const Row& row) const;
-  double WaitingOf(const Row& row) const;
-  bool HasRoom(Time now, const Row& row, double layer_work) const;
+  double PrefillQueueSecondsOf(const Row& row) const;
+  bool HasMemoryFor(Time now, const Row& row, double layer_work) const;
   // What prices of a pick are taken against: means over its candidates.
   struct Means {
     double backlog = 0;        // seconds
     double layer_seconds = 0;  // of a runner without load
   };
   Means MeansOf(const std::vector<const Row*>& rows) const;
-  double PriceOf(Time now, const Row& row, const Means& means) const;
-  double EntryPrice(Time now, const Row& row) const;
+  double CostOf(Time now, const Row& row, const Means& means) const;
+  double FirstStageCost(Time now, const Row& row) const;
   double BacklogOf(const Row& row) const;
-  double CrossingPrice(Time now, int halls) const;
+  double TransferCost(Time now, int halls) const;
   static double LoadOf(const Row& row);
   template <typename SlotsOf>
   double LeastOverLayers(Time now, const std::string& model,
@@ -355,12 +355,14 @@
   int boxes_ = 1;
   double gap_share_ = 0;
   double crossing_seconds_ = 0;
-  double crossing_waiting_ = 0;  // tokens of this box that have not crossed
-  DecayingSum crossing_;  // seconds that this box's tokens take of the links
+  double queued_transfer_tokens_ =
+      0;  // tokens of this box that have not crossed
+  DecayingSum
+      transfer_load_;  // seconds that this box's tokens take of the links
   Options options_;
   Random random_;
   std::map<std::string, Row> rows_;
-  EndpointRests rests_;
+  EndpointBackoffs backoffs_;
 };
 
 }  // namespace pinford
--- a/pinford/gossip.cc
+++ b/pinford/gossip.cc
@@ -42,14 +42,14 @@
 }
 
 void Gossip::Tell(const DownNote& note, size_t peers) {
-  for (const std::string& to : membership_->SomeLive(loop_->now(), peers)) {
+  for (const std::string& to : membership_->RandomLive(loop_->now(), peers)) {
     link_.Send(to, note);
   }
 }
 
 void Gossip::Ask(std::vector<RetryAsk> asks) {
   const std::vector<std::string> peers =
-      membership_->SomeLive(loop_->now(), asks.size());
+      membership_->RandomLive(loop_->now(), asks.size());
   for (size_t i = 0; i < peers.size(); i++) {
     asks[i].from = membership_->self().address;
     link_.Send(peers[i], asks[i]);
@@ -69,13 +69,13 @@
   SyncMembers();
 }
 
-void Gossip::Note(
+void Gossip::NotifyChanges(
     const std::vector<std::pair<std::string, MemberChange>>& changes) {
   for (const auto& [box, change] : changes) handlers_.on_member(box, change);
 }
 
 void Gossip::OnDigest(const Digest& digest) {
-  Note(membership_->OnDigest(loop_->now(), digest));
+  NotifyChanges(membership_->OnDigest(loop_->now(), digest));
   SyncMembers();
   handlers_.on_digest(digest);
 }
@@ -86,7 +86,7 @@
   FetchRequest request;
   request.kind = FetchKind::kMembers;
   link_.Fetch(*from, request, [this](std::optional<FetchReply> reply) {
-    if (reply) Note(membership_->OnRows(loop_->now(), reply->members));
+    if (reply) NotifyChanges(membership_->OnRows(loop_->now(), reply->members));
   });
 }
 
--- a/pinford/gossip.h
+++ b/pinford/gossip.h
@@ -61,7 +61,8 @@
   FetchReply OnFetch(const FetchRequest& request);
   void OnRetryAsk(const RetryAsk& ask);
   void SyncMembers();
-  void Note(const std::vector<std::pair<std::string, MemberChange>>& changes);
+  void NotifyChanges(
+      const std::vector<std::pair<std::string, MemberChange>>& changes);
 
   EventLoop* loop_;
   Membership* membership_;
--- a/pinford/hall_planner.h
+++ b/pinford/hall_planner.h
@@ -41,8 +41,8 @@
   Duration lease = seconds(6);
   Duration round = seconds(1);
   Duration order_limit = seconds(2);
-  Duration load_spacing = seconds(10);  // from the weight store's rate
-  Duration rest = seconds(60);          // of a runner that was moved
+  Duration load_spacing = seconds(10);   // from the weight store's rate
+  Duration move_cooldown = seconds(60);  // of a runner that was moved
 };
 
 // What the planner asks of its box.
@@ -81,7 +81,7 @@
   bool holds_lease() const { return lease_.held(); }
 
  private:
-  void Again() { Start(); }
+  void ScheduleRound() { Start(); }
 
   void OnToken(uint64_t token) {
     if (token != 0) next_load_ = clock_->now() + options_.load_spacing;
@@ -90,7 +90,7 @@
 
   void Round() {
     if (!holds_lease() && !events_.on_duty()) {
-      Again();
+      ScheduleRound();
       return;
     }
     // A renewal is a write, of which the store has few.
@@ -102,7 +102,7 @@
       if (held) {
         ReadPlan();
       } else {
-        Again();
+        ScheduleRound();
       }
     });
   }
@@ -112,7 +112,7 @@
   void ReadPlan() {
     store_->Get(plan_key_, [this](const StoreResult& r) {
       if (r.status != StoreStatus::kOk && r.status != StoreStatus::kMissing) {
-        Again();
+        ScheduleRound();
         return;
       }
       PlacementPlan plan;
@@ -123,7 +123,7 @@
       if (plan.token > lease_.token()) {
         // Another has planned since: this lease is of the past.
         lease_.Forget();
-        Again();
+        ScheduleRound();
         return;
       }
       Decide(std::move(plan), r.now.revision);
@@ -133,9 +133,9 @@
   void Decide(PlacementPlan plan, StoreRevision revision) {
     const HallView view = events_.view();
     PlacementPlan next = plan;
-    Revise(view, &next);
+    UpdatePlan(view, &next);
     if (next.holdings == plan.holdings && plan.token == lease_.token()) {
-      Carry(view, plan);
+      IssueNextOrder(view, plan);
       return;
     }
     next.token = lease_.token();
@@ -145,30 +145,30 @@
                              // Only what is known to be written is carried out;
                              // the next round reads whatever is there.
                              if (r.status == StoreStatus::kOk) {
-                               Carry(view, next);
+                               IssueNextOrder(view, next);
                              } else {
-                               Again();
+                               ScheduleRound();
                              }
                            });
   }
 
   // Adds the next move, and forgets runners that are gone.
-  void Revise(const HallView& view, PlacementPlan* plan) const {
+  void UpdatePlan(const HallView& view, PlacementPlan* plan) const {
     std::vector<PlannedRunner> runners = view.runners;
     std::map<std::string, Holding> kept;
-    bool under_way = false;
+    bool in_progress = false;
     for (PlannedRunner& r : runners) {
       auto planned = plan->holdings.find(r.name);
       if (planned == plan->holdings.end()) continue;
       kept[r.name] = planned->second;
-      under_way = under_way || r.holds != planned->second;
+      in_progress = in_progress || r.holds != planned->second;
       r.holds = planned->second;
-      auto moved = moved_.find(r.name);
-      r.resting = moved != moved_.end() &&
-                  clock_->now() - moved->second < options_.rest;
+      auto moved = last_move_.find(r.name);
+      r.cooling_down = moved != last_move_.end() &&
+                       clock_->now() - moved->second < options_.move_cooldown;
     }
     plan->holdings = std::move(kept);
-    if (under_way) return;
+    if (in_progress) return;
     if (std::optional<Move> move = NextMove(runners, view.wanted)) {
       plan->holdings[move->runner] = move->to;
     }
@@ -177,45 +177,46 @@
   // --- the orders ----------------------------------------------------------
 
   // Gives the next order that the plan asks for, if one is due.
-  void Carry(const HallView& view, const PlacementPlan& plan) {
+  void IssueNextOrder(const HallView& view, const PlacementPlan& plan) {
     for (const PlannedRunner& r : view.runners) {
       auto planned = plan.holdings.find(r.name);
       if (planned == plan.holdings.end() || planned->second == r.holds)
         continue;
       if (clock_->now() < next_load_) continue;
       auto checks = view.checks_fence.find(r.name);
-      const bool fenced = checks != view.checks_fence.end() && checks->second;
+      const bool checks_token =
+          checks != view.checks_fence.end() && checks->second;
       const Order order{plan.token, plan.number, planned->second};
-      if (fenced) {
-        Give(r.name, order);
+      if (checks_token) {
+        IssueOrder(r.name, order);
       } else {
-        GiveUnfenced(r.name, order);
+        IssueUnfencedOrder(r.name, order);
       }
       return;
     }
-    Again();
+    ScheduleRound();
   }
 
-  void GiveUnfenced(const std::string& runner, const Order& order) {
+  void IssueUnfencedOrder(const std::string& runner, const Order& order) {
     lease_.Renew([this, runner, order](bool held) {
-      const bool same = held && lease_.token() == order.token;
-      const bool time = lease_.left() > options_.order_limit;
-      if (same && time) {
-        Give(runner, order);
+      const bool same_token = held && lease_.token() == order.token;
+      const bool enough_time = lease_.left() > options_.order_limit;
+      if (same_token && enough_time) {
+        IssueOrder(runner, order);
       } else {
-        Again();
+        ScheduleRound();
       }
     });
   }
 
-  void Give(const std::string& runner, const Order& order) {
+  void IssueOrder(const std::string& runner, const Order& order) {
     next_load_ = clock_->now() + options_.load_spacing;
-    moved_[runner] = clock_->now();
+    last_move_[runner] = clock_->now();
     if (events_.on_order) events_.on_order(runner, order);
     client_->SendOrder(runner, order, options_.order_limit,
                        [this](OrderStatus status) {
                          if (status == OrderStatus::kFenced) lease_.Forget();
-                         Again();
+                         ScheduleRound();
                        });
   }
 
@@ -228,7 +229,7 @@
 
   LeaseHolder<S, Clk> lease_;
   Time next_load_{};
-  std::map<std::string, Time> moved_;
+  std::map<std::string, Time> last_move_;
 };
 
 }  // namespace pinford
--- a/pinford/lease_holder.h
+++ b/pinford/lease_holder.h
@@ -34,40 +34,41 @@
 
   // Takes or renews the lease; `then` is told whether it is held now.
   void Renew(std::function<void(bool)> then) {
-    const Time asked = clock_->now();
-    store_->AcquireLease(
-        key_, holder_, lease_,
-        [this, asked, then, forgotten = forgotten_](const StoreResult& r) {
-          if (forgotten == forgotten_) OnAnswer(asked, r);
-          then(held());
-        });
+    const Time sent = clock_->now();
+    store_->AcquireLease(key_, holder_, lease_,
+                         [this, sent, then, abandon_count = abandon_count_](
+                             const StoreResult& r) {
+                           if (abandon_count == abandon_count_)
+                             OnReply(sent, r);
+                           then(held());
+                         });
   }
 
   // The token while the lease is held for sure, else 0.
   uint64_t token() const { return held() ? token_ : 0; }
-  bool held() const { return token_ != 0 && clock_->now() < until_; }
+  bool held() const { return token_ != 0 && clock_->now() < held_until_; }
   // How long it is held for sure.
   Duration left() const {
-    return held() ? until_ - clock_->now() : Duration(0);
+    return held() ? held_until_ - clock_->now() : Duration(0);
   }
   // Another has been seen at work under a higher token, or the store has lost
   // what it acknowledged. A renewal that is under way counts no more.
   void Forget() {
-    forgotten_++;
+    abandon_count_++;
     SetToken(0);
   }
 
  private:
-  void OnAnswer(Time asked, const StoreResult& r) {
+  void OnReply(Time sent, const StoreResult& r) {
     if (r.status != StoreStatus::kOk) {
       // Without a reply the lease may have been renewed or not.
-      const bool ended = clock_->now() >= until_;
+      const bool ended = clock_->now() >= held_until_;
       if (r.status == StoreStatus::kConflict || ended) SetToken(0);
       return;
     }
-    until_ = asked + lease_;
+    held_until_ = sent + lease_;
     SetToken(r.now.revision.packed());
-    if (clock_->now() >= until_) SetToken(0);
+    if (clock_->now() >= held_until_) SetToken(0);
   }
 
   void SetToken(uint64_t token) {
@@ -83,8 +84,8 @@
   Duration lease_;
   std::function<void(uint64_t)> on_token_;
   uint64_t token_ = 0;
-  uint64_t forgotten_ = 0;  // how often it was
-  Time until_{};
+  uint64_t abandon_count_ = 0;  // how often it was
+  Time held_until_{};
 };
 
 }  // namespace pinford
--- a/pinford/membership.cc
+++ b/pinford/membership.cc
@@ -51,7 +51,7 @@
 }
 
 // What a digest tells of this box beside its row.
-void Membership::TellOwn(Digest* d) const {
+void Membership::FillOwnState(Digest* d) const {
   d->leaving = leaving_;
   d->counts = counts_;
   d->running = running_;
@@ -76,34 +76,35 @@
       4 * std::log2(static_cast<double>(members_.size()) + 2) + 8;
   double factor = 1;
   if (member.row.hall != self_.hall) {
-    const double drawn = static_cast<double>(far_members_) /
-                         static_cast<double>(options_.max_far_beats);
-    factor = options_.far_factor * std::max(1.0, drawn);
+    const double drawn = static_cast<double>(remote_members_) /
+                         static_cast<double>(options_.max_remote_beats);
+    factor = options_.remote_factor * std::max(1.0, drawn);
   }
   const double micros = static_cast<double>(interval_.count()) * rounds;
-  const auto near =
+  const auto local =
       std::max(micros, static_cast<double>(options_.min_suspect.count()));
-  return Duration(static_cast<int64_t>(near * factor));
+  return Duration(static_cast<int64_t>(local * factor));
 }
 
 bool Membership::Suspected(Time now, const Member& member) const {
-  return now - member.grew > SuspectAfter(member);
+  return now - member.last_heartbeat > SuspectAfter(member);
 }
 
 Digest Membership::FullDigest(Time now) {
   Digest d;
   d.sender = self_;
-  std::vector<MemberBeat> far;
+  std::vector<MemberBeat> remote;
   for (const auto& [name, m] : members_) {
     if (Suspected(now, m)) continue;
-    if (now - m.first_seen < options_.joined_for) d.joined.push_back(m.row);
+    if (now - m.first_seen < options_.joined_window) d.joined.push_back(m.row);
     const MemberBeat beat{NameId(name), m.row.incarnation, m.row.heartbeat};
-    (m.row.hall == self_.hall ? d.beats : far).push_back(beat);
+    (m.row.hall == self_.hall ? d.beats : remote).push_back(beat);
   }
-  std::shuffle(far.begin(), far.end(), random_);
-  if (far.size() > options_.max_far_beats) far.resize(options_.max_far_beats);
-  d.beats.insert(d.beats.end(), far.begin(), far.end());
-  TellOwn(&d);
+  std::shuffle(remote.begin(), remote.end(), random_);
+  if (remote.size() > options_.max_remote_beats)
+    remote.resize(options_.max_remote_beats);
+  d.beats.insert(d.beats.end(), remote.begin(), remote.end());
+  FillOwnState(&d);
   return d;
 }
 
@@ -137,14 +138,16 @@
 }
 
 std::optional<std::string> Membership::PickTarget(Time now) {
-  std::vector<std::string> near;
-  std::vector<std::string> far;
+  std::vector<std::string> local;
+  std::vector<std::string> remote;
   for (const auto& [name, m] : members_) {
     if (Suspected(now, m)) continue;
-    (m.row.hall == self_.hall ? near : far).push_back(m.row.address);
+    (m.row.hall == self_.hall ? local : remote).push_back(m.row.address);
   }
-  const bool go_far = ticks_ % options_.other_hall_every == 0 || near.empty();
-  const std::vector<std::string>& from = go_far && !far.empty() ? far : near;
+  const bool go_remote =
+      ticks_ % options_.other_hall_every == 0 || local.empty();
+  const std::vector<std::string>& from =
+      go_remote && !remote.empty() ? remote : local;
   if (from.empty()) return std::nullopt;
   return from[random_() % from.size()];
 }
@@ -155,7 +158,7 @@
 }
 
 std::vector<Membership::Datagram> Membership::TickDatagrams(Time now) {
-  if (ticks_ == 0) join_until_ = now + options_.join;
+  if (ticks_ == 0) join_until_ = now + options_.join_period;
   ticks_++;
   self_.heartbeat++;
   std::vector<Datagram> out;
@@ -166,7 +169,7 @@
   // apart long enough to forget each other still meet again.
   // A new one tells them of itself more than once: datagrams get lost.
   const bool ask_seed =
-      members_.empty() || now < join_until_ || ticks_ % kSeedEvery == 1;
+      members_.empty() || now < join_until_ || ticks_ % kSeedPeriod == 1;
   const std::string seed = ask_seed ? PickSeed() : "";
   if (!seed.empty()) out.push_back({seed, FullDigest(now)});
   return out;
@@ -176,12 +179,12 @@
   self_.heartbeat++;
   Digest d;
   d.sender = self_;
-  TellOwn(&d);
+  FillOwnState(&d);
   std::vector<Datagram> out;
   std::set<std::string> halls;
   for (const auto& [name, m] : members_) {
-    const bool near = m.row.hall == self_.hall;
-    if (near || halls.insert(m.row.hall).second) {
+    const bool local = m.row.hall == self_.hall;
+    if (local || halls.insert(m.row.hall).second) {
       out.push_back({m.row.address, d});
     }
   }
@@ -197,7 +200,7 @@
 // Raises what only grows within one life of a member to what `from` has: the
 // versions of its documents, and that it leaves. True if it now leaves and
 // did not before.
-static bool KeepGreatest(const MemberRow& from, MemberRow* to) {
+static bool MergeMonotonic(const MemberRow& from, MemberRow* to) {
   for (int k = 0; k < kDocumentKinds; k++) {
     to->versions[k] = std::max(to->versions[k], from.versions[k]);
   }
@@ -211,26 +214,26 @@
     Time now, const MemberRow& row,
     std::vector<std::pair<std::string, MemberChange>>* changes) {
   if (row.name == self_.name || row.name.empty()) return false;
-  auto gone = dropped_.find(row.name);
-  if (gone != dropped_.end()) {
-    if (!Newer(row.incarnation, row.heartbeat, gone->second.first,
-               gone->second.second)) {
+  auto dropped = dropped_.find(row.name);
+  if (dropped != dropped_.end()) {
+    if (!Newer(row.incarnation, row.heartbeat, dropped->second.first,
+               dropped->second.second)) {
       return false;
     }
-    dropped_.erase(gone);
+    dropped_.erase(dropped);
     dropped_ids_.erase(NameId(row.name));
   }
   auto [it, fresh] = members_.try_emplace(row.name);
   Member& m = it->second;
   const bool newer =
       Newer(row.incarnation, row.heartbeat, m.row.incarnation, m.row.heartbeat);
-  const bool same_life = !fresh && row.incarnation == m.row.incarnation;
+  const bool same_incarnation = !fresh && row.incarnation == m.row.incarnation;
   const MemberRow before = m.row;
   if (!fresh && !newer) {
     // Its heartbeat came faster by way of another member. What only grows is
     // news all the same.
-    if (!same_life) return false;
-    if (KeepGreatest(row, &m.row)) {
+    if (!same_incarnation) return false;
+    if (MergeMonotonic(row, &m.row)) {
       changes->push_back({row.name, MemberChange::kLeaving});
     }
     return false;
@@ -240,8 +243,8 @@
       row.state == MemberState::kLeaving &&
       (fresh || restarted || m.row.state != MemberState::kLeaving);
   if (fresh || restarted) {
-    if (restarted && m.row.hall != self_.hall) far_members_--;
-    if (row.hall != self_.hall) far_members_++;
+    if (restarted && m.row.hall != self_.hall) remote_members_--;
+    if (row.hall != self_.hall) remote_members_++;
     m = Member();
     m.first_seen = now;
     names_[NameId(row.name)] = row.name;
@@ -249,8 +252,8 @@
   }
   if (leaves) changes->push_back({row.name, MemberChange::kLeaving});
   m.row = row;
-  if (same_life) KeepGreatest(before, &m.row);
-  m.grew = now;
+  if (same_incarnation) MergeMonotonic(before, &m.row);
+  m.last_heartbeat = now;
   return true;
 }
 
@@ -262,7 +265,7 @@
   if (news && it != members_.end()) {
     Member& m = it->second;
     m.counts = digest.counts;
-    m.counted = now;
+    m.counts_received = now;
     m.running = digest.running;
     m.waiting = digest.waiting;
   }
@@ -273,9 +276,9 @@
       // One that was dropped and is back is as unknown as a new one: else only
       // its own digests, each to one of all members, would tell of it.
       const auto dropped = dropped_ids_.find(beat.id);
-      const bool gone =
+      const bool is_dropped =
           dropped != dropped_ids_.end() && beat.incarnation <= dropped->second;
-      const bool known = beat.id == NameId(self_.name) || gone;
+      const bool known = beat.id == NameId(self_.name) || is_dropped;
       if (!known) sync_from_ = digest.sender.address;
       continue;
     }
@@ -285,7 +288,7 @@
     if (beat.incarnation != m.row.incarnation) continue;
     if (beat.heartbeat <= m.row.heartbeat) continue;
     m.row.heartbeat = beat.heartbeat;
-    m.grew = now;
+    m.last_heartbeat = now;
   }
   return changes;
 }
@@ -295,31 +298,31 @@
   for (const auto& [name, m] : members_) {
     const double suspect = static_cast<double>(SuspectAfter(m).count());
     const auto drop = static_cast<int64_t>(suspect * options_.drop_factor);
-    if (now - m.grew > Duration(drop)) lost.push_back(name);
+    if (now - m.last_heartbeat > Duration(drop)) lost.push_back(name);
   }
   for (const std::string& name : lost) {
     const MemberRow& row = members_.at(name).row;
     dropped_[name] = {row.incarnation, row.heartbeat};
     dropped_ids_[NameId(name)] = row.incarnation;
-    if (row.hall != self_.hall) far_members_--;
+    if (row.hall != self_.hall) remote_members_--;
     names_.erase(NameId(name));
     members_.erase(name);
   }
   return lost;
 }
 
-bool Membership::OnDuty(Time now, const std::string& duty, int count) const {
-  const uint64_t own = RendezvousWeight(self_.name, duty);
+bool Membership::OnDuty(Time now, const std::string& role, int count) const {
+  const uint64_t own = RendezvousWeight(self_.name, role);
   int before = 0;
   for (const auto& [name, m] : members_) {
     const bool able = m.row.hall == self_.hall &&
                       m.row.state == MemberState::kLive && !Suspected(now, m);
-    if (able && RendezvousWeight(name, duty) > own) before++;
+    if (able && RendezvousWeight(name, role) > own) before++;
   }
   return before < count;
 }
 
-std::vector<std::string> Membership::SomeLive(Time now, size_t count) {
+std::vector<std::string> Membership::RandomLive(Time now, size_t count) {
   std::vector<const MemberRow*> live;
   for (const auto& [name, m] : members_) {
     if (m.row.state == MemberState::kLive && !Suspected(now, m)) {
@@ -344,12 +347,12 @@
 }
 
 PeerCounts Membership::SumOfCounts(Time now) const {
-  constexpr Duration kFresh = seconds(5);
+  constexpr Duration kMaxCountsAge = seconds(5);
   PeerCounts sums;
-  int heard = 0;
+  int reporting = 0;
   for (const auto& [name, m] : members_) {
-    if (now - m.counted > kFresh) continue;
-    heard++;
+    if (now - m.counts_received > kMaxCountsAge) continue;
+    reporting++;
     for (const EndpointCount& c : m.counts) {
       PeerCount& sum = sums[c.id];
       sum.work += c.count;
@@ -357,10 +360,10 @@
     }
   }
   const int others = live_boxes(now) - 1;
-  if (heard == 0 || heard >= others) return sums;
+  if (reporting == 0 || reporting >= others) return sums;
   for (auto& [id, sum] : sums) {
-    sum.work = sum.work * others / heard;
-    sum.entries = sum.entries * others / heard;
+    sum.work = sum.work * others / reporting;
+    sum.entries = sum.entries * others / reporting;
   }
   return sums;
 }
--- a/pinford/membership.h
+++ b/pinford/membership.h
@@ -54,18 +54,19 @@
     Duration min_suspect = seconds(3);
     // Dropped after this many times the time to suspect.
     double drop_factor = 2;
-    Duration joined_for = seconds(5);  // how long a new row is passed on whole
-    size_t max_counts = 64;            // endpoint counts in a digest
+    Duration joined_window =
+        seconds(5);          // how long a new row is passed on whole
+    size_t max_counts = 64;  // endpoint counts in a digest
     // One digest in so many goes to another hall.
     int other_hall_every = 8;
-    size_t max_far_beats = 16;  // heartbeats of other halls in a digest
+    size_t max_remote_beats = 16;  // heartbeats of other halls in a digest
     // How much longer members elsewhere have than those near by.
-    double far_factor = 4;
+    double remote_factor = 4;
     Duration sync_interval = seconds(1);  // between asking for all rows
     // A box asks its seeds for all rows until it has been up for so long: by
     // then each box of a fleet that started with it has told some seed of
     // itself, and the seeds have told each other.
-    Duration join = milliseconds(2500);
+    Duration join_period = milliseconds(2500);
     // ... this often.
     Duration join_interval = milliseconds(400);
   };
@@ -115,9 +116,9 @@
   struct Member {
     MemberRow row;
     Time first_seen{};
-    Time grew{};  // when its heartbeat last grew here
+    Time last_heartbeat{};  // when its heartbeat last grew here
     std::vector<EndpointCount> counts;
-    Time counted{};
+    Time counts_received{};
     uint32_t running = 0;
     uint32_t waiting = 0;
   };
@@ -129,11 +130,11 @@
   // Whether this box is one of the `count` of its hall that `duty` falls to,
   // by rendezvous hashing over the live members it sees. Boxes that see
   // different members may both think so: duties are harmless when doubled.
-  bool OnDuty(Time now, const std::string& duty, int count) const;
+  bool OnDuty(Time now, const std::string& role, int count) const;
   // Addresses of the seeds, without this box's own.
   const std::vector<std::string>& other_seeds() const { return other_seeds_; }
   // Addresses of up to `count` live members of any hall, drawn at random.
-  std::vector<std::string> SomeLive(Time now, size_t count);
+  std::vector<std::string> RandomLive(Time now, size_t count);
   // Live boxes of all halls, this one among them.
   int live_boxes(Time now) const;
   // Sums of what peers said of late, made up for the live boxes that were not
@@ -142,12 +143,12 @@
 
  private:
   // One round in so many asks a seed too.
-  static constexpr int kSeedEvery = 8;
+  static constexpr int kSeedPeriod = 8;
 
   std::vector<Datagram> TickDatagrams(Time now);
   Duration IntervalFor(size_t bytes);
   Duration SuspectAfter(const Member& member) const;
-  void TellOwn(Digest* d) const;
+  void FillOwnState(Digest* d) const;
   Digest FullDigest(Time now);
   // A seed other than this box, "" if there is none.
   std::string PickSeed();
@@ -161,7 +162,7 @@
   Random random_;
   std::map<std::string, Member> members_;
   std::map<uint32_t, std::string> names_;  // of members, by NameId
-  size_t far_members_ = 0;                 // members of other halls
+  size_t remote_members_ = 0;              // members of other halls
   // The last incarnation of members that were dropped, so that late datagrams
   // do not bring them back.
   std::map<std::string, std::pair<uint64_t, uint64_t>> dropped_;
--- a/pinford/order.cc
+++ b/pinford/order.cc
@@ -21,9 +21,9 @@
   order.hold.model = JsonField<std::string>(v, "model", "");
   order.hold.version = JsonField<std::string>(v, "version", "");
   order.hold.range = {JsonField(v, "begin", 0), JsonField(v, "end", 0)};
-  const bool good = !order.hold.model.empty() && !order.hold.range.empty() &&
-                    order.hold.range.begin >= 0;
-  if (!good) return std::nullopt;
+  const bool valid = !order.hold.model.empty() && !order.hold.range.empty() &&
+                     order.hold.range.begin >= 0;
+  if (!valid) return std::nullopt;
   return order;
 }
 
--- a/pinford/placement.cc
+++ b/pinford/placement.cc
@@ -64,7 +64,7 @@
 static bool CanSpare(const std::vector<PlannedRunner>& runners,
                      const PlannedRunner& runner,
                      const std::map<std::string, int>& wanted) {
-  if (!runner.usable || runner.resting) return false;
+  if (!runner.usable || runner.cooling_down) return false;
   if (!wanted.contains(runner.holds.model)) return false;
   std::vector<int> holders = Coverage(runners, runner.holds.model);
   const int needed = WantedOf(wanted, runner.holds.model);
@@ -75,8 +75,8 @@
 }
 
 // A run of layers of `model` with too few holders, at most `size` long.
-static std::optional<LayerRange> Lacking(const std::vector<int>& holders,
-                                         int needed, int size) {
+static std::optional<LayerRange> UnderReplicated(
+    const std::vector<int>& holders, int needed, int size) {
   const int layers = static_cast<int>(holders.size());
   for (int begin = 0; begin < layers; begin++) {
     if (holders[begin] >= needed) continue;
@@ -107,8 +107,8 @@
       if (spare == nullptr || r.load < spare->load) spare = &r;
     }
     if (spare == nullptr) continue;
-    const std::optional<LayerRange> range =
-        Lacking(Coverage(runners, model), needed, spare->holds.range.size());
+    const std::optional<LayerRange> range = UnderReplicated(
+        Coverage(runners, model), needed, spare->holds.range.size());
     if (!range) continue;
     return Move{spare->name, {model, holder->holds.version, *range}};
   }
--- a/pinford/placement.h
+++ b/pinford/placement.h
@@ -46,10 +46,10 @@
 struct PlannedRunner {
   std::string name;
   Holding holds;
-  int layers = 0;        // of its model
-  double load = 0;       // streams
-  bool usable = true;    // takes new work
-  bool resting = false;  // was moved a short time ago
+  int layers = 0;             // of its model
+  double load = 0;            // streams
+  bool usable = true;         // takes new work
+  bool cooling_down = false;  // was moved a short time ago
 };
 
 // Replicas of `model` among the runners: holders of its least covered layer.
--- a/pinford/pool_capacity.cc
+++ b/pinford/pool_capacity.cc
@@ -5,23 +5,23 @@
 namespace pinford {
 
 // Tokens a second that a runner reads beside what is sent to it already.
-static double FreeReading(Time now, const EndpointTable& table,
-                          const EndpointTable::Row& row) {
+static double FreePrefillRate(Time now, const EndpointTable& table,
+                              const EndpointTable::Row& row) {
   // An account over 1 says that prompts wait, not that none is read.
-  constexpr double kLeastFree = 0.05;
+  constexpr double kMinFree = 0.05;
   const LoadReport& report = *row.report;
-  const double a_token =
+  const double token_seconds =
       report.read_seconds * report.holds.size() * std::max(1.0, row.pace);
-  if (a_token <= 0) return 0;
-  const double reading = table.ReadingOf(now, row.listed.name);
-  return std::max(kLeastFree, 1 - reading) / a_token;
+  if (token_seconds <= 0) return 0;
+  const double load = table.ReadingOf(now, row.listed.name);
+  return std::max(kMinFree, 1 - load) / token_seconds;
 }
 
-static double FreeRoom(Time now, const EndpointTable& table,
-                       const EndpointTable::Row& row) {
+static double FreeMemory(Time now, const EndpointTable& table,
+                         const EndpointTable::Row& row) {
   const LoadReport& report = *row.report;
-  const double taken = table.TakenOf(now, row.listed.name);
-  return std::max(0.0, 1 - taken) * report.room / report.holds.size();
+  const double used = table.TakenOf(now, row.listed.name);
+  return std::max(0.0, 1 - used) * report.room / report.holds.size();
 }
 
 PoolCapacity::PoolCapacity(Time now, const EndpointTable& table,
@@ -34,13 +34,13 @@
     std::vector<Layer>& hall = halls_[row.listed.hall];
     hall.resize(layers_);
     if (report.holds.empty() || !table.TakesNewWork(now, name)) continue;
-    const double reads = FreeReading(now, table, row);
-    const double room = FreeRoom(now, table, row);
+    const double prefill = FreePrefillRate(now, table, row);
+    const double memory = FreeMemory(now, table, row);
     const int end = std::min(report.holds.end, layers_);
     for (int l = report.holds.begin; l < end; l++) {
       hall[l].holders++;
-      hall[l].read_per_s += reads;
-      hall[l].free_room += room;
+      hall[l].read_per_s += prefill;
+      hall[l].free_room += memory;
     }
   }
 }
@@ -57,14 +57,14 @@
   if (it == halls_.end() || range.empty()) return {};
   const int end = std::min(range.end, layers_);
   if (range.begin >= end) return {};
-  Layer least = it->second[range.begin];
+  Layer minimum = it->second[range.begin];
   for (int l = range.begin + 1; l < end; l++) {
     const Layer& layer = it->second[l];
-    least.holders = std::min(least.holders, layer.holders);
-    least.read_per_s = std::min(least.read_per_s, layer.read_per_s);
-    least.free_room = std::min(least.free_room, layer.free_room);
+    minimum.holders = std::min(minimum.holders, layer.holders);
+    minimum.read_per_s = std::min(minimum.read_per_s, layer.read_per_s);
+    minimum.free_room = std::min(minimum.free_room, layer.free_room);
   }
-  return least;
+  return minimum;
 }
 
 PoolCapacity::Layer PoolCapacity::LeastOf(const std::string& hall) const {
@@ -74,11 +74,11 @@
 int PoolCapacity::ShortestLayer(const std::string& hall) const {
   const auto it = halls_.find(hall);
   if (it == halls_.end()) return 0;
-  const auto least = std::min_element(it->second.begin(), it->second.end(),
-                                      [](const Layer& a, const Layer& b) {
-                                        return a.read_per_s < b.read_per_s;
-                                      });
-  return static_cast<int>(least - it->second.begin());
+  const auto minimum = std::min_element(it->second.begin(), it->second.end(),
+                                        [](const Layer& a, const Layer& b) {
+                                          return a.read_per_s < b.read_per_s;
+                                        });
+  return static_cast<int>(minimum - it->second.begin());
 }
 
 }  // namespace pinford
--- a/pinford/retry_after.cc
+++ b/pinford/retry_after.cc
@@ -7,28 +7,29 @@
 namespace pinford {
 
 // Beyond this a duration would not hold it. A year is longer than any rest.
-static constexpr double kMostSeconds = 366.0 * 24 * 3600;
+static constexpr double kMaxSeconds = 366.0 * 24 * 3600;
 
-std::optional<Duration> RetryAfterOf(std::string_view text) {
+std::optional<Duration> ParseRetryAfter(std::string_view text) {
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [p, ec] =
       std::from_chars(text.data(), end, value, std::chars_format::fixed);
-  const bool huge = ec == std::errc::result_out_of_range;
-  if (p != end || text.empty() || (ec != std::errc() && !huge)) {
+  const bool out_of_range = ec == std::errc::result_out_of_range;
+  if (p != end || text.empty() || (ec != std::errc() && !out_of_range)) {
     return std::nullopt;
   }
-  if (huge) value = kMostSeconds;
+  if (out_of_range) value = kMaxSeconds;
   // "inf" and "nan" are numbers to from_chars.
   if (!std::isfinite(value) || value < 0) return std::nullopt;
-  return FromSeconds(std::min(value, kMostSeconds));
+  return FromSeconds(std::min(value, kMaxSeconds));
 }
 
 std::optional<Duration> RestAsked(int status, std::string_view retry_after) {
-  constexpr int kTooMany = 429;
-  constexpr int kUnavailable = 503;
-  if (status != kTooMany && status != kUnavailable) return std::nullopt;
-  return RetryAfterOf(retry_after);
+  constexpr int kTooManyRequests = 429;
+  constexpr int kServiceUnavailable = 503;
+  if (status != kTooManyRequests && status != kServiceUnavailable)
+    return std::nullopt;
+  return ParseRetryAfter(retry_after);
 }
 
 }  // namespace pinford
--- a/pinford/retry_after.h
+++ b/pinford/retry_after.h
@@ -13,7 +13,7 @@
 // The seconds of a Retry-After header, whole or with a fraction (RFC 9110,
 // 10.2.3, of which only the seconds: no decision here reads the time of day).
 // Nothing for what is no number, or below 0.
-std::optional<Duration> RetryAfterOf(std::string_view text);
+std::optional<Duration> ParseRetryAfter(std::string_view text);
 
 // For how long an endpoint that answers so wants no more requests: 503 and 429
 // turn the request away; with other answers the header means something else.
--- a/pinford/runner_price.h
+++ b/pinford/runner_price.h
@@ -3,7 +3,7 @@
 //
 // For runners whose room is known. Such engines run all that waits in one pass,
 // so that a stream more costs next to nothing until memory runs short; others
-// are priced by their backlog (PricedLayerCost).
+// are priced by their backlog (LoadedLayerCost).
 //
 // A runner's speed counts the less, the shorter events are against the pauses
 // that callers allow. All streams of a runner that is lost are late, since the
@@ -28,26 +28,25 @@
 
 // What is known of a runner when it is priced.
 struct RunnerLoad {
-  double idle_seconds = 0;  // for a layer of one token, without load
-  double pace = 1;          // so many times as long as it should
-  double reading = 0;       // part of its time that goes to reading prompts
-  double taken = 0;         // part of its room that is taken
-  double waiting = 0;       // seconds that what waits to be read there takes
+  double idle_layer_seconds = 0;  // for a layer of one token, without load
+  double pace = 1;                // so many times as long as it should
+  double prefill_load = 0;   // part of its time that goes to reading prompts
+  double memory_used = 0;    // part of its room that is taken
+  double queue_seconds = 0;  // seconds that what waits to be read there takes
 };
 
 // How many times as dear something is where what waits for it takes so many
 // seconds.
-double QueueFactor(double waiting_seconds);
+double QueueFactor(double queue_seconds);
 
 // Seconds for a layer of one token there. `mean_idle` is the idle time of the
 // runners that it is compared with.
-double LayerPrice(const RunnerLoad& load, double mean_idle,
-                  double speed_weight);
+double LayerCost(const RunnerLoad& load, double mean_idle, double speed_weight);
 
 // Seconds for a token more, as the first stage of `entries` of `slots`
 // requests. Infinite where no slot is likely to be free: what others have begun
 // there is known a second late.
-double EntrySlotPrice(double entries, int slots);
+double FirstStageSlotCost(double entries, int slots);
 
 }  // namespace pinford
 
--- a/pinford/step_deadline.cc
+++ b/pinford/step_deadline.cc
@@ -13,8 +13,8 @@
 static constexpr double kDeviationGain = 1.0 / 4;
 
 void StepDeadline::BackOff() {
-  constexpr int kMost = 8;
-  doublings_ = std::min(doublings_ + 1, kMost);
+  constexpr int kMaxDoublings = 8;
+  doublings_ = std::min(doublings_ + 1, kMaxDoublings);
 }
 
 void StepDeadline::Measure(double work, Duration took) {
@@ -36,9 +36,9 @@
 Duration StepDeadline::For(double work) const {
   const int factor = 1 << doublings_;
   if (!measured_) return std::min(options_.first * factor, options_.ceiling);
-  const double usual = mean_ + options_.deviation_factor * deviation_;
+  const double by_time = mean_ + options_.deviation_factor * deviation_;
   const double by_work = options_.mean_factor * per_work_ * work;
-  const Duration wait = FromSeconds(std::max(usual, by_work));
+  const Duration wait = FromSeconds(std::max(by_time, by_work));
   return std::min(std::max(wait, options_.floor) * factor, options_.ceiling);
 }
 
--- a/pinford/testing/chain_choice_test.cc
+++ b/pinford/testing/chain_choice_test.cc
@@ -29,18 +29,18 @@
 TEST(ChainChoice, StaysCloseToTheFlowBound) {
   const struct {
     int boxes, lag_ms;
-    double least;
+    double min_share;
   } cases[] = {{1, 100, 0.97}, {8, 1000, 0.93}};
   for (const auto& c : cases) {
     PoolOptions options;
     options.boxes = c.boxes;
     options.report_lag = milliseconds(c.lag_ms);
-    const PoolResult ours = SimulatePool(options);
-    EXPECT_GE(ours.share, c.least);
+    const PoolResult result = SimulatePool(options);
+    EXPECT_GE(result.share, c.min_share);
     // Tokens that were under way when the window began count at its edge.
-    EXPECT_LE(ours.share, 1.005);
+    EXPECT_LE(result.share, 1.005);
     options.choice = ChainChoice::kLeastInFlight;
-    EXPECT_GT(ours.share, SimulatePool(options).share);
+    EXPECT_GT(result.share, SimulatePool(options).share);
   }
 }
 
@@ -49,13 +49,13 @@
   options.boxes = 8;
   options.report_lag = seconds(1);
   options.offered = 0.8;
-  const PoolResult ours = SimulatePool(options);
+  const PoolResult result = SimulatePool(options);
   for (ChainChoice choice : kAllChoices) {
     if (choice == ChainChoice::kPinford) continue;
     options.choice = choice;
     const PoolResult other = SimulatePool(options);
-    EXPECT_LT(ours.first_p95, other.first_p95) << ChainChoiceName(choice);
-    EXPECT_LT(ours.between_p95, other.between_p95) << ChainChoiceName(choice);
+    EXPECT_LT(result.first_p95, other.first_p95) << ChainChoiceName(choice);
+    EXPECT_LT(result.between_p95, other.between_p95) << ChainChoiceName(choice);
   }
 }
 
--- a/pinford/testing/decisions_test.cc
+++ b/pinford/testing/decisions_test.cc
@@ -22,7 +22,7 @@
 TEST(Pipeline, Partitions) {
   const struct {
     Chain chain;
-    bool good;
+    bool valid;
   } cases[] = {
       {{{"a", {0, 8}}}, true},
       {{{"a", {0, 3}}, {"b", {3, 8}}}, true},
@@ -34,12 +34,12 @@
       {{{"a", {0, 3}}, {"b", {3, 3}}, {"c", {3, 8}}}, false},
       {{{"b", {3, 8}}, {"a", {0, 3}}}, false},
   };
-  for (const auto& c : cases) EXPECT_EQ(Partitions(c.chain, {0, 8}), c.good);
+  for (const auto& c : cases) EXPECT_EQ(Partitions(c.chain, {0, 8}), c.valid);
 }
 
 // Every chain there is, by trying all: the cheapest cost, or infinity.
-double CheapestByTryingAll(const std::vector<Candidate>& all, LayerRange range,
-                           int last) {
+double CheapestByBruteForce(const std::vector<Candidate>& all, LayerRange range,
+                            int last) {
   if (range.empty()) return 0;
   double best = INFINITY;
   for (size_t e = 0; e < all.size(); e++) {
@@ -47,9 +47,9 @@
     for (int end = range.begin + 1; end <= range.end; end++) {
       if (!all[e].holds.Contains({range.begin, end})) break;
       const double cost =
-          all[e].entry_cost + all[e].layer_cost * (end - range.begin);
-      best = std::min(best, cost + CheapestByTryingAll(all, {end, range.end},
-                                                       static_cast<int>(e)));
+          all[e].handoff_cost + all[e].layer_cost * (end - range.begin);
+      best = std::min(best, cost + CheapestByBruteForce(all, {end, range.end},
+                                                        static_cast<int>(e)));
     }
   }
   return best;
@@ -67,7 +67,7 @@
       const int b = a + 1 + static_cast<int>(random() % (layers - a));
       all.push_back({"e" + std::to_string(e), {a, b}, unit(), unit()});
     }
-    const double best = CheapestByTryingAll(all, {0, layers}, -1);
+    const double best = CheapestByBruteForce(all, {0, layers}, -1);
     const std::optional<Chain> chain = PickChain(all, {0, layers});
     ASSERT_EQ(chain.has_value(), best < INFINITY) << seed;
     if (!chain) continue;
@@ -79,9 +79,9 @@
 }
 
 // The same of the chains in which no endpoint stands twice.
-double CheapestSimpleByTryingAll(const std::vector<Candidate>& all,
-                                 LayerRange range, double cross_cost,
-                                 std::vector<int> used) {
+double CheapestSimpleByBruteForce(const std::vector<Candidate>& all,
+                                  LayerRange range, double cross_hall_cost,
+                                  std::vector<int> used) {
   if (range.empty()) return 0;
   double best = INFINITY;
   for (size_t e = 0; e < all.size(); e++) {
@@ -89,16 +89,17 @@
     if (std::find(used.begin(), used.end(), id) != used.end()) continue;
     for (int end = range.begin + 1; end <= range.end; end++) {
       if (!all[e].holds.Contains({range.begin, end})) break;
-      double cost = all[e].entry_cost + all[e].layer_cost * (end - range.begin);
-      if (used.empty()) cost += all[e].first_cost;
+      double cost =
+          all[e].handoff_cost + all[e].layer_cost * (end - range.begin);
+      if (used.empty()) cost += all[e].first_stage_cost;
       if (!used.empty() && all[used.back()].hall != all[e].hall) {
-        cost += cross_cost;
+        cost += cross_hall_cost;
       }
       std::vector<int> next = used;
       next.push_back(id);
-      best = std::min(
-          best, cost + CheapestSimpleByTryingAll(all, {end, range.end},
-                                                 cross_cost, std::move(next)));
+      best = std::min(best, cost + CheapestSimpleByBruteForce(
+                                       all, {end, range.end}, cross_hall_cost,
+                                       std::move(next)));
     }
   }
   return best;
@@ -111,7 +112,7 @@
     Random random(seed);
     auto unit = [&random] { return (random() % 1000 + 1) / 1000.0; };
     const int layers = 3 + static_cast<int>(random() % 5);
-    const double cross = unit();
+    const double cross_hall = unit();
     std::vector<Candidate> all;
     for (int e = 0; e < 5; e++) {
       const int a = static_cast<int>(random() % layers);
@@ -123,8 +124,10 @@
                      static_cast<int>(random() % 2),
                      unit()});
     }
-    const double best = CheapestSimpleByTryingAll(all, {0, layers}, cross, {});
-    const std::optional<Chain> chain = PickSimpleChain(all, {0, layers}, cross);
+    const double best =
+        CheapestSimpleByBruteForce(all, {0, layers}, cross_hall, {});
+    const std::optional<Chain> chain =
+        PickSimpleChain(all, {0, layers}, cross_hall);
     ASSERT_EQ(chain.has_value(), best < INFINITY) << seed;
     if (!chain) continue;
     covered++;
@@ -133,9 +136,9 @@
     for (const Stage& s : *chain) {
       EXPECT_TRUE(names.insert(s.endpoint).second) << seed;
     }
-    EXPECT_NEAR(ChainCost(all, *chain, cross), best, 1e-9) << seed;
-    const std::optional<Chain> any = PickChain(all, {0, layers}, cross);
-    if (ChainCost(all, *any, cross) < best - 1e-9) repeats++;
+    EXPECT_NEAR(ChainCost(all, *chain, cross_hall), best, 1e-9) << seed;
+    const std::optional<Chain> any = PickChain(all, {0, layers}, cross_hall);
+    if (ChainCost(all, *any, cross_hall) < best - 1e-9) repeats++;
   }
   EXPECT_GT(covered, 150);
   // The cheapest path alone would not have done.
@@ -147,7 +150,7 @@
     const char* name;
     std::vector<std::pair<double, int>> steps;  // work, ms
     double work;
-    int least_ms, most_ms;
+    int min_ms, max_ms;
   } cases[] = {
       {"nothing measured", {}, 3, 1000, 1000},
       {"fast steps have the floor", {{3, 5}, {3, 5}, {3, 6}}, 3, 150, 150},
@@ -165,8 +168,8 @@
     for (const auto& [work, ms] : c.steps) {
       deadline.Measure(work, milliseconds(ms));
     }
-    EXPECT_GE(deadline.For(c.work), milliseconds(c.least_ms));
-    EXPECT_LE(deadline.For(c.work), milliseconds(c.most_ms));
+    EXPECT_GE(deadline.For(c.work), milliseconds(c.min_ms));
+    EXPECT_LE(deadline.For(c.work), milliseconds(c.max_ms));
     // Twice as long after each one that passed, until a reply comes.
     const Duration before = deadline.For(c.work);
     deadline.BackOff();
@@ -220,7 +223,7 @@
 TEST(Address, TakesNumbersOnly) {
   const struct {
     const char* text;
-    bool good;
+    bool valid;
   } cases[] = {
       {"127.0.0.1:80", true},   {"[::1]:80", true},
       {"127.0.0.1", false},     {"127.0.0.1:", false},
@@ -231,7 +234,7 @@
   };
   for (const auto& c : cases) {
     std::optional<Address> a = Address::Parse(c.text);
-    EXPECT_EQ(a.has_value(), c.good) << c.text;
+    EXPECT_EQ(a.has_value(), c.valid) << c.text;
     if (!a) continue;
     EXPECT_EQ(a->ToString(), c.text);
   }
@@ -239,9 +242,9 @@
 
 // --- the table of endpoints ------------------------------------------------
 
-class Table : public ::testing::Test {
+class EndpointTableTest : public ::testing::Test {
  public:
-  Table() : table_("a", EndpointTable::Options(), Random(1)) {}
+  EndpointTableTest() : table_("a", EndpointTable::Options(), Random(1)) {}
 
   void List(ListedState state, uint64_t incarnation) {
     ListedEndpoint e;
@@ -270,18 +273,18 @@
   EndpointTable table_;
 };
 
-TEST_F(Table, WhoeverSaysFirstThatItLeavesIsBelieved) {
+TEST_F(EndpointTableTest, WhoeverSaysFirstThatItLeavesIsBelieved) {
   const struct {
     const char* name;
-    void (*say)(Table*, EndpointTable*, PausedClock*);
+    void (*report)(EndpointTableTest*, EndpointTable*, PausedClock*);
   } cases[] = {
-      {"list", [](Table* t, EndpointTable*,
+      {"list", [](EndpointTableTest* t, EndpointTable*,
                   PausedClock*) { t->List(ListedState::kLeaving, 5); }},
-      {"report",
-       [](Table* t, EndpointTable*, PausedClock*) { t->Report(5, true); }},
-      {"refusal", [](Table*, EndpointTable* e,
+      {"report", [](EndpointTableTest* t, EndpointTable*,
+                    PausedClock*) { t->Report(5, true); }},
+      {"refusal", [](EndpointTableTest*, EndpointTable* e,
                      PausedClock*) { EXPECT_TRUE(e->OnLeaving("x")); }},
-      {"peer", [](Table*, EndpointTable* e,
+      {"peer", [](EndpointTableTest*, EndpointTable* e,
                   PausedClock*) { EXPECT_TRUE(e->OnLeaving("x", 5)); }},
   };
   for (const auto& c : cases) {
@@ -290,7 +293,7 @@
     List(ListedState::kLive, 5);
     Report(5, false);
     EXPECT_TRUE(Takes());
-    c.say(this, &table_, &clock_);
+    c.report(this, &table_, &clock_);
     EXPECT_FALSE(Takes());
     // Sources that lag do not bring it back.
     List(ListedState::kLive, 5);
@@ -306,7 +309,7 @@
   }
 }
 
-TEST_F(Table, TakesNothingWithoutAFreshReportOrWhileResting) {
+TEST_F(EndpointTableTest, TakesNothingWithoutAFreshReportOrWhileResting) {
   List(ListedState::kLive, 1);
   EXPECT_FALSE(Takes());
   Report(1, false);
@@ -321,12 +324,12 @@
 }
 
 TEST(EndpointTable, TheGreatestWholeVersion) {
-  struct Held {
+  struct HeldRange {
     const char* version;
     LayerRange range;
   };
   const struct {
-    std::vector<Held> held;
+    std::vector<HeldRange> held;
     const char* wanted;
     const char* version;  // "" for none
   } cases[] = {
@@ -359,7 +362,7 @@
   }
 }
 
-TEST_F(Table, CountsWhatItSentSinceTheReport) {
+TEST_F(EndpointTableTest, CountsWhatItSentSinceTheReport) {
   List(ListedState::kLive, 1);
   for (int i = 0; i < 3; i++) table_.OnSent("x");
   Report(1, false, 5);  // three of ours, two of others
@@ -373,7 +376,7 @@
   EXPECT_EQ(table_.LoadOf("x"), 6);
 }
 
-TEST_F(Table, WhatPeersDoNotNameTheyDoNotHave) {
+TEST_F(EndpointTableTest, WhatPeersDoNotNameTheyDoNotHave) {
   List(ListedState::kLive, 1);
   table_.OnPeerCounts({{NameId("x"), {6, 2}}, {NameId("unknown"), {9, 9}}});
   EXPECT_EQ(table_.rows().at("x").peers.work, 6);
--- a/pinford/testing/directory_benchmark.cc
+++ b/pinford/testing/directory_benchmark.cc
@@ -10,7 +10,7 @@
 namespace pinford {
 namespace {
 
-constexpr size_t kMostBytes = 64 << 20;
+constexpr size_t kMaxBytes = 64 << 20;
 
 std::shared_ptr<const ServiceConfiguration> Pool() {
   auto c = std::make_shared<ServiceConfiguration>();
@@ -83,7 +83,7 @@
       Deflate(WriteDirectory(source.directory.Copy(Time{})));
   Box box;
   for (auto _ : state) {
-    box.directory.OnList(Time{}, *ParseDirectory(*Inflate(body, kMostBytes)));
+    box.directory.OnList(Time{}, *ParseDirectory(*Inflate(body, kMaxBytes)));
   }
 }
 BENCHMARK(BM_ListFromAPeer)->Arg(99)->Arg(1000)->Arg(2999)->Arg(6100);
@@ -116,7 +116,7 @@
     const std::string body =
         Deflate(WriteChanges(*source.directory.ChangesSince(Time{}, at)));
     bytes = body.size();
-    peer.directory.OnChanges(Time{}, *ParseChanges(*Inflate(body, kMostBytes)));
+    peer.directory.OnChanges(Time{}, *ParseChanges(*Inflate(body, kMaxBytes)));
   }
   state.counters["bytes"] = static_cast<double>(bytes);
 }
--- a/pinford/testing/endpoint_rests_test.cc
+++ b/pinford/testing/endpoint_rests_test.cc
@@ -79,7 +79,7 @@
   }
 }
 
-TEST(EndpointRests, HoldUntilTheLastOfThemEnds) {
+TEST(EndpointBackoffs, HoldUntilTheLastOfThemEnds) {
   const struct {
     const char* name;
     std::vector<std::pair<int64_t, Duration>> asked;  // when, for how long
@@ -93,23 +93,24 @@
       {"a shorter one", {{0, seconds(3)}, {100, seconds(1)}}, 1000, seconds(2)},
       {"a longer one", {{0, seconds(3)}, {100, seconds(9)}}, 1100, seconds(8)},
       {"no more", {{0, seconds(3)}, {100, Duration(0)}}, 1000, seconds(2)},
-      {"a damaged one", {{0, hours(9000)}}, 0, EndpointRests::kLongest},
+      {"a damaged one", {{0, hours(9000)}}, 0, EndpointBackoffs::kMaxBackoff},
   };
   for (const auto& c : cases) {
-    EndpointRests rests;
-    for (const auto& [at, rest] : c.asked) rests.OnAsked(At(at), "a", rest);
-    EXPECT_EQ(rests.Left(At(c.now_ms), "a"), c.left) << c.name;
-    EXPECT_EQ(rests.Left(At(c.now_ms), "b"), Duration(0)) << c.name;
-    EXPECT_EQ(rests.Count(At(c.now_ms)), c.left > Duration(0) ? 1 : 0);
+    EndpointBackoffs backoffs;
+    for (const auto& [at, rest] : c.asked)
+      backoffs.OnRequested(At(at), "a", rest);
+    EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "a"), c.left) << c.name;
+    EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "b"), Duration(0)) << c.name;
+    EXPECT_EQ(backoffs.Count(At(c.now_ms)), c.left > Duration(0) ? 1 : 0);
   }
 }
 
-TEST(EndpointRests, AsTheListOfAllThatWasAsked) {
+TEST(EndpointBackoffs, AsTheListOfAllThatWasAsked) {
   Random random(7);
   std::uniform_int_distribution<int> step(0, 400);
   std::uniform_int_distribution<int> who(0, 4);
   std::uniform_int_distribution<int> ask(0, 3000);
-  EndpointRests rests;
+  EndpointBackoffs backoffs;
   std::vector<std::pair<std::string, Time>> asked;
   Time now = At(0);
   for (int i = 0; i < 5000; i++) {
@@ -117,14 +118,14 @@
     const std::string name(1, static_cast<char>('a' + who(random)));
     if (step(random) % 3 == 0) {
       const Duration rest = milliseconds(ask(random));
-      rests.OnAsked(now, name, rest);
+      backoffs.OnRequested(now, name, rest);
       asked.emplace_back(name, now + rest);
     }
     Duration left{};
     for (const auto& [n, until] : asked) {
       if (n == name) left = std::max(left, until - now);
     }
-    ASSERT_EQ(rests.Left(now, name), left) << i;
+    ASSERT_EQ(backoffs.Remaining(now, name), left) << i;
   }
 }
 
--- a/pinford/testing/hall_planner_test.cc
+++ b/pinford/testing/hall_planner_test.cc
@@ -70,13 +70,13 @@
   };
   std::map<std::string, Row> rows;
   std::vector<Time> loads;
-  Duration held_up{};   // every order on its way
-  int stale_taken = 0;  // orders taken with a token lower than one before
+  Duration order_delay{};  // every order on its way
+  int stale_accepted = 0;  // orders taken with a token lower than one before
 
-  bool Take(Time now, const std::string& name, const Order& order) {
+  bool Accept(Time now, const std::string& name, const Order& order) {
     Row& row = rows.at(name);
     if (row.checks && order.token < row.highest) return false;
-    if (order.token < row.highest) stale_taken++;
+    if (order.token < row.highest) stale_accepted++;
     row.highest = std::max(row.highest, order.token);
     if (row.runner.holds != order.hold) loads.push_back(now);
     row.runner.holds = order.hold;
@@ -92,16 +92,17 @@
   void SendOrder(const std::string& runner, const Order& order, Duration limit,
                  std::function<void(OrderStatus)> fn) {
     const bool lost = (*random_)() % 100 < loss_ * 100;
-    const Duration there =
-        runners_->held_up + milliseconds(1 + (*random_)() % 200);
-    box_->clock()->After(there, [this, runner, order, fn, lost, limit] {
+    const Duration delay =
+        runners_->order_delay + milliseconds(1 + (*random_)() % 200);
+    box_->clock()->After(delay, [this, runner, order, fn, lost, limit] {
       if (lost) {
         Reply(limit, fn, OrderStatus::kLost);
         return;
       }
-      const bool taken = runners_->Take(box_->clock()->now(), runner, order);
+      const bool accepted =
+          runners_->Accept(box_->clock()->now(), runner, order);
       Reply(milliseconds(5), fn,
-            taken ? OrderStatus::kDone : OrderStatus::kFenced);
+            accepted ? OrderStatus::kDone : OrderStatus::kFenced);
     });
   }
 
@@ -120,8 +121,8 @@
 
 using TestPlanner = HallPlanner<FakeStoreClient, FakeOrders, FakeBox>;
 
-struct World {
-  World(uint64_t seed, double loss) : random(seed), store(&clock, seed) {
+struct Simulation {
+  Simulation(uint64_t seed, double loss) : random(seed), store(&clock, seed) {
     for (int i = 0; i < 8; i++) {
       const std::string name = "r" + std::to_string(i);
       FakeRunners::Row row;
@@ -130,7 +131,7 @@
       row.checks = i % 4 < 2;
       runners.rows[name] = row;
     }
-    options.rest = seconds(5);
+    options.move_cooldown = seconds(5);
     for (int i = 0; i < 3; i++) {
       boxes.push_back(std::make_unique<FakeBox>(&clock));
       FakeBox* box = boxes.back().get();
@@ -158,7 +159,7 @@
   }
 
   // The runners hold what the last written plan says.
-  bool AsPlanned() {
+  bool HoldsPlan() {
     const auto& value = store.values["pinford/plan/h"].value;
     std::optional<PlacementPlan> plan = ParsePlan(value);
     if (!plan) return true;
@@ -169,15 +170,15 @@
   }
 
   // Loads over any stretch of time stay within the weight store's rate.
-  int MostLoadsWithin(Duration d) {
-    int most = 0;
+  int MaxLoadsWithin(Duration d) {
+    int max_loads = 0;
     for (Time begin : runners.loads) {
-      most = std::max<int>(
-          most,
+      max_loads = std::max<int>(
+          max_loads,
           std::count_if(runners.loads.begin(), runners.loads.end(),
                         [&](Time t) { return t >= begin && t < begin + d; }));
     }
-    return most;
+    return max_loads;
   }
 
   PausedClock clock;
@@ -193,7 +194,7 @@
 };
 
 // Plans that were written: their tokens never fall, their numbers grow.
-void CheckPlans(const World& w) {
+void CheckPlans(const Simulation& w) {
   auto it = w.store.history.find("pinford/plan/h");
   if (it == w.store.history.end()) return;
   PlacementPlan last;
@@ -206,12 +207,12 @@
   }
 }
 
-int ReplicasNow(World* w, const std::string& model) {
+int ReplicasNow(Simulation* w, const std::string& model) {
   return ReplicasOf(w->View().runners, model);
 }
 
 TEST(HallPlanner, ReachesWhatIsWanted) {
-  World w(1, 0);
+  Simulation w(1, 0);
   w.wanted = {{"a", 3}, {"b", 1}};
   w.clock.Advance(seconds(120));
   EXPECT_EQ(ReplicasNow(&w, "a"), 3);
@@ -228,10 +229,10 @@
 TEST(HallPlanner, AStaleOrderIsRefusedOrPutRight) {
   int stale = 0;
   for (int seed = 0; seed < 30; seed++) {
-    World w(seed, 0);
+    Simulation w(seed, 0);
     w.wanted = {{"a", 3}, {"b", 1}};
     w.clock.Advance(seconds(10));
-    w.runners.held_up = seconds(40);
+    w.runners.order_delay = seconds(40);
     // Until some holder has sent an order.
     w.clock.Advance(seconds(3));
     FakeBox* sender = nullptr;
@@ -240,15 +241,15 @@
     }
     ASSERT_NE(sender, nullptr);
     sender->Pause();
-    w.runners.held_up = Duration(0);
+    w.runners.order_delay = Duration(0);
     w.clock.Advance(seconds(7));
     w.wanted = {{"a", 1}, {"b", 3}};
     w.clock.Advance(seconds(60));
     sender->Resume();
     w.clock.Advance(seconds(90));
-    EXPECT_TRUE(w.AsPlanned()) << seed;
+    EXPECT_TRUE(w.HoldsPlan()) << seed;
     EXPECT_EQ(ReplicasNow(&w, "b"), 3) << seed;
-    stale += w.runners.stale_taken;
+    stale += w.runners.stale_accepted;
   }
   EXPECT_GT(stale, 0) << "the case was never reached";
   printf("%d stale orders were taken and put right\n", stale);
@@ -259,7 +260,7 @@
 TEST(HallPlanner, HoldersWhoseClocksRunSlow) {
   for (int seed = 0; seed < 60; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World w(seed, 0);
+    Simulation w(seed, 0);
     w.store.faults.lease_length = 0.3;
     for (int i = 0; i < 20; i++) {
       const int a = 1 + static_cast<int>(w.random() % 3);
@@ -272,7 +273,7 @@
     w.store.faults.lease_length = 1;
     w.clock.Advance(seconds(150));
     CheckPlans(w);
-    EXPECT_TRUE(w.AsPlanned());
+    EXPECT_TRUE(w.HoldsPlan());
     EXPECT_EQ(ReplicasNow(&w, "a"), w.wanted["a"]);
     if (HasFailure()) return;
   }
@@ -283,7 +284,7 @@
   int changes = 0;
   for (int seed = 0; seed < 300; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World w(seed, seed % 3 * 0.2);
+    Simulation w(seed, seed % 3 * 0.2);
     w.store.faults = {seed % 4 * 0.1, seed % 5 * 0.1, seed % 2 * 0.1, false};
     for (int i = 0; i < 10; i++) {
       const Duration at = milliseconds(w.random() % 150000);
@@ -297,12 +298,12 @@
     w.clock.Advance(seconds(170));
     w.store.faults = {};
     w.clock.Advance(seconds(150));
-    EXPECT_TRUE(w.AsPlanned());
+    EXPECT_TRUE(w.HoldsPlan());
     CheckPlans(w);
     EXPECT_EQ(ReplicasNow(&w, "a"), w.wanted["a"]);
     // Two orders may lie closer than the spacing by what they took to arrive.
-    EXPECT_LE(w.MostLoadsWithin(w.options.load_spacing - milliseconds(400)), 1);
-    stale += w.runners.stale_taken;
+    EXPECT_LE(w.MaxLoadsWithin(w.options.load_spacing - milliseconds(400)), 1);
+    stale += w.runners.stale_accepted;
     changes += static_cast<int>(w.runners.loads.size());
     if (HasFailure()) return;
   }
--- a/pinford/testing/membership_test.cc
+++ b/pinford/testing/membership_test.cc
@@ -50,7 +50,7 @@
         });
     box.adopted.clear();
     box.up = true;
-    Tick(i, ++life_);
+    Tick(i, ++epoch_);
   }
 
   void Stop(int i) { boxes_[i].up = false; }
@@ -81,11 +81,11 @@
   }
   // Time until `done`, at most `limit`.
   Duration TimeUntil(Duration limit, const std::function<bool()>& done) {
-    const Time begun = clock_.now();
-    while (!done() && clock_.now() - begun < limit) {
+    const Time started = clock_.now();
+    while (!done() && clock_.now() - started < limit) {
       clock_.Advance(milliseconds(10));
     }
-    return clock_.now() - begun;
+    return clock_.now() - started;
   }
 
   PausedClock clock_;
@@ -95,17 +95,17 @@
     return "127.0.0.1:" + std::to_string(1000 + i);
   }
 
-  void Tick(int i, int life) {
-    lives_[i] = life;
-    clock_.After(milliseconds(1 + i * 7 % 300), [this, i, life] {
-      Run(i, life);
-      Look(i, life);
+  void Tick(int i, int epoch) {
+    epochs_[i] = epoch;
+    clock_.After(milliseconds(1 + i * 7 % 300), [this, i, epoch] {
+      Run(i, epoch);
+      PollSync(i, epoch);
     });
   }
 
-  void Run(int i, int life) {
+  void Run(int i, int epoch) {
     Box& box = boxes_[i];
-    if (!box.up || lives_[i] != life) return;
+    if (!box.up || epochs_[i] != epoch) return;
     box.membership->Expire(clock_.now());
     const PeerCodec codec("key");
     auto [datagrams, next] = box.membership->Tick(
@@ -115,14 +115,14 @@
       box.bytes += static_cast<int64_t>(codec.Encode(d.digest).size());
       Send(i, d);
     }
-    clock_.After(next, [this, i, life] { Run(i, life); });
+    clock_.After(next, [this, i, epoch] { Run(i, epoch); });
   }
 
-  void Look(int i, int life) {
+  void PollSync(int i, int epoch) {
     Box& box = boxes_[i];
-    if (!box.up || lives_[i] != life) return;
+    if (!box.up || epochs_[i] != epoch) return;
     if (auto source = box.membership->SyncFrom(clock_.now())) Sync(i, *source);
-    clock_.After(milliseconds(20), [this, i, life] { Look(i, life); });
+    clock_.After(milliseconds(20), [this, i, epoch] { PollSync(i, epoch); });
   }
 
   void Send(int from, const Membership::Datagram& d) {
@@ -162,8 +162,8 @@
   double loss_;
   Random random_;
   std::vector<Box> boxes_;
-  std::map<int, int> lives_;
-  int life_ = 0;
+  std::map<int, int> epochs_;
+  int epoch_ = 0;
 };
 
 TEST(Membership, AllMeetAndTheLostAreDropped) {
@@ -223,11 +223,11 @@
     SCOPED_TRACE(std::to_string(c.boxes) + " boxes");
     Net net(c.boxes, c.halls, 0);
     const auto sees_its_hall = [&net, &c](int i) {
-      int near = 0;
+      int local = 0;
       for (const auto& [name, m] : net.at(i).membership->members()) {
-        near += m.row.hall == net.at(i).membership->self().hall;
+        local += m.row.hall == net.at(i).membership->self().hall;
       }
-      return near == (c.boxes - i % c.halls + c.halls - 1) / c.halls - 1;
+      return local == (c.boxes - i % c.halls + c.halls - 1) / c.halls - 1;
     };
     const auto all = [&] {
       for (int i = 0; i < c.boxes; i++) {
@@ -259,22 +259,22 @@
 TEST(Membership, DutiesFallToTwo) {
   Net net(8, 1, 0);
   net.clock_.Advance(seconds(30));
-  auto on_duty = [&net](const std::string& duty) {
+  auto elected = [&net](const std::string& role) {
     int n = 0;
     for (int i = 0; i < 8; i++) {
       if (!net.at(i).up) continue;
-      n += net.at(i).membership->OnDuty(net.clock_.now(), duty, 2);
+      n += net.at(i).membership->OnDuty(net.clock_.now(), role, 2);
     }
     return n;
   };
   for (int d = 0; d < 50; d++) {
-    EXPECT_EQ(on_duty("duty " + std::to_string(d)), 2);
+    EXPECT_EQ(elected("duty " + std::to_string(d)), 2);
   }
   net.Stop(2);
   net.Stop(5);
   net.clock_.Advance(seconds(60));
   for (int d = 0; d < 50; d++) {
-    EXPECT_EQ(on_duty("duty " + std::to_string(d)), 2);
+    EXPECT_EQ(elected("duty " + std::to_string(d)), 2);
   }
 }
 
--- a/pinford/testing/overload_simulation_standin.cc
+++ b/pinford/testing/overload_simulation_standin.cc
@@ -31,18 +31,18 @@
 class Overload {
  public:
   explicit Overload(const OverloadOptions& o)
-      : o_(o),
+      : options_(o),
         random_(o.seed),
         admission_({.max_waiting = 4000, .max_share_waiting = 1}) {}
 
   OverloadResult Run() {
     double mean = 0;
     for (const ClassSpec& c : kClasses) mean += c.part * c.tokens;
-    const double capacity = o_.slots * o_.slot_rate;
-    arrivals_ = o_.offered * capacity / mean;
+    const double capacity = options_.slots * options_.slot_rate;
+    arrivals_ = options_.offered * capacity / mean;
     Arrive();
     Tick();
-    clock_.Advance(o_.length);
+    clock_.Advance(options_.length);
     OverloadResult result;
     double good = 0;
     for (int k = 0; k < kTierCount; k++) {
@@ -55,7 +55,7 @@
       c.refuse_p95 = Quantile(refusals_[k], 0.95);
     }
     for (const auto& [customer, tokens] : served_) good += tokens;
-    result.goodput = good / (capacity * ToSeconds(o_.length));
+    result.goodput = good / (capacity * ToSeconds(options_.length));
     double small = 0;
     double small_offered = 0;
     for (int i = 1; i < kCustomers; i++) {
@@ -75,26 +75,26 @@
   };
 
   Tier TierOf(int klass) const {
-    return static_cast<Tier>(klass * o_.tiers / kTierCount);
+    return static_cast<Tier>(klass * options_.tiers / kTierCount);
   }
 
   void Arrive() {
     std::exponential_distribution<double> gap(arrivals_);
     clock_.After(FromSeconds(gap(random_)), [this] {
-      One();
+      SubmitOne();
       Arrive();
     });
   }
 
-  void One() {
+  void SubmitOne() {
     std::uniform_real_distribution<double> unit(0, 1);
     double roll = unit(random_);
     int klass = 0;
     while (klass < kTierCount - 1 && roll >= kClasses[klass].part) {
       roll -= kClasses[klass++].part;
     }
-    const int die = static_cast<int>(random_() % (kCustomers + 9));
-    const int customer = die < 10 ? 0 : die - 9;
+    const int draw = static_cast<int>(random_() % (kCustomers + 9));
+    const int customer = draw < 10 ? 0 : draw - 9;
     Waiting w;
     w.klass = klass;
     w.customer = customer;
@@ -107,7 +107,7 @@
     w.item.deadline = clock_.now() + kClasses[klass].deadline;
     offered_[klass]++;
     asked_[customer] += w.item.cost;
-    if (o_.rule == OrderRule::kFairQueueing) {
+    if (options_.rule == OrderRule::kFairQueueing) {
       if (admission_.Offer(clock_.now(), w.item) != AdmissionVerdict::kQueued) {
         refusals_[klass].push_back(0);
         return;
@@ -116,19 +116,19 @@
       queues_[static_cast<int>(w.item.tier)].push_back(w.item.id);
     }
     waiting_[w.item.id] = w;
-    Pump();
+    StartWaiting();
   }
 
   void Tick() {
     const Time now = clock_.now();
-    if (o_.rule == OrderRule::kFairQueueing) admission_.Expire(now);
+    if (options_.rule == OrderRule::kFairQueueing) admission_.Expire(now);
     std::erase_if(waiting_, [&](const auto& entry) {
       const Waiting& w = entry.second;
       if (w.item.deadline > now) return false;
       refusals_[w.klass].push_back(ToSeconds(now - w.item.arrived));
       return true;
     });
-    Pump();
+    StartWaiting();
     clock_.After(milliseconds(50), [this] { Tick(); });
   }
 
@@ -137,14 +137,16 @@
     double reserved = 0;
     for (int q = 0; q < p; q++) {
       const bool present = running_tier_[q] > 0 || !queues_[q].empty();
-      if (present) reserved += o_.h_max * o_.slots * std::exp(-o_.lambda * q);
+      if (present)
+        reserved +=
+            options_.h_max * options_.slots * std::exp(-options_.lambda * q);
     }
     return reserved;
   }
 
   // The id to start next, or 0.
   uint64_t Next() {
-    if (o_.rule == OrderRule::kFairQueueing) {
+    if (options_.rule == OrderRule::kFairQueueing) {
       const std::vector<AdmissionItem> taken = admission_.Take(1);
       return taken.empty() ? 0 : taken[0].id;
     }
@@ -156,8 +158,8 @@
         queue.pop_front();
       }
       if (queue.empty()) continue;
-      if (o_.rule == OrderRule::kHeadroom) {
-        if (o_.slots - running_ <= Reserved(p)) continue;
+      if (options_.rule == OrderRule::kHeadroom) {
+        if (options_.slots - running_ <= Reserved(p)) continue;
         next = queue.front();
         queue.pop_front();
         return next;
@@ -171,8 +173,8 @@
     return next;
   }
 
-  void Pump() {
-    while (running_ < o_.slots) {
+  void StartWaiting() {
+    while (running_ < options_.slots) {
       const uint64_t id = Next();
       if (id == 0) return;
       auto it = waiting_.find(id);
@@ -187,16 +189,16 @@
     running_++;
     running_tier_[static_cast<int>(w.item.tier)]++;
     waits_[w.klass].push_back(ToSeconds(clock_.now() - w.item.arrived));
-    clock_.After(FromSeconds(w.item.cost / o_.slot_rate), [this, w] {
+    clock_.After(FromSeconds(w.item.cost / options_.slot_rate), [this, w] {
       running_--;
       running_tier_[static_cast<int>(w.item.tier)]--;
       served_[w.customer] += w.item.cost;
       admission_.OnFinished(clock_.now(), w.item.cost);
-      Pump();
+      StartWaiting();
     });
   }
 
-  OverloadOptions o_;
+  OverloadOptions options_;
   PausedClock clock_;
   Random random_;
   Admission admission_;
--- a/pinford/testing/pool_capacity_test.cc
+++ b/pinford/testing/pool_capacity_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kLayers = 4;
-constexpr double kRoom = 100;
+constexpr double kMemory = 100;
 constexpr double kReadSeconds = 0.001;  // a token in a layer
 
 class PoolCapacityTest : public testing::Test {
@@ -53,7 +53,7 @@
       report.slots = 10;
       report.layer_seconds = 0.001;
       report.read_seconds = kReadSeconds;
-      report.room = kRoom;
+      report.room = kMemory;
       table_.OnReport(now_, r.name, report);
     }
   }
@@ -93,15 +93,17 @@
 
 TEST_F(PoolCapacityTest, WhatWaitsMakesARunnerDear) {
   table_.set_boxes(10);
-  EXPECT_EQ(table_.WaitingOf("a"), 0);
+  EXPECT_EQ(table_.PrefillQueueSecondsOf("a"), 0);
   table_.OnWaiting("a", 200);
-  EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 10 * 200 * kReadSeconds);
+  EXPECT_DOUBLE_EQ(table_.PrefillQueueSecondsOf("a"), 10 * 200 * kReadSeconds);
   table_.SetPace("a", 3);
-  EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 3 * 10 * 200 * kReadSeconds);
+  EXPECT_DOUBLE_EQ(table_.PrefillQueueSecondsOf("a"),
+                   3 * 10 * 200 * kReadSeconds);
   table_.OnWaitingDone("a", 150);
-  EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 3 * 10 * 50 * kReadSeconds);
+  EXPECT_DOUBLE_EQ(table_.PrefillQueueSecondsOf("a"),
+                   3 * 10 * 50 * kReadSeconds);
   table_.OnWaitingDone("a", 1000);
-  EXPECT_EQ(table_.WaitingOf("a"), 0);
+  EXPECT_EQ(table_.PrefillQueueSecondsOf("a"), 0);
   EXPECT_EQ(QueueFactor(0), 1);
   EXPECT_LT(QueueFactor(0.05), QueueFactor(0.1));
 }
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -14,7 +14,7 @@
 
 constexpr int kLayers = 10;
 constexpr int kSlots = 20;
-constexpr double kRoom = 1000;
+constexpr double kMemory = 1000;
 
 struct Runner {
   const char* name;
@@ -23,9 +23,9 @@
   double step;  // seconds for a token in all its layers
 };
 
-class Pool : public testing::Test {
+class PoolChoice : public testing::Test {
  protected:
-  Pool() : table_("h1", Options(), Random(1)) {}
+  PoolChoice() : table_("h1", Options(), Random(1)) {}
 
   static EndpointTable::Options Options() {
     EndpointTable::Options options;
@@ -52,7 +52,7 @@
       report.holds = r.holds;
       report.slots = kSlots;
       report.layer_seconds = r.step / kLayers;
-      report.room = kRoom;
+      report.room = kMemory;
       table_.OnReport(now_, r.name, report);
     }
   }
@@ -72,7 +72,7 @@
   EndpointTable table_;
 };
 
-TEST_F(Pool, FirstStagesKeepToTheirSlots) {
+TEST_F(PoolChoice, FirstStagesKeepToTheirSlots) {
   Add({{"fast", "h1", {0, kLayers}, 0.001}, {"slow", "h1", {0, kLayers}, 0.1}});
   // By this box, by its peers, and by both.
   for (const auto& [own, peers] : {std::pair(20, 0), {0, 20}, {12, 8}}) {
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_F(Pool, WithoutAFreeSlotItMayStillBeALaterStage) {
+TEST_F(PoolChoice, WithoutAFreeSlotItMayStillBeALaterStage) {
   Add({{"full", "h1", {0, kLayers}, 0.001}, {"entry", "h1", {0, 3}, 0.01}});
   table_.OnPeerCounts({{NameId("full"), {0, kSlots}}});
   const auto chain = Pick();
@@ -93,7 +93,7 @@
   EXPECT_EQ(ChainText(*chain), "entry:0-1 full:1-10");
 }
 
-TEST_F(Pool, NobodyIsPickedWhereAllSlotsAreTaken) {
+TEST_F(PoolChoice, NobodyIsPickedWhereAllSlotsAreTaken) {
   Add({{"a", "h1", {0, kLayers}, 0.001}, {"b", "h2", {0, kLayers}, 0.001}});
   table_.OnPeerCounts({{NameId("a"), {0, kSlots}}});
   EXPECT_EQ(First(), "b");
@@ -103,11 +103,11 @@
 
 // What a runner says corrects the account both ways, and fades as the account
 // is what is newer.
-TEST_F(Pool, WhatARunnerSaysCorrectsTheAccount) {
+TEST_F(PoolChoice, WhatARunnerSaysCorrectsTheAccount) {
   struct Case {
     int own;
     int peers;
-    double said;
+    double reported;
   };
   for (const Case& c : {Case{300, 0, 900}, {0, 800, 100}, {200, 200, 400}}) {
     EndpointTable table("h1", Options(), Random(1));
@@ -115,19 +115,19 @@
     Add({{"a", "h1", {0, kLayers}, 0.001}});
     table_.OnSent("a", c.own);
     table_.OnPeerCounts({{NameId("a"), {c.peers, 0}}});
-    const double account = (c.own + c.peers) / kRoom;
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), account, 1e-9);
-    table_.OnObserved(now_, "a", c.said, 0);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), c.said / kRoom, 1e-9);
+    const double estimate = (c.own + c.peers) / kMemory;
+    EXPECT_NEAR(table_.TakenOf(now_, "a"), estimate, 1e-9);
+    table_.OnObserved(now_, "a", c.reported, 0);
+    EXPECT_NEAR(table_.TakenOf(now_, "a"), c.reported / kMemory, 1e-9);
     // What is sent afterwards counts beside it.
     table_.OnSent("a", 50);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), (c.said + 50) / kRoom, 1e-9);
+    EXPECT_NEAR(table_.TakenOf(now_, "a"), (c.reported + 50) / kMemory, 1e-9);
     now_ += seconds(20);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), account + 50 / kRoom, 0.01);
+    EXPECT_NEAR(table_.TakenOf(now_, "a"), estimate + 50 / kMemory, 0.01);
   }
 }
 
-TEST_F(Pool, RequestsOfBoxesThatAreGoneTakeSlots) {
+TEST_F(PoolChoice, RequestsOfBoxesThatAreGoneTakeSlots) {
   Add({{"a", "h1", {0, kLayers}, 0.001}, {"b", "h1", {0, kLayers}, 0.1}});
   table_.OnObserved(now_, "a", 0, kSlots);
   EXPECT_EQ(First(), "b");
@@ -137,7 +137,7 @@
 
 // A stage that failed rests, but one that has answered since serves where no
 // other can. One that has not answered does not.
-TEST_F(Pool, WhatAnsweredSinceItFailedServesAtNeed) {
+TEST_F(PoolChoice, WhatAnsweredSinceItFailedServesAtNeed) {
   Add({{"a", "h1", {0, 6}, 0.001}, {"b", "h1", {6, kLayers}, 0.001}});
   now_ += seconds(1);
   table_.OnFailure(now_, "b", now_);
@@ -156,7 +156,7 @@
   EXPECT_EQ(Pick()->back().endpoint, "c");
 }
 
-TEST_F(Pool, TheShortestLayerIsTold) {
+TEST_F(PoolChoice, TheShortestLayerIsTold) {
   Add({{"a", "h1", {0, 6}, 0.001},
        {"b", "h1", {4, kLayers}, 0.001},
        {"c", "h1", {4, 8}, 0.001}});
@@ -174,7 +174,7 @@
 }
 
 // With three halls there are three links; with two there is one.
-TEST_F(Pool, EachPairOfHallsHasALink) {
+TEST_F(PoolChoice, EachPairOfHallsHasALink) {
   const std::vector<Runner> two = {{"slow", "h1", {0, kLayers}, 0.016},
                                    {"first", "h1", {0, 5}, 0.002},
                                    {"second", "h2", {5, kLayers}, 0.002}};
@@ -206,7 +206,7 @@
 
 // Streams on four equal holders of all layers and one that is five times as
 // fast, at a fifth of the room: what the loss of one runner interrupts at most.
-double MostOnOne(bool by_speed_alone, double gap_share) {
+double MaxShareOnOneRunner(bool by_speed_alone, double gap_share) {
   EndpointTable::Options options;
   options.report_valid = hours(1);
   options.hand_over_directly = true;
@@ -228,7 +228,7 @@
     report.holds = {0, kLayers};
     report.slots = 1000;
     report.layer_seconds = e.name == "0" ? 0.00003 : 0.00015;
-    report.room = kRoom;
+    report.room = kMemory;
     table.OnReport(now, e.name, report);
   }
   std::map<std::string, int> streams;
@@ -241,19 +241,19 @@
       streams[stage.endpoint]++;
     }
   }
-  int most = 0;
-  for (const auto& [name, n] : streams) most = std::max(most, n);
-  return static_cast<double>(most) / kStreams;
+  int max_streams = 0;
+  for (const auto& [name, n] : streams) max_streams = std::max(max_streams, n);
+  return static_cast<double>(max_streams) / kStreams;
 }
 
-TEST(SpreadPrice, AFastRunnerDoesNotCarryMostStreams) {
-  EXPECT_GE(MostOnOne(true, 0.1), 0.75);
-  EXPECT_LE(MostOnOne(false, 0.1), 0.62);
+TEST(SpeedWeightTest, AFastRunnerDoesNotCarryMostStreams) {
+  EXPECT_GE(MaxShareOnOneRunner(true, 0.1), 0.75);
+  EXPECT_LE(MaxShareOnOneRunner(false, 0.1), 0.62);
   // Where events take much of the pause, speed counts in full.
-  EXPECT_EQ(MostOnOne(false, 0.3), MostOnOne(true, 0.3));
+  EXPECT_EQ(MaxShareOnOneRunner(false, 0.3), MaxShareOnOneRunner(true, 0.3));
 }
 
-TEST(SpreadPrice, SpeedCountsByWhatEventsTake) {
+TEST(SpeedWeightTest, SpeedCountsByWhatEventsTake) {
   const struct {
     double gap_share;
     double weight;
@@ -263,13 +263,13 @@
   }
 }
 
-TEST(RunnerPrice, RisesWithEachPartOfTheLoad) {
+TEST(RunnerCost, RisesWithEachPartOfTheLoad) {
   const RunnerLoad idle{0.001, 1, 0, 0};
-  const double base = LayerPrice(idle, 0.001, 1);
+  const double base = LayerCost(idle, 0.001, 1);
   EXPECT_DOUBLE_EQ(base, 0.001);
   const struct {
     RunnerLoad load;
-    double times;  // the idle one's price
+    double factor;  // the idle one's price
   } cases[] = {
       {{0.004, 1, 0, 0}, 4},     {{0.001, 2, 0, 0}, 4},
       {{0.001, 1, 0.5, 0}, 2},   {{0.001, 1, 0, 0.75}, 4},
@@ -277,13 +277,13 @@
       {{0.001, 1, 0.5, 0.5}, 4},
   };
   for (const auto& c : cases) {
-    EXPECT_NEAR(LayerPrice(c.load, 0.001, 1) / base, c.times, 1e-9);
+    EXPECT_NEAR(LayerCost(c.load, 0.001, 1) / base, c.factor, 1e-9);
   }
   // With half of its weight, four times the time is twice the price.
-  EXPECT_NEAR(LayerPrice(cases[0].load, 0.001, 0.5) / base, 2, 1e-9);
-  EXPECT_EQ(EntrySlotPrice(0, 20), 0);
-  EXPECT_DOUBLE_EQ(EntrySlotPrice(10, 20), 0.001);
-  EXPECT_TRUE(std::isinf(EntrySlotPrice(19, 20)));
+  EXPECT_NEAR(LayerCost(cases[0].load, 0.001, 0.5) / base, 2, 1e-9);
+  EXPECT_EQ(FirstStageSlotCost(0, 20), 0);
+  EXPECT_DOUBLE_EQ(FirstStageSlotCost(10, 20), 0.001);
+  EXPECT_TRUE(std::isinf(FirstStageSlotCost(19, 20)));
 }
 
 // Every mechanism has a name that reads back, and is on unless it is named.
@@ -308,7 +308,7 @@
 // What is switched off decides nothing.
 TEST(Mechanisms, SwitchedOffTheyDecideNothing) {
   struct Case {
-    Mechanism off;
+    Mechanism mechanism;
     std::function<void(EndpointTable*, Time)> load;
   };
   const Case cases[] = {
@@ -336,7 +336,7 @@
       EndpointTable::Options options;
       options.report_valid = hours(1);
       options.hand_over_directly = true;
-      if (off) options.off.Add(c.off);
+      if (off) options.off.Add(c.mechanism);
       EndpointTable table("h", options, Random(1));
       ListedEndpoint e;
       e.name = "a";
@@ -349,16 +349,16 @@
       report.holds = {0, 1};
       report.slots = kSlots;
       report.layer_seconds = 0.001;
-      report.room = kRoom;
+      report.room = kMemory;
       table.OnReport(now - seconds(1), "a", report);
       c.load(&table, now);
       const auto chain =
           table.PickChainFor(now + milliseconds(2), "m", "1", {0, 1},
                              [](const std::string&) { return 1.0; });
       // Serving at need is the one that lets in, the others keep out.
-      const bool lets_in = c.off == Mechanism::kServeAtNeed;
-      EXPECT_EQ(chain.has_value(), off != lets_in)
-          << MechanismName(c.off) << " off: " << off;
+      const bool admits = c.mechanism == Mechanism::kServeAtNeed;
+      EXPECT_EQ(chain.has_value(), off != admits)
+          << MechanismName(c.mechanism) << " off: " << off;
     }
   }
 }
--- a/pinford/testing/pool_simulation_standin.cc
+++ b/pinford/testing/pool_simulation_standin.cc
@@ -125,15 +125,15 @@
   std::deque<std::tuple<Time, int, int>> reports;  // when, streams, work
 };
 
-struct Deciding {
+struct BoxState {
   std::unique_ptr<EndpointTable> table;
-  std::vector<int> own;                                // work by runner
-  std::deque<std::pair<Time, std::vector<int>>> told;  // to peers
+  std::vector<int> own;                                       // work by runner
+  std::deque<std::pair<Time, std::vector<int>>> sent_counts;  // to peers
 };
 
 class Pool {
  public:
-  explicit Pool(const PoolOptions& o) : o_(o), random_(o.seed) {
+  explicit Pool(const PoolOptions& o) : options_(o), random_(o.seed) {
     MakeRunners();
     MakeBoxes();
   }
@@ -146,23 +146,24 @@
       holdings.push_back(r.holds);
       rates.push_back(r.rate);
     }
-    result.bound = FlowBound(holdings, rates, o_.layers);
+    result.bound = FlowBound(holdings, rates, options_.layers);
     Report();
-    if (o_.offered > 0) {
-      arrivals_ = result.bound * o_.offered / o_.stream_tokens;
+    if (options_.offered > 0) {
+      arrivals_ = result.bound * options_.offered / options_.stream_tokens;
       Arrive();
     } else {
       // Enough that queues need not run empty, few enough that each stream is
       // placed anew several times while it is measured.
       constexpr int kPerRunner = 8;
-      for (int i = 0; i < kPerRunner * o_.runners; i++) {
-        clock_.After(milliseconds(random_() % 5000), [this] { Begin(true); });
+      for (int i = 0; i < kPerRunner * options_.runners; i++) {
+        clock_.After(milliseconds(random_() % 5000),
+                     [this] { StartStream(true); });
       }
     }
-    clock_.Advance(o_.warm_up);
+    clock_.Advance(options_.warm_up);
     measuring_ = true;
-    clock_.Advance(o_.length);
-    result.tokens = static_cast<double>(tokens_) / ToSeconds(o_.length);
+    clock_.Advance(options_.length);
+    result.tokens = static_cast<double>(tokens_) / ToSeconds(options_.length);
     result.share = result.tokens / result.bound;
     result.first_p95 = Quantile(first_, 0.95);
     result.between_p95 = Quantile(between_, 0.95);
@@ -177,25 +178,25 @@
     int tokens = 0;
     Time arrived{};
     Time last{};
-    bool again = false;
+    bool restart = false;
   };
 
   // Blocks of a quarter of the layers, and for every third runner of a half,
   // so that the ranges overlap and each block has holders of several kinds. A
   // walk that goes as far as each runner holds never meets a lone holder.
   void MakeRunners() {
-    const int block = o_.layers / 4;
-    for (int i = 0; i < o_.runners; i++) {
+    const int block = options_.layers / 4;
+    for (int i = 0; i < options_.runners; i++) {
       Runner r;
       r.name = "r" + std::to_string(100 + i);
       const bool wide = i % 3 == 0;
       const int first = wide ? (i / 3) % 3 : (i * 3 + i / 4) % 4;
       r.holds = {first * block, (first + (wide ? 2 : 1)) * block};
-      r.hall = i % o_.halls;
+      r.hall = i % options_.halls;
       r.rate = kSlowest * kKinds[(i * 7 + i / 6) % 6];
       runners_.push_back(r);
     }
-    runners_[4].link = o_.slow_link;
+    runners_[4].link = options_.slow_link;
   }
 
   void MakeBoxes() {
@@ -207,13 +208,13 @@
       e.address = {"127.0.0.1", 1};
       list.push_back(e);
     }
-    for (int b = 0; b < o_.boxes; b++) {
-      Deciding d;
+    for (int b = 0; b < options_.boxes; b++) {
+      BoxState d;
       d.table = std::make_unique<EndpointTable>(
-          "hall-" + std::to_string(b % o_.halls), o_.table,
-          Random(o_.seed + b));
+          "hall-" + std::to_string(b % options_.halls), options_.table,
+          Random(options_.seed + b));
       d.table->OnList(list);
-      d.table->set_peer_boxes(o_.boxes - 1);
+      d.table->set_peer_boxes(options_.boxes - 1);
       d.own.resize(runners_.size());
       boxes_.push_back(std::move(d));
     }
@@ -224,24 +225,25 @@
     for (Runner& r : runners_) {
       r.reports.emplace_back(now, r.streams, r.work);
       while (r.reports.size() > 1 &&
-             std::get<0>(r.reports[1]) + o_.report_lag <= now) {
+             std::get<0>(r.reports[1]) + options_.report_lag <= now) {
         r.reports.pop_front();
       }
     }
-    for (Deciding& d : boxes_) {
-      d.told.emplace_back(now, d.own);
-      while (d.told.size() > 1 && d.told[1].first + o_.peer_lag <= now) {
-        d.told.pop_front();
+    for (BoxState& d : boxes_) {
+      d.sent_counts.emplace_back(now, d.own);
+      while (d.sent_counts.size() > 1 &&
+             d.sent_counts[1].first + options_.peer_lag <= now) {
+        d.sent_counts.pop_front();
       }
     }
-    for (Deciding& d : boxes_) {
+    for (BoxState& d : boxes_) {
       PeerCounts counts;
       for (size_t i = 0; i < runners_.size(); i++) {
         const Runner& r = runners_[i];
         LoadReport report;
         report.model = "m";
         report.version = "v";
-        report.layers = o_.layers;
+        report.layers = options_.layers;
         report.holds = r.holds;
         report.running = std::get<1>(r.reports.front());
         report.work = std::get<2>(r.reports.front());
@@ -249,17 +251,17 @@
         report.layer_seconds = 1 / r.rate;
         d.table->OnReport(now, r.name, report);
         int& peers = counts[NameId(r.name)].work;
-        for (const Deciding& other : boxes_) {
-          if (&other != &d) peers += other.told.front().second[i];
+        for (const BoxState& other : boxes_) {
+          if (&other != &d) peers += other.sent_counts.front().second[i];
         }
       }
       d.table->OnPeerCounts(counts);
     }
-    clock_.After(o_.report_interval, [this] { Report(); });
+    clock_.After(options_.report_interval, [this] { Report(); });
   }
 
   void Arrive() {
-    Begin(false);
+    StartStream(false);
     std::exponential_distribution<double> gap(arrivals_);
     clock_.After(FromSeconds(gap(random_)), [this] { Arrive(); });
   }
@@ -272,10 +274,11 @@
   }
 
   // What the least-loaded baselines compare.
-  double Burden(int box, int i) const {
+  double LoadOn(int box, int i) const {
     const EndpointTable& table = *boxes_[box].table;
     const std::string& name = runners_[i].name;
-    if (o_.choice == ChainChoice::kLeastInFlight) return table.LoadOf(name);
+    if (options_.choice == ChainChoice::kLeastInFlight)
+      return table.LoadOf(name);
     return table.BacklogOf(name);
   }
 
@@ -284,21 +287,21 @@
   std::vector<std::pair<int, LayerRange>> BaselineChain(int box) {
     std::vector<std::pair<int, LayerRange>> chain;
     int at = 0;
-    while (at < o_.layers) {
-      std::vector<int> able;
+    while (at < options_.layers) {
+      std::vector<int> holders;
       for (size_t i = 0; i < runners_.size(); i++) {
         if (runners_[i].holds.Contains({at, at + 1})) {
-          able.push_back(static_cast<int>(i));
+          holders.push_back(static_cast<int>(i));
         }
       }
-      int pick = able[0];
-      if (o_.choice == ChainChoice::kRandom) {
-        pick = able[random_() % able.size()];
-      } else if (o_.choice == ChainChoice::kRoundRobin) {
-        pick = able[next_[at]++ % able.size()];
+      int pick = holders[0];
+      if (options_.choice == ChainChoice::kRandom) {
+        pick = holders[random_() % holders.size()];
+      } else if (options_.choice == ChainChoice::kRoundRobin) {
+        pick = holders[next_[at]++ % holders.size()];
       } else {
-        for (int i : able) {
-          if (Burden(box, i) < Burden(box, pick)) pick = i;
+        for (int i : holders) {
+          if (LoadOn(box, i) < LoadOn(box, pick)) pick = i;
         }
       }
       const int end = runners_[pick].holds.end;
@@ -309,19 +312,19 @@
   }
 
   std::vector<std::pair<int, LayerRange>> PickedChain(int box) {
-    if (o_.choice != ChainChoice::kPinford) return BaselineChain(box);
-    std::optional<Chain> chain =
-        boxes_[box].table->PickChainFor(clock_.now(), "m", "v", {0, o_.layers},
-                                        [](const std::string&) { return 1.0; });
+    if (options_.choice != ChainChoice::kPinford) return BaselineChain(box);
+    std::optional<Chain> chain = boxes_[box].table->PickChainFor(
+        clock_.now(), "m", "v", {0, options_.layers},
+        [](const std::string&) { return 1.0; });
     std::vector<std::pair<int, LayerRange>> out;
     for (const Stage& s : *chain) out.push_back({IndexOf(s.endpoint), s.range});
     return out;
   }
 
-  void Begin(bool again) {
+  void StartStream(bool restart) {
     auto s = std::make_shared<Stream>();
-    s->box = static_cast<int>(next_box_++ % o_.boxes);
-    s->again = again;
+    s->box = static_cast<int>(next_box_++ % options_.boxes);
+    s->restart = restart;
     s->arrived = s->last = clock_.now();
     s->chain = PickedChain(s->box);
     for (const auto& [i, range] : s->chain) {
@@ -334,7 +337,7 @@
   }
 
   Duration LinkDelay(const Stream& s, const Runner& r) const {
-    const bool near = r.hall == s.box % o_.halls;
+    const bool near = r.hall == s.box % options_.halls;
     return FromSeconds((near ? 0.0005 : 0.001) * r.link);
   }
 
@@ -350,13 +353,13 @@
         if (stage + 1 < s->chain.size()) {
           Step(s, stage + 1);
         } else {
-          Token(s);
+          OnToken(s);
         }
       });
     });
   }
 
-  void Token(const std::shared_ptr<Stream>& s) {
+  void OnToken(const std::shared_ptr<Stream>& s) {
     const Time now = clock_.now();
     const double gap = ToSeconds(now - s->last);
     s->last = now;
@@ -364,7 +367,7 @@
       tokens_++;
       (s->tokens == 0 ? first_ : between_).push_back(gap);
     }
-    if (++s->tokens < o_.stream_tokens) {
+    if (++s->tokens < options_.stream_tokens) {
       Step(s, 0);
       return;
     }
@@ -374,14 +377,14 @@
       boxes_[s->box].own[i] -= range.size();
       boxes_[s->box].table->OnDone(runners_[i].name, range.size());
     }
-    if (s->again) Begin(true);
+    if (s->restart) StartStream(true);
   }
 
-  PoolOptions o_;
+  PoolOptions options_;
   PausedClock clock_;
   Random random_;
   std::vector<Runner> runners_;
-  std::vector<Deciding> boxes_;
+  std::vector<BoxState> boxes_;
   std::map<int, size_t> next_;
   size_t next_box_ = 0;
   double arrivals_ = 0;
--- a/pinford/testing/reading_load_test.cc
+++ b/pinford/testing/reading_load_test.cc
@@ -89,7 +89,7 @@
 
   // Some box sends a prompt of a thousand tokens, `after` the one before.
   // Returns where; its last runner's hall is in `last_hall`.
-  Chain Send(Duration after, std::string* last_hall = nullptr) {
+  Chain SendPrompt(Duration after, std::string* last_hall = nullptr) {
     now_ += after;
     EndpointTable& table = *tables_[random_() % tables_.size()];
     const auto chain = table.PickChainFor(
@@ -120,14 +120,14 @@
   Fleet fleet(boxes, runners);
   std::map<std::string, double> got;
   for (int i = 0; i < kSeconds * per_s; i++) {
-    for (const Stage& stage : fleet.Send(FromSeconds(1 / per_s))) {
+    for (const Stage& stage : fleet.SendPrompt(FromSeconds(1 / per_s))) {
       got[stage.endpoint] += 1.0 * stage.range.size() / kLayers / kSeconds;
     }
   }
   return got;
 }
 
-TEST(ReadingLoad, NoRunnerGetsMoreThanItReadsWhileOthersIdle) {
+TEST(PrefillLoad, NoRunnerGetsMoreThanItReadsWhileOthersIdle) {
   // A fast runner, whose steps are short, reads no more than the slow ones.
   const std::vector<Runner> runners = {{Listed("fast"), Report(0.002, 50)},
                                        {Listed("mid"), Report(0.006, 60)},
@@ -148,7 +148,7 @@
 
 // A chain across halls is the fastest here, but the links between them carry
 // only so many streams; the others stay in their hall.
-TEST(ReadingLoad, LinksBetweenHallsAreNotFilled) {
+TEST(PrefillLoad, LinksBetweenHallsAreNotFilled) {
   constexpr double kPerSecond = 60;
   constexpr double kLinksCarry = 20;  // streams a second
   const auto runner = [](const std::string& name, const std::string& hall,
@@ -165,14 +165,15 @@
   double crossed = 0;
   for (int i = 0; i < kSeconds * kPerSecond; i++) {
     std::string last_hall;
-    ASSERT_FALSE(fleet.Send(FromSeconds(1 / kPerSecond), &last_hall).empty());
+    ASSERT_FALSE(
+        fleet.SendPrompt(FromSeconds(1 / kPerSecond), &last_hall).empty());
     if (last_hall != "h") crossed++;
   }
   EXPECT_LT(crossed / kSeconds, kLinksCarry);
   EXPECT_GT(crossed / kSeconds, kLinksCarry / 4);
 }
 
-TEST(ReadingLoad, WhatCannotBeToldCostsNothing) {
+TEST(PrefillLoad, WhatCannotBeToldCostsNothing) {
   LoadReport unknown = Report(0.002, 50);
   unknown.read_seconds = 0;
   const auto got = Spread(
