--- a/pinford/admission.cc
+++ b/pinford/admission.cc
@@ -1,7 +1,7 @@
-// Tags. A flow that becomes busy starts at max(virtual time, its last finish
-// tag); serving an item moves the virtual time to the item's start tag and
-// the flow's finish tag on by cost / weight. The same holds for each tier
-// among the tiers. The busy flow with the least start tag goes next.
+// Tags: a flow that becomes busy gets the start tag max(virtual time, its last
+// finish tag). Serving an item sets the virtual time to the item's start tag
+// and advances the flow's finish tag by cost / weight. The same holds for each
+// tier among the tiers. The busy flow with the lowest start tag is served next.
 
 #include "pinford/admission.h"
 
@@ -67,7 +67,7 @@
   waiting_--;
   size_t left = 0;
   for (const auto& [share, flow] : level->flows) left += flow.items.size();
-  // Sums of doubles drift; an empty level is empty.
+  // Avoids the drift of floating-point sums.
   if (left == 0) level->cost = 0;
 }
 
@@ -93,7 +93,7 @@
   level.start = level.finish;
 
   OnRemoved(&level, item);
-  // An idle flow whose finish tag has passed holds nothing worth keeping.
+  // An idle flow whose finish tag has passed has no state worth keeping.
   std::erase_if(level.flows, [&level](const auto& entry) {
     return entry.second.items.empty() &&
            entry.second.finish <= level.virtual_time;
@@ -169,8 +169,9 @@
   return cost;
 }
 
-// Work of the same or an upper tier goes before; of a lower tier next to
-// none does. Unknown rates predict no wait: the deadline still holds later.
+// Work of the same and of upper tiers is served first; work of lower tiers is
+// negligible. An unknown rate predicts no wait; the deadline still applies
+// later.
 Duration Admission::PredictedWait(Time now, Tier tier) const {
   const double rate = drain_rate(now);
   if (rate <= 0) return Duration(0);
--- a/pinford/admission.h
+++ b/pinford/admission.h
@@ -1,17 +1,18 @@
-// Which waiting completion starts next, and which are told not_run at once.
+// Decides which waiting completion starts next, and which are refused at once
+// as not_run.
 //
-// Order is two levels of start-time fair queueing (Goyal, Vin and Cheng,
+// The order is two levels of start-time fair queueing (Goyal, Vin and Cheng,
 // "Start-time fair queueing", SIGCOMM 1996): first among tiers, with weights
-// that make the upper tiers nearly strict yet starve none, then among
-// customers (or groups of them) inside a tier, by the weights of the policy.
-// Cost is counted in tokens, so a customer of long answers gets no more than
-// one of short ones. Within one customer requests go in order of arrival; in
-// the background tier the earliest deadline goes first, because the night's
-// work is due together in the morning.
+// that make the upper tiers nearly strict yet starve none, then among customers
+// (or groups of them) inside a tier, by the policy's weights. Cost is counted
+// in tokens, so a customer with long answers gets no more than one with short
+// ones. One customer's requests start in order of arrival; in the background
+// tier the earliest deadline comes first, because the night's work is due
+// together in the morning.
 //
-// A request whose predicted wait is past its deadline is refused at once, as
-// is one that finds the queue full: the caller is told when to come back, out
-// of the measured rate at which work drains.
+// A request whose predicted wait exceeds its deadline is refused at once, as is
+// one that finds the queue full. The caller is told when to retry, computed
+// from the measured drain rate.
 
 #ifndef PINFORD_ADMISSION_H_
 #define PINFORD_ADMISSION_H_
@@ -50,7 +51,7 @@
  public:
   struct Options {
     size_t max_waiting = 2000;
-    // Of one customer, as a share of max_waiting.
+    // Maximum for one customer, as a fraction of max_waiting.
     double max_share_waiting = 0.5;
     double tier_weight[kTierCount] = {64, 16, 4, 1};
   };
@@ -58,17 +59,17 @@
   explicit Admission(const Options& options) : options_(options) {}
 
   AdmissionVerdict Offer(Time now, const AdmissionItem& item);
-  // Takes up to `slots` items to start now, in order.
+  // Removes and returns up to `slots` items to start now, in order.
   std::vector<AdmissionItem> Take(int slots);
-  // Takes out the items whose deadline has passed.
+  // Removes and returns the items whose deadline has passed.
   std::vector<AdmissionItem> Expire(Time now);
   void Cancel(uint64_t id);
 
-  // Work of `cost` tokens has finished: measures the drain rate.
+  // Work of `cost` tokens has finished; updates the drain rate.
   void OnFinished(Time now, double cost);
-  // Tokens a second that finished of late; 0 when unknown.
+  // Tokens per second that finished recently; 0 when unknown.
   double drain_rate(Time now) const;
-  // When a caller that is refused should come back.
+  // How long a refused caller should wait before it retries.
   Duration RetryAfter(Time now) const;
 
   size_t waiting() const { return waiting_; }
@@ -76,15 +77,15 @@
 
  private:
   struct Flow {
-    double start = 0;   // tag of its next item
-    double finish = 0;  // tag of its last served item
+    double start = 0;   // start tag of its next item
+    double finish = 0;  // finish tag of its last served item
     std::deque<AdmissionItem> items;
   };
   struct Level {
     double virtual_time = 0;
     double start = 0;
     double finish = 0;
-    double cost = 0;  // waiting
+    double cost = 0;  // of the waiting items
     std::map<std::string, Flow> flows;
     bool empty() const { return cost <= 0; }
   };
@@ -98,7 +99,7 @@
   double virtual_time_ = 0;
   Level levels_[kTierCount];
   size_t waiting_ = 0;
-  // Tokens finished in the current and the last window.
+  // Tokens finished in the present and in the previous window.
   Time window_begin_{};
   double window_cost_ = 0;
   double last_window_cost_ = 0;
--- a/pinford/chain_picker.cc
+++ b/pinford/chain_picker.cc
@@ -1,9 +1,9 @@
 // Method: dynamic programming over layer boundaries from left to right.
-// best_[e] is the least cost of a path that has run all layers before the
-// current one and stands at endpoint e. At each layer every endpoint that holds
-// it either stays where it was or is entered from the cheapest endpoint of the
-// layer before; the chosen predecessor of each (layer, endpoint) is kept and
-// walked back at the end.
+// best_[e] is the lowest cost of a path that has run all layers before the
+// current one and ends at endpoint e. At each layer, every endpoint that holds
+// it is reached either from itself or from the cheapest endpoint of the
+// previous layer. The predecessor chosen for each (layer, endpoint) is kept,
+// and the path is read backwards at the end.
 
 #include "pinford/chain_picker.h"
 
@@ -25,20 +25,21 @@
 
 namespace {
 
-// A stage of a path: a candidate by its place, and the layers that it runs.
+// A stage of a path: a candidate's index and the layers that it runs.
 struct PathStage {
   int candidate;
   LayerRange range;
 };
 using Path = std::vector<PathStage>;
 
-// What a path must keep to beyond what the endpoints hold: `only[layer]` is
-// the endpoint that must run the layer, by its place among the candidates.
+// Additional constraints on a path: `pinned[layer]` is the index of the
+// candidate that must run the layer.
 using Pinned = std::map<int, int>;
 
-// The cheapest path, in which an endpoint may stand more than once. Work and
-// memory go by the layers that the candidates hold, not by candidates times
-// layers: of 3,000 runners one holds some ten layers of eighty.
+// Finds the cheapest path, in which an endpoint may occur more than once. Work
+// and memory are proportional to the layers that the candidates hold, not to
+// candidates times layers: one of 3,000 runners holds about ten layers of
+// eighty.
 class PathSearch {
  public:
   PathSearch(const std::vector<Candidate>& candidates, const LayerRange& range,
@@ -79,11 +80,11 @@
   const std::vector<int>& HoldersOf(int layer) const {
     return holders_[layer - range_.begin];
   }
-  // Who ran the layer before on the cheapest path that stands at `e` there.
+  // Who ran the previous layer on the cheapest path that ends at `e` here.
   int& From(int e, int layer) { return from_[from_offset_[e] + layer]; }
 
-  // Finds the cheapest of those that have run `layer`, and of each hall. False
-  // if nobody has.
+  // Finds the cheapest endpoint among those that have run `layer`, overall and
+  // for each hall. Returns false if none has.
   bool FindCheapest(int layer) {
     cheapest_ = -1;
     std::fill(cheapest_in_hall_.begin(), cheapest_in_hall_.end(), -1);
@@ -96,8 +97,8 @@
     return cheapest_ >= 0;
   }
 
-  // Runs the layer at each of its holders, or at `must` alone if that is not
-  // -1.
+  // Extends the paths by `layer`, run by each of its holders, or by `required`
+  // alone unless that is -1.
   void ExtendTo(int layer, int required) {
     const bool first = layer == range_.begin;
     next_.clear();
@@ -131,7 +132,8 @@
     return (stay ? best_[e] : enter) + c.layer_cost;
   }
 
-  // From the cheapest at the end; equal neighbours are one stage.
+  // Reads the path backwards from its cheapest end; adjacent layers on the same
+  // endpoint become one stage.
   Path Backtrack() {
     Path path;
     int at = cheapest_;
@@ -152,10 +154,11 @@
   double cross_hall_cost_;
   int cheapest_ = -1;
   std::vector<int> cheapest_in_hall_;
-  std::vector<double> best_;  // of those who have run the layer before
+  // cost of the best path that ends at each candidate
+  std::vector<double> best_;
   std::vector<double> next_;
-  std::vector<int>
-      from_offset_;  // where a candidate's row of from_ would begin
+  // By candidate: the index in from_ that layer 0 would have.
+  std::vector<int> from_offset_;
   std::vector<int> from_;
   std::vector<std::vector<int>> holders_;  // by layer
 };
@@ -213,7 +216,7 @@
     std::optional<Path> path =
         PathSearch(candidates, range_, cross_hall_cost_).Find(pinned);
     if (!path) return;
-    // Whatever a branch gives is no cheaper than the path without its bounds.
+    // No branch is cheaper than the path without the branch's constraints.
     const double cost = PathCost(candidates, *path, cross_hall_cost_);
     if (best_ && cost >= best_cost_) return;
     const std::optional<PathStage> repeated = FirstRepeated(*path);
@@ -228,7 +231,7 @@
   const std::optional<Path>& best() const { return best_; }
 
  private:
-  // The first stage whose endpoint stands in the path again, if there is one.
+  // The first stage whose endpoint occurs again in the path, if there is one.
   static std::optional<PathStage> FirstRepeated(const Path& path) {
     for (size_t i = 0; i < path.size(); i++) {
       for (size_t j = i + 1; j < path.size(); j++) {
@@ -238,7 +241,7 @@
     return std::nullopt;
   }
 
-  // `gap`: the layer that another runs before the endpoint comes back.
+  // `gap` is the layer that another endpoint runs before this one occurs again.
   void Branch(const std::vector<Candidate>& candidates, const Pinned& pinned,
               int candidate, int gap) {
     const LayerRange holds = candidates[candidate].holds;
--- a/pinford/chain_picker.h
+++ b/pinford/chain_picker.h
@@ -1,16 +1,17 @@
 // Chooses the chain of endpoints that runs a range of layers.
 //
-// The choice is a shortest path. Nodes are (layer boundary, endpoint that
-// runs the next layer); running a layer costs the endpoint's time for it at
-// its present load, and handing over to another endpoint costs the link. As
-// the price of an endpoint grows with its load, picking the cheapest path for
-// each request in turn spreads requests close to the best split; that is the
+// The choice is a shortest path. Nodes are (layer boundary, endpoint that runs
+// the next layer). Running a layer costs the endpoint's time for it at its
+// present load, and a handoff to another endpoint costs the link. As an
+// endpoint's cost grows with its load, picking the cheapest path for each
+// request in turn spreads requests close to the best split; this is the
 // argument of Awerbuch, Azar and Plotkin, "Throughput-competitive on-line
-// routing" (FOCS 1993), for exponential prices. Unlike a split computed ahead
-// it needs no plan to be in step with the endpoints: a new, slow or lost
-// endpoint changes the next pick.
+// routing" (FOCS 1993), for exponential costs. Unlike a split that is computed
+// ahead, it does not depend on a plan that matches the present endpoints: a
+// new, slow or lost endpoint changes the next pick.
 //
-// Cost: time and memory go by the sum of the layers that endpoints hold.
+// Time and memory are proportional to the sum of the layers that the endpoints
+// hold.
 
 #ifndef PINFORD_CHAIN_PICKER_H_
 #define PINFORD_CHAIN_PICKER_H_
@@ -23,52 +24,54 @@
 
 namespace pinford {
 
-// An endpoint that could take part, priced.
+// An endpoint that could run a stage, and its costs.
 struct Candidate {
   std::string name;
   LayerRange holds;
-  double layer_cost = 0;    // seconds to run one layer of one token, with load
-  double handoff_cost = 0;  // seconds to hand a token over to it
-  int hall = 0;  // endpoints of one number hand over among themselves
-  double first_stage_cost = 0;  // more, as the first stage of a chain
+  // seconds to run one layer of one token at its present load
+  double layer_cost = 0;
+  double handoff_cost = 0;      // seconds to hand a token off to it
+  int hall = 0;                 // endpoints with the same number share a hall
+  double first_stage_cost = 0;  // added when it is a chain's first stage
 };
 
-// The cheapest chain over `range`, or nothing if the candidates do not cover
-// it. An endpoint may stand in it more than once, with others between. Where
-// endpoints hand over to one another, `cross_hall_cost` is added for each stage
-// whose predecessor stands in another hall.
+// Returns the cheapest chain over `range`, or nothing if the candidates do not
+// cover it. An endpoint may occur more than once, with others in between. Where
+// endpoints hand off to one another, `cross_hall_cost` is added for each stage
+// whose predecessor is in another hall.
 std::optional<Chain> PickChain(const std::vector<Candidate>& candidates,
                                const LayerRange& range,
                                double cross_hall_cost = 0);
 
-// The same of the chains in which no endpoint stands twice. Found by branching
-// on the first endpoint that the cheapest path comes back to: it stays before
-// the gap between its stages, or after it, or runs it too. Beyond kMaxBranches
-// paths the best so far is taken.
+// Like PickChain, but returns only chains in which no endpoint occurs twice.
+// Branches on the first endpoint that the cheapest path returns to: it runs
+// either only layers before the gap between its stages, or only layers after
+// it, or the gap as well. After kMaxBranches paths the best one found so far is
+// returned.
 std::optional<Chain> PickSimpleChain(const std::vector<Candidate>& candidates,
                                      const LayerRange& range,
                                      double cross_hall_cost = 0);
 
-// What PickChain minimises: the cost of `chain`, whose stages must all be
-// among `candidates`.
+// The cost that PickChain minimizes, of `chain`, whose stages must all be among
+// `candidates`.
 double ChainCost(const std::vector<Candidate>& candidates, const Chain& chain,
                  double cross_hall_cost = 0);
 
-// How an endpoint's time for a layer is priced at a load.
+// How an endpoint's layer cost depends on its load.
 struct CostOptions {
-  // The price multiplies by this for each time that the endpoint's backlog
-  // holds the mean one.
+  // The cost is multiplied by this for each mean backlog that the endpoint's
+  // own backlog contains.
   double factor = 64;
-  // Backlog over the mean beyond which the price stops growing.
+  // Ratio of the backlog to the mean beyond which the cost stays the same.
   double max_ratio = 8;
-  // The mean counts as no less than this, in seconds, so that small
-  // differences between idle endpoints do not count.
+  // Lower bound of the mean, in seconds, so that small differences between idle
+  // endpoints do not count.
   double min_mean = 0.010;
 };
 
-// `idle_cost` priced for an endpoint whose backlog is `backlog` seconds (what
-// it would take to run one token of each stream in its care) where the mean
-// over all candidates is `mean`.
+// The cost of a layer for an endpoint that needs `idle_cost` without load and
+// has a backlog of `backlog` seconds (the time to run one token of each of its
+// streams), where `mean` is the mean backlog of all candidates.
 double LoadedLayerCost(double idle_cost, double backlog, double mean,
                        const CostOptions& options);
 
--- a/pinford/endpoint.h
+++ b/pinford/endpoint.h
@@ -1,4 +1,5 @@
-// What is known of an endpoint: the platform's list and its own report.
+// What is known of an endpoint: its row in the platform's list and its own load
+// report.
 
 #ifndef PINFORD_ENDPOINT_H_
 #define PINFORD_ENDPOINT_H_
@@ -34,36 +35,35 @@
   Address address;
   std::string hall;
   ListedState state = ListedState::kLive;
-  // Grows each time the endpoint starts anew under the same name.
+  // Grows each time the endpoint restarts under the same name.
   uint64_t incarnation = 0;
-  // Of a runner: refuses orders whose fencing token is lower than one it saw.
+  // Of a runner: it refuses orders whose fencing token is lower than one it has
+  // seen.
   bool checks_fence = false;
 };
 
-// Reads the platform's list. Rows that cannot be read are left out and
-// counted in `bad_rows`; nothing at all means the text is not a list.
+// Parses the platform's list. Skips invalid rows and counts them in `bad_rows`;
+// returns nothing if the text is not a list.
 std::optional<std::vector<ListedEndpoint>> ParseEndpointList(
     std::string_view json, int* bad_rows);
 std::string WriteEndpointList(const std::vector<ListedEndpoint>& list);
 
-// An endpoint's own report of its load. It is late by the time it is read.
+// An endpoint's own report of its load. It is stale by the time it is read.
 struct LoadReport {
   uint64_t incarnation = 0;
   bool leaving = false;
-  int running = 0;  // streams or calls in its care
-  int work = 0;     // the layers it runs for them, in all; of a call, 1
-  int slots = 1;    // how many it is made for
-  // Of a runner.
+  int running = 0;  // streams or calls in progress
+  int work = 0;     // layers that it runs for them, in total; 1 for a call
+  int slots = 1;    // streams or calls that it is configured for
+  // Only for runners.
   std::string model;
   std::string version;
   int layers = 0;  // of the whole model
   LayerRange holds;
-  double layer_seconds = 0;  // idle, one layer of one position
-  // To read one token of a prompt in one layer, at the pace of full passes; 0
-  // if that is not known.
+  double layer_seconds = 0;  // without load, one layer of one position
+  // Prefill of one token in one layer, in passes of full size; 0 if unknown.
   double read_seconds = 0;
-  // Work that fits into its memory, as EndpointTable counts it; 0 if that is
-  // not known.
+  // Work that fits into its memory, in EndpointTable's units; 0 if unknown.
   double room = 0;
 };
 
--- a/pinford/endpoint_choice.cc
+++ b/pinford/endpoint_choice.cc
@@ -1,6 +1,6 @@
-// EndpointTable's part in choosing: which rows together hold a model, which are
-// better for a request, what is free of a model. What each row tells of itself
-// is in endpoint_table.cc.
+// The part of EndpointTable that chooses: which rows together hold a model,
+// which suit a request best, and what capacity a model has left. The estimates
+// for single rows are in endpoint_table.cc.
 
 #include <algorithm>
 #include <cmath>
@@ -173,7 +173,8 @@
       backing_off.push_back(&row);
     }
   }
-  // One that failed of late may do; nobody at all does not.
+  // An endpoint that failed recently may work; with none the call fails for
+  // certain.
   if (usable.empty()) usable = std::move(backing_off);
   if (usable.empty()) return std::nullopt;
   std::uniform_int_distribution<size_t> any(0, usable.size() - 1);
@@ -183,7 +184,7 @@
   return least->listed.name;
 }
 
-// The least, over the layers of `model`, of the sum of slots_of(row) over the
+// The minimum, over the layers of `model`, of the sum of slots_of(row) over the
 // runners that hold the layer.
 template <typename SlotsOf>
 double EndpointTable::LeastOverLayers(Time now, const std::string& model,
@@ -236,8 +237,8 @@
   for (const auto& [name, row] : rows_) {
     if (!row.report || row.report->layers == 0) continue;
     if (!IsRunnerOf(now, row, model, row.report->version)) continue;
-    // An endpoint that holds a part of the layers carries as much of each
-    // stream.
+    // An endpoint that holds a fraction of the layers carries that fraction of
+    // each stream.
     const double part =
         static_cast<double>(row.report->holds.size()) / row.report->layers;
     halls[row.listed.hall].capacity += part * row.report->slots;
--- a/pinford/endpoint_rests.cc
+++ b/pinford/endpoint_rests.cc
@@ -14,7 +14,7 @@
 
 Duration EndpointBackoffs::Remaining(Time now,
                                      const std::string& endpoint) const {
-  // The usual case: this is asked for each endpoint at each choice.
+  // The usual case; this is called for each endpoint at each choice.
   if (until_.empty()) return Duration(0);
   const auto it = until_.find(endpoint);
   return it != until_.end() ? std::max(Duration(0), it->second - now)
--- a/pinford/endpoint_rests.h
+++ b/pinford/endpoint_rests.h
@@ -1,16 +1,18 @@
-// Until when endpoints want nothing from this box.
+// Backoffs that endpoints requested from this box.
 //
-// An endpoint that turns a request away may ask for rest: no more from this box
-// for so many seconds. That is its own word, and stronger than anything that
-// the box knows of it: what it would have room for, that it answers, that it
-// has just finished another request. So a rest is kept apart from the rows of
-// EndpointTable, which come and go with the list, begin anew with each life and
-// are put right by successes. It ends with its time alone.
+// An endpoint that refuses a request may request a backoff: no more requests
+// from this box for some seconds. It takes precedence over everything that the
+// box estimates: free memory, that the endpoint responds, that it has just
+// finished another request. So backoffs are kept apart from the rows of
+// EndpointTable, which come and go with the list, are reset by each new
+// incarnation and are corrected by successes. A backoff ends only when its time
+// is over.
 //
-//   rests.OnRequested(now, "a", seconds(3));
-//   if (rests.Left(now, "a") > Duration(0)) ...  // not to be sent to
+//     backoffs.OnRequested(now, "a", seconds(3));
+//     if (backoffs.Remaining(now, "a") > Duration(0)) ...  // do not send
 //
-// Rests are this box's own: an endpoint asks the one that it turned away.
+// Backoffs are local to this box: an endpoint requests one from the box that it
+// refused.
 
 #ifndef PINFORD_ENDPOINT_RESTS_H_
 #define PINFORD_ENDPOINT_RESTS_H_
@@ -24,20 +26,21 @@
 
 class EndpointBackoffs {
  public:
-  // More is not believed: a damaged figure must not take an endpoint away for
-  // good. One request then finds out whether it still holds.
+  // Longer requests are cut to this: a corrupt value must not exclude an
+  // endpoint for good. After it, one request finds out whether the endpoint
+  // still refuses.
   static constexpr Duration kMaxBackoff = seconds(600);
 
-  // The endpoint's answer, read at `now`, asks for `rest`. Of two rests that
-  // overlap the one that ends last holds: answers overtake one another.
+  // The endpoint's answer, read at `now`, requests `backoff`. Of overlapping
+  // backoffs the one that ends last counts, as answers can arrive out of order.
   void OnRequested(Time now, const std::string& endpoint, Duration backoff);
-  // What is left of its rest; 0 when there is none.
+  // What remains of its backoff; 0 if there is none.
   Duration Remaining(Time now, const std::string& endpoint) const;
-  // Endpoints that rest now.
+  // Number of endpoints in a backoff now.
   size_t Count(Time now) const;
 
  private:
-  // Those that rest, and those whose rest has ended since the last OnRequested.
+  // Present backoffs, and those that ended since the last OnRequested.
   std::unordered_map<std::string, Time> until_;
 };
 
--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -1,6 +1,6 @@
-// Rows are kept by name. A row that falls out of the list stays while this
-// box still has work there, because streams finish on endpoints that are
-// leaving; it takes no new work meanwhile.
+// Rows are kept by name. A row that is no longer listed stays while this box
+// still has work there, because streams finish on endpoints that are leaving.
+// It takes no new work meanwhile.
 
 #include "pinford/endpoint_table.h"
 
@@ -114,9 +114,9 @@
   return row != nullptr ? row->restarted : Time{};
 }
 
-// Which life a stream was on is not kept: those of lives that are over break
-// off, and count as the first to end. What that mistakes is made up for with
-// the last of them.
+// The incarnation that a stream ran on is not recorded. Streams of earlier
+// incarnations break, so they are counted as the first to end; any error is
+// corrected with the last of them.
 void EndpointTable::EndOrphaned(int work, Row* row) {
   row->orphaned.work -= work;
   if (--row->orphaned.streams > 0) return;
@@ -203,8 +203,8 @@
   queued_transfer_tokens_ = std::max(0.0, queued_transfer_tokens_ - tokens);
 }
 
-// Seconds for one token, the links' load counted. Each pair of halls has a link
-// of its own; what crosses is taken to spread over them.
+// Seconds for one token at the links' present load. Each pair of halls has its
+// own link; transfers are assumed to spread evenly over them.
 double EndpointTable::TransferCost(Time now, int halls) const {
   constexpr double kMinIdle = 0.01;
   const Duration span = options_.load_window;
@@ -233,12 +233,12 @@
   Row* row = Find(name);
   if (row == nullptr || sent < row->restarted) return;
   row->failed = now;
-  // What was sent under the last deadline says nothing of the present one.
+  // A step sent under the previous deadline says nothing about the present one.
   if (sent >= row->deadline_doubled) {
     row->deadline.BackOff();
     row->deadline_doubled = now;
   }
-  // Streams that share an endpoint fail together; that is one failure.
+  // Streams that share an endpoint fail together and count as one failure.
   if (now < row->backoff_until) return;
   constexpr int kMaxDoublings = 10;
   Duration backoff =
@@ -265,9 +265,9 @@
   if (Row* row = Find(name)) row->full_until = now + options_.full_rest;
 }
 
-// What the endpoint asked for goes before what this box guesses, and holds
-// whatever else is learned of it: boxes that go by the guess alone come back
-// long before that rest is over.
+// The backoff that the endpoint requested takes precedence over this box's own
+// estimates and holds whatever else is learned about it: boxes that used the
+// estimates alone returned long before that backoff ended.
 bool EndpointTable::IsBackingOff(Time now, const Row& row) const {
   return now < row.full_until ||
          backoffs_.Remaining(now, row.listed.name) > Duration(0);
@@ -330,7 +330,7 @@
 double EndpointTable::LoadOf(const Row& row) {
   const int reported = row.report ? row.report->running : 0;
   const int others = std::max(reported - row.own_at_report, 0);
-  // Peers tell work; what a stream takes of it is known from the report.
+  // Peers report work; the work of one stream is known from the load report.
   const double per_stream =
       reported > 0
           ? std::max(1.0, static_cast<double>(row.report->work) / reported)
--- a/pinford/endpoint_table.h
+++ b/pinford/endpoint_table.h
@@ -1,39 +1,39 @@
-// All endpoints a box knows of, how loaded each is likely to be, and which may
+// The endpoints that a box knows, their estimated load, and which of them may
 // be given new work.
 //
-// Three sources disagree, each late in its own way: the platform's list lags,
-// load reports lag, and peers' counts lag. The rules are:
+// The inputs are all stale, each by a different delay: the platform's list, the
+// endpoints' load reports and the peers' counts. The rules are:
 //
-//   - New work goes to an endpoint that the list shows live, that has reported
-//     of late, that has neither refused as leaving nor said so in its report,
-//     and that is not resting after a failure.
-//   - An endpoint that has asked this box for rest gets nothing until it is
-//     over, not even where nobody else can serve (endpoint_rests.h).
-//   - That an endpoint leaves is believed from whoever says it first (list,
-//     report, refusal, peer) for that incarnation and for good: only a higher
-//     incarnation takes new work again.
-//   - Load is what this box has there now, plus what others have there. The
-//     latter is what peers gossip, or without that what the last report showed
-//     beyond this box's own part at that time; and because all of it is late,
-//     what others have placed since is taken to be, box for box, what this one
-//     has. Boxes that see the same state choose alike, so each is the best
-//     guess at the rest; without this they all herd onto the endpoint that
-//     last looked idle (measured in docs/MEASUREMENTS.md).
-//   - An endpoint whose room is known is priced by the part of it that is
-//     taken (runner_price.h), and left out when it is full.
-//   - The first stage of a chain holds a request's place among the engine's
-//     slots until it ends; beyond them requests wait there, however idle the
-//     engine is. So the first stage has a price by the slots that are taken,
-//     and endpoints without a free one are no first stage. Without this a hall
-//     whose chains all begin at one endpoint of 192 slots kept new streams
-//     waiting there for 0.6 to 1.6 s with 200 to 250 of them under way.
-//   - What such an engine can read of new prompts is bounded too, and what
-//     exceeds it makes all first tokens late. How much others send there is
-//     known too late to act on, so each box keeps an account of its own prompts
-//     and takes all boxes to send alike: if each spreads its own evenly, so is
-//     the whole. The links between halls, which are slow, are priced likewise:
-//     without that, full runners drive chains across halls, the links fill, and
-//     all that crosses them stands still.
+// - New work goes to an endpoint that is listed as live, has reported recently,
+//   has not announced that it is leaving (by a refusal or in its report), and
+//   is not backing off after a failure.
+// - An endpoint that requested a backoff from this box gets nothing until the
+//   backoff ends, not even as a last resort (endpoint_rests.h).
+// - The first notice that an endpoint is leaving counts, whatever its source
+//   (list, report, refusal, peer), and holds for that incarnation permanently.
+//   Only a higher incarnation takes new work again.
+// - Load is what this box has on the endpoint plus what the peers have there.
+//   The peers' part comes from gossip, or without that from the last report
+//   less this box's own part at that time. As this is stale, each peer is
+//   assumed to have placed as much since then as this box did. Boxes that see
+//   the same state choose alike, so a box's own placement is the best estimate
+//   of the others'. Without this they all pick the endpoint that last looked
+//   idle (measured in docs/MEASUREMENTS.md).
+// - An endpoint whose memory capacity is known is costed by the fraction in use
+//   (runner_price.h) and is excluded when full.
+// - A request occupies one of the engine's slots on its first stage until it
+//   ends. Requests beyond the slots queue there, however idle the engine is. So
+//   first stages have a cost that depends on the slots in use, and endpoints
+//   without a free slot are not picked as first stage. Without this a hall
+//   whose chains all started at one endpoint of 192 slots delayed new streams
+//   there by 0.6 to 1.6 s with 200 to 250 of them in progress.
+// - An engine's prefill rate is limited too, and an overloaded engine delays
+//   all first tokens. What the peers send becomes known too late to act on, so
+//   each box estimates the prefill load from its own prompts and assumes that
+//   all boxes send alike: if each spreads its own prompts evenly, the total is
+//   even. The slow links between halls are costed the same way. Without that,
+//   full runners push chains across halls until the links saturate and all
+//   streams that cross them stall.
 
 #ifndef PINFORD_ENDPOINT_TABLE_H_
 #define PINFORD_ENDPOINT_TABLE_H_
@@ -59,39 +59,40 @@
 
 namespace pinford {
 
-// (endpoint, incarnation): says that this incarnation is leaving.
+// (endpoint, incarnation): this incarnation is leaving.
 using LeavingMark = std::pair<std::string, uint64_t>;
 
 class EndpointTable {
  public:
   struct Options {
-    Duration report_valid = seconds(5);  // a report older than this is none
+    Duration report_valid = seconds(5);  // older reports are ignored
     Duration backoff = seconds(1);       // after a failure, doubled each time
     Duration max_backoff = seconds(30);
-    double handoff_seconds = 0.0005;    // inside a hall, one hand-over
+    double handoff_seconds = 0.0005;    // one handoff inside a hall
     double other_hall_seconds = 0.002;  // between halls, until measured
-    // Endpoints hand over to one another, so that what counts is whether two
-    // neighbours share a hall; else each hand-over goes by this box.
+    // Endpoints hand off to one another, so a handoff's cost depends on whether
+    // the two stages share a hall. Otherwise each handoff goes through this
+    // box.
     bool hand_over_directly = false;
-    // Part of an endpoint's room beyond which it gets no more. All of it, since
-    // a request counts with its whole answer from its start, and what runners
-    // say corrects the account: below, runners stood at 57 in 100 of their
-    // memory while requests were refused for want of room.
+    // Fraction of an endpoint's memory beyond which it gets no more work. It is
+    // 1 because a request counts with its whole answer from its start, and
+    // runners' reports correct the estimate: with less, runners stood at 57% of
+    // their memory while requests were refused for lack of memory.
     double max_memory_utilization = 1.0;
-    // How long an endpoint that refused work as full is left alone, if it does
-    // not ask for more. What is there ends within seconds.
+    // Backoff after an endpoint refused work as full, unless it requests a
+    // longer one. Its present requests end within seconds.
     Duration full_rest = milliseconds(300);
-    // Over how long prompts sent are counted against what an endpoint can
-    // read. Shorter than the bursts that callers make, long enough for a box
-    // to have sent several prompts.
+    // Time constant over which prompts sent count as prefill load. Shorter than
+    // the bursts that callers make, long enough for a box to have sent several
+    // prompts.
     Duration load_window = milliseconds(2000);
-    // How long what an endpoint said counts against the account. What it has
-    // beyond what living boxes sent there (their boxes were killed, or this one
-    // has just started) ends within seconds; so do counts of boxes that are
-    // gone or cut off, which made the account 94 in 100 where the runner
-    // had 57.
+    // Time constant with which an endpoint's reported load decays from the
+    // estimate. Load beyond what live boxes sent there (from boxes that were
+    // killed, or from before this one started) ends within seconds. So do stale
+    // counts of boxes that were removed or partitioned, which raised the
+    // estimate to 94% where the runner had 57%.
     Duration unattributed_decay = milliseconds(2000);
-    // Random part of a price, as a part of the mean backlog.
+    // Random part of a cost, as a fraction of the mean backlog.
     double jitter = 0.02;
     CostOptions cost;
     StepDeadline::Options deadline;
@@ -100,129 +101,132 @@
 
   EndpointTable(std::string hall, const Options& options, Random random);
 
-  // Sources.
+  // Updates from the list, the endpoints and the peers.
   void OnList(const std::vector<ListedEndpoint>& list);
-  // One of its entries, new or changed, or one that is listed no more; the
-  // others stay as they are.
+  // Adds or updates one listed endpoint, or marks one as unlisted; the others
+  // are unchanged.
   void OnListed(const ListedEndpoint& listed);
   void OnUnlisted(const std::string& name);
   void OnReport(Time now, const std::string& name, const LoadReport& report);
-  // The endpoint refused work because it is leaving, or a peer says so.
-  // True if that is news.
+  // The endpoint refused work because it is leaving, or a peer announced it.
+  // Returns true if this was not known.
   bool OnLeaving(const std::string& name, uint64_t incarnation);
-  bool OnLeaving(const std::string& name);  // of its present incarnation
-  // It has started anew under the same name: what was known of it, counted
-  // there and reported is of a life that is over. What was sent to that life
-  // is lost; Done and Failure of it count no more.
+  bool OnLeaving(const std::string& name);  // its present incarnation
+  // The endpoint restarted under the same name. Drops what was known, counted
+  // and reported of the earlier incarnation. Work sent to it is lost; later
+  // OnDone and OnFailure calls for that work are ignored.
   void OnNewLife(Time now, const std::string& name);
-  // The endpoint does not answer, or does again.
+  // Marks the endpoint as not responding, or as responding again.
   void SetDown(const std::string& name, bool down);
-  // It takes so many times as long as it should.
+  // Sets how many times slower than nominal the endpoint runs.
   void SetPace(const std::string& name, double pace);
-  // The endpoint refused work because it has no room.
+  // The endpoint refused work because its memory is full.
   void OnFull(Time now, const std::string& name);
-  // The endpoint wants nothing from this box for so long.
+  // The endpoint requested that this box send it nothing for `backoff`.
   void OnRestAsked(Time now, const std::string& name, Duration backoff) {
     backoffs_.OnRequested(now, name, backoff);
   }
-  // The endpoint does not hold what its last report said: that report counts
-  // no more.
+  // The endpoint does not hold what its last report said; ignores that report.
   void OnReportWrong(const std::string& name);
-  // How many other boxes place work as this one does.
+  // Number of other boxes that place work as this one does.
   void set_peer_boxes(int n) { peer_boxes_ = n; }
-  // How many boxes, this one among them, send prompts as this one does.
+  // Number of boxes, including this one, that send prompts as this one does.
   void set_boxes(int n) { boxes_ = n; }
-  // What events take of the pauses that callers allow (SpeedWeight).
+  // The time between two events as a fraction of the pause that callers allow
+  // (SpeedWeight).
   void set_gap_share(double share) { gap_share_ = share; }
-  // What peers have on each endpoint, all boxes but this one; nothing on those
-  // that are not named. One walk over the rows.
+  // Sets what all other boxes together have on each endpoint; zero where an
+  // endpoint is not in `counts`. Linear in the rows.
   void OnPeerCounts(const PeerCounts& counts);
-  // What a runner says it has: work in its memory, and requests whose first
-  // stage it is. It counts what no living box knows of, too.
+  // A runner's own figures: work in its memory, and requests that have their
+  // first stage there. They include load that no live box knows of.
   void OnObserved(Time now, const std::string& name, double work, int entries);
 
-  // What this box has there: a stream that runs `work` layers, or a call.
-  // Where room is known, a layer counts for each thousand tokens of a stream.
-  // Sent before the first byte, Done at the end.
+  // Counts this box's work on an endpoint: a stream that runs `work` layers, or
+  // a call. Where the memory capacity is known, a layer counts once per
+  // thousand tokens of a stream. Call OnSent before the first byte and OnDone
+  // at the end.
   void OnSent(const std::string& name, int work = 1);
   void OnDone(const std::string& name, int work = 1);
-  // A request begins, or ends, to have its first stage there.
+  // A request starts, or stops, using a first-stage slot there.
   void OnEntry(const std::string& name);
   void OnEntryDone(const std::string& name);
-  // `tokens` of a prompt, times the layers that read them, are sent there.
+  // Counts prefill work sent there: `tokens` of a prompt times the layers.
   void OnPrompt(Time now, const std::string& name, double tokens);
-  // Those of a prompt wait there to be read; they have been, or will not be.
+  // Prefill work is queued there; it has been run, or will not be.
   void OnWaiting(const std::string& name, double tokens);
   void OnWaitingDone(const std::string& name, double tokens);
-  // Seconds that a token takes of the link between two halls; 0 if unknown.
+  // Link seconds for one token between two halls; 0 if unknown.
   void set_crossing_seconds(double s) { crossing_seconds_ = s; }
-  // `tokens` are sent that pass from one hall to another.
+  // `tokens` are sent from one hall to another.
   void OnCrossing(Time now, double tokens);
-  // Those wait to pass; they have passed, or will not.
+  // Tokens are queued for a cross-hall link; they have been transferred, or
+  // will not be.
   void OnCrossingWaiting(double tokens) { queued_transfer_tokens_ += tokens; }
   void OnCrossingDone(double tokens);
   // Results of single steps and calls.
   void OnSuccess(const std::string& name, double work, Duration took);
-  // `sent` is when the step or call that failed was sent.
+  // `sent` is when the failed step or call was sent.
   void OnFailure(Time now, const std::string& name, Time sent);
 
   bool TakesNewWork(Time now, const std::string& name) const;
-  // Whether work may be sent there, at need too: it is up, and is not left
-  // alone because it refused. To be asked again right before the first byte: a
-  // connection takes up to hundreds of milliseconds to make.
+  // Whether work may be sent there, if only as a last resort: it is up and not
+  // backing off after a refusal. Check again right before the first byte, as
+  // connecting can take hundreds of milliseconds.
   bool MaySend(Time now, const std::string& name) const;
-  // What is left of the rest that it asked for.
+  // The remaining part of the backoff that the endpoint requested.
   Duration RestLeft(Time now, const std::string& name) const {
     return backoffs_.Remaining(now, name);
   }
-  // Endpoints that rest because they asked to.
+  // Number of endpoints in a backoff that they requested.
   size_t Resting(Time now) const { return backoffs_.Count(now); }
   // Whether its present incarnation is known to be leaving.
   bool IsLeaving(const std::string& name) const;
-  // Its present incarnation; 0 if it is not known.
+  // Its present incarnation; 0 if unknown.
   uint64_t IncarnationOf(const std::string& name) const;
-  // When it was seen to have started anew; Time{} if never.
+  // When its last restart was seen; Time{} if never.
   Time LifeBegun(const std::string& name) const;
   Duration DeadlineFor(const std::string& name, double work) const;
   std::optional<Address> AddressOf(const std::string& name) const;
-  // "" if it is not known.
+  // "" if unknown.
   const std::string& HallOf(const std::string& name) const;
-  // Seconds that one token of each stream there takes, by all boxes.
+  // Seconds to run one token of each stream there, over all boxes.
   double BacklogOf(const std::string& name) const;
-  // Part of its time that goes to reading prompts, by all boxes; over 1 when
-  // more is sent than it can read.
+  // Fraction of its time that goes to prefill, over all boxes; over 1 when more
+  // is sent than it can run.
   double ReadingOf(Time now, const std::string& name) const;
-  // Part of its room that is taken, by all boxes; 0 where none is known.
+  // Fraction of its memory in use, over all boxes; 0 if the capacity is
+  // unknown.
   double TakenOf(Time now, const std::string& name) const;
-  // Seconds that what waits to be read there takes, by all boxes.
+  // Seconds that the prefill work queued there takes, over all boxes.
   double PrefillQueueSecondsOf(const std::string& name) const;
-  // Thousands of tokens of each of its layers there, by all boxes; 0 where no
-  // room is known.
+  // Thousands of tokens in each of its layers, over all boxes; 0 if the memory
+  // capacity is unknown.
   double LayerWorkOf(Time now, const std::string& name) const;
-  // Seconds for a step of `layers` layers there, at its pace.
+  // Seconds for a step of `layers` layers there, at its slowdown if `paced`.
   double StepSecondsOf(const std::string& name, int layers, bool paced) const;
   double crossing_seconds() const { return crossing_seconds_; }
   const MechanismsOff& off() const { return options_.off; }
-  // Streams or calls there, by all boxes.
+  // Streams or calls there, over all boxes.
   double LoadOf(const std::string& name) const;
 
-  // The version of `model` that new requests get: `wanted` if it is not
-  // empty, else the greatest whose runners cover every layer now, those that
-  // rest only if the others do not; numbers in names count as numbers, so v10
-  // is above v9.
-  // Nothing if there is none.
+  // The version of `model` for new requests: `wanted` if it is not empty, else
+  // the highest whose available runners cover every layer. Endpoints that are
+  // backing off count only if the others do not suffice. Numbers in names
+  // compare as numbers, so v10 is above v9. Returns nothing if there is no such
+  // version.
   std::optional<std::string> VersionFor(Time now, const std::string& model,
                                         const std::string& wanted) const;
-  // Layers of that version, 0 if it is not known.
+  // Number of layers of that version; 0 if unknown.
   int LayersOf(const std::string& model, const std::string& version) const;
-  // A chain over `range` of endpoints that take new work, weighed by
-  // `hall_weight` (a greater weight draws more; 0 means never). If those do
-  // not cover the range, endpoints that rest after a failure but have
-  // reported since are taken too: likely slow rather than lost. Nothing if
-  // that does not cover it either.
-  // Endpoints in `avoid` are left out. Endpoints without room for `layer_work`
-  // on each of their layers are left out: one that is overfull drops its newest
-  // work and runs it anew.
+  // Picks a chain over `range` from endpoints that take new work, weighted by
+  // `hall_weight` (a higher weight draws more work, 0 excludes the hall). If
+  // those do not cover the range, endpoints that are backing off after a
+  // failure but have reported since are used too: they are more likely slow
+  // than lost. Returns nothing if these do not cover it either. Excludes
+  // endpoints in `avoid`, and endpoints without free memory for `layer_work` on
+  // each of their layers: an engine that runs out of memory evicts its newest
+  // work and recomputes it.
   using HallWeight = std::function<double(const std::string& hall)>;
   std::optional<Chain> PickChainFor(Time now, const std::string& model,
                                     const std::string& version,
@@ -230,24 +234,24 @@
                                     const HallWeight& hall_weight,
                                     double layer_work = 1,
                                     const std::set<std::string>& avoid = {});
-  // Where a pool is shortest of room: the layer whose emptiest holder has the
-  // greatest part of its room taken, or that nobody holds.
+  // Where a pool has the least free memory: the layer whose least loaded holder
+  // has the highest fraction of its memory in use, or that has no holder.
   struct Shortage {
     int layer = 0;
     int holders = 0;   // that take new work
-    double taken = 1;  // part of the room of the emptiest of them
+    double taken = 1;  // fraction of the memory of the least loaded of them
   };
   Shortage ShortestOf(Time now, const std::string& model,
                       const std::string& version) const;
-  // The less loaded of two random endpoints of `service`, none of `tried`.
+  // The less loaded of two random endpoints of `service`, excluding `tried`.
   std::optional<std::string> PickService(Time now, const std::string& service,
                                          const std::set<std::string>& tried);
 
-  // Streams that a model's runners can hold at once: the least, over all
-  // layers, of the slots of the endpoints that hold the layer. An upper bound
-  // where ranges overlap; refusals as busy correct it.
+  // Streams that a model's runners can hold at once: the minimum over all
+  // layers of the slots of the endpoints that hold the layer. An upper bound
+  // where ranges overlap; busy refusals correct it.
   double StreamSlots(Time now, const std::string& model) const;
-  // The same, less what is estimated to be there already.
+  // The same, less the estimated number of present streams.
   double FreeStreamSlots(Time now, const std::string& model) const;
   // Whether some runner reports `model`.
   bool KnowsModel(const std::string& model) const;
@@ -257,7 +261,7 @@
   std::map<std::string, HallDemand> Halls(Time now,
                                           const std::string& model) const;
 
-  // What this box had on lives that are over, until it is done there too.
+  // Work that this box had on earlier incarnations and has not yet ended.
   struct OrphanedLoad {
     int streams = 0;
     int work = 0;
@@ -268,36 +272,36 @@
     ListedEndpoint listed;
     std::optional<LoadReport> report;
     Time reported{};
-    // What this box has there, and had when the report came.
+    // This box's work there, now and at the time of the last report.
     int own = 0;  // streams or calls
     int own_at_report = 0;
     int own_work = 0;
     int own_work_at_report = 0;
-    int own_work_before = 0;  // when the report before that came
-    int own_entries = 0;      // requests whose first stage it is, of this box
+    int own_work_before = 0;  // at the time of the report before the last
+    int own_entries = 0;  // this box's requests with their first stage there
     PeerCount peers;
-    // What it said it had beyond what was known here, less where negative, and
-    // when.
+    // Reported load beyond what was known here (negative if less), and when it
+    // was reported.
     double unattributed_work = 0;
     int unattributed_entries = 0;
     Time observed{};
-    DecayingSum prefill_load;    // seconds that this box's prompts take to read
-    double queued_tokens = 0;    // of them, what has not been read, tokens
-    std::set<uint64_t> leaving;  // incarnations known to leave
-    int failures = 0;            // in a row
+    DecayingSum prefill_load;    // seconds of prefill that this box sent
+    double queued_tokens = 0;    // the part of it that has not run, in tokens
+    std::set<uint64_t> leaving;  // incarnations known to be leaving
+    int failures = 0;            // consecutive
     Time backoff_until{};
     Time failed{};
     Time full_until{};
     Time deadline_doubled{};  // when its deadline was last doubled
     StepDeadline deadline;
     OrphanedLoad orphaned;
-    Time restarted{};  // when it was seen to have started anew
+    Time restarted{};  // when its last restart was seen
     bool is_listed = true;
-    bool down = false;  // does not answer, though it is listed
-    double pace = 1;    // over 1: slower than it should be
+    bool down = false;  // does not respond, though it is listed
+    double pace = 1;    // times slower than nominal
   };
   const std::map<std::string, Row>& rows() const { return rows_; }
-  // Marks worth telling peers.
+  // Marks to announce to peers.
   std::vector<LeavingMark> LeavingMarks() const;
 
  private:
@@ -305,20 +309,20 @@
   static void EndOrphaned(int work, Row* row);
   Row* Find(const std::string& name);
   const Row* Find(const std::string& name) const;
-  // Whether nothing of the row is of use any more.
+  // Whether the row can be erased.
   static bool IsObsolete(const Row& row);
-  // That a row speaks of: its report may be ahead of the list.
+  // The incarnation that a row refers to; its report may be ahead of the list.
   static uint64_t IncarnationOf(const Row& row);
-  // Its present incarnation is known to be leaving.
+  // Whether its present incarnation is known to be leaving.
   static bool IsLeaving(const Row& row);
-  // Listed, and not known to be leaving.
+  // Listed, responding, and not known to be leaving.
   static bool IsUp(const Row& row);
-  // It has refused work, and is not to be sent to for a while.
+  // Whether it refused work and must not be sent any for now.
   bool IsBackingOff(Time now, const Row& row) const;
   bool MaySend(Time now, const Row& row) const;
   bool TakesNewWork(Time now, const Row& row) const;
   bool TakesWorkAsLastResort(Time now, const Row& row) const;
-  // The greatest version that the rows of `takes` hold every layer of.
+  // The highest version of which the rows accepted by `takes` hold every layer.
   std::optional<std::string> CompleteVersion(
       const std::string& model, const std::string& wanted,
       const std::function<bool(const Row&)>& takes) const;
@@ -326,14 +330,14 @@
                                  const LayerRange& range,
                                  const HallWeight& hall_weight);
   double WorkOf(const Row& row) const;
-  // Part of what was observed beyond what was known that is likely left.
+  // The part of the unattributed load that is estimated to remain.
   double UnattributedFraction(Time now, const Row& row) const;
   double MemoryUsedOf(Time now, const Row& row) const;
   double TakenOf(Time now, const Row& row) const;
   double ReadingOf(Time now, const Row& row) const;
   double PrefillQueueSecondsOf(const Row& row) const;
   bool HasMemoryFor(Time now, const Row& row, double layer_work) const;
-  // What prices of a pick are taken against: means over its candidates.
+  // Means over the candidates of a pick, to which their costs relate.
   struct Means {
     double backlog = 0;        // seconds
     double layer_seconds = 0;  // of a runner without load
@@ -355,10 +359,10 @@
   int boxes_ = 1;
   double gap_share_ = 0;
   double crossing_seconds_ = 0;
-  double queued_transfer_tokens_ =
-      0;  // tokens of this box that have not crossed
-  DecayingSum
-      transfer_load_;  // seconds that this box's tokens take of the links
+  // Tokens of this box still waiting for a cross-hall link.
+  double queued_transfer_tokens_ = 0;
+  // Link seconds needed by the tokens that this box sent across halls.
+  DecayingSum transfer_load_;
   Options options_;
   Random random_;
   std::map<std::string, Row> rows_;
--- a/pinford/gossip.h
+++ b/pinford/gossip.h
@@ -1,8 +1,9 @@
-// Keeps a box in touch with its peers: sends its digests when they are due,
-// takes theirs in, fetches rows of members that it does not know, and says
-// who joined, leaves or was lost.
+// Exchanges membership state with the peers: sends this box's digests when they
+// are due, applies the peers' digests, fetches the rows of unknown members, and
+// reports members that joined, are leaving or were lost.
 //
-// What is told and believed is Membership's; the bytes are PeerLink's.
+// Membership decides what is sent and believed; PeerLink encodes and transports
+// it.
 
 #ifndef PINFORD_GOSSIP_H_
 #define PINFORD_GOSSIP_H_
@@ -20,18 +21,19 @@
 class Gossip {
  public:
   struct Handlers {
-    // Before this box's state is sent: bring it up to date.
+    // Called before this box's state is sent, to bring it up to date.
     std::function<void()> refresh;
-    // The time that a digest is stamped with.
+    // Returns the timestamp of a digest.
     std::function<HybridTime()> time;
-    // After membership has taken a digest in.
+    // Called after membership has applied a digest.
     std::function<void(const Digest&)> on_digest;
-    // A peer says that runners are down; a box that drives none passes it over.
+    // A peer reports that runners are down. Boxes that use no runners ignore
+    // it.
     std::function<void(const DownNote&)> on_down;
-    // A peer asks for retries: what it is lent, if anything.
+    // A peer asks for retries; returns what it is lent, if anything.
     std::function<std::optional<RetryLoan>(const RetryAsk&)> on_retry_ask;
     std::function<void(const RetryLoan&)> on_retry_loan;
-    // Of everything but the members, which Gossip answers itself.
+    // Answers fetches other than for members, which Gossip answers itself.
     std::function<FetchReply(const FetchRequest&)> on_fetch;
     std::function<void(const std::string& box, MemberChange)> on_member;
   };
@@ -39,17 +41,16 @@
   Gossip(EventLoop* loop, Membership* membership, const std::string& peer_key,
          Handlers handlers);
 
-  // False, with errno set, if the address cannot be listened on.
+  // Returns false, with errno set, if it cannot listen on the address.
   bool Listen(const Address& address) { return link_.Listen(address); }
   void Start();
-  // Tells the peers at once what cannot wait.
+  // Sends urgent state to the peers at once.
   void Announce();
-  // Tells `peers` live members, any of them.
+  // Sends `note` to `peers` random live members.
   void Tell(const DownNote& note, size_t peers);
-  // Sends each of these to another live member, any of them.
+  // Sends each of `asks` to a different random live member.
   void Ask(std::vector<RetryAsk> asks);
-  // Notices members that were lost, and asks for those that are not known.
-  // Call it often.
+  // Detects lost members and fetches unknown ones. Call it often.
   void Tick();
 
   PeerLink* link() { return &link_; }
--- a/pinford/hall_planner.h
+++ b/pinford/hall_planner.h
@@ -1,22 +1,22 @@
-// Plans one hall's placement and gives the orders for it.
+// Plans one hall's placement and issues the orders for it.
 //
 // One box of a hall plans at a time: the holder of a lease in the platform's
-// service, whose token grows with every new holder. What the holder decides
-// is written first, by compare-and-swap, as the hall's plan; orders come from
+// service, whose token grows with every new holder. The holder first writes its
+// decision, by compare-and-swap, as the hall's plan. Orders are derived from
 // the written plan only, and carry its token and number.
 //
-// A holder may be paused and wake up believing that it still holds the lease.
-// Then:
-//   - its plan cannot be written: the stored one bears a higher token;
-//   - its orders are refused by runners that check the token;
-//   - before an order to a runner that does not check, the lease is renewed,
-//     and its remaining time, counted from before the renewal was sent, must
-//     exceed the order's time limit. An order that slips through all the same
-//     (held up on its way for longer than its limit) is put right by the next
-//     round, since orders tell a state and are given until reports agree.
+// A holder may be paused and resume in the belief that it still holds the
+// lease. Then:
+// - its plan cannot be written, as the stored one has a higher token;
+// - its orders are refused by runners that check the token;
+// - before an order to a runner that does not check, the lease is renewed, and
+//   its remaining time, counted from before the renewal was sent, must exceed
+//   the order's time limit. An order that still arrives late (delayed in
+//   transit for longer than its limit) is corrected in the next round, since
+//   orders state the desired holding and are repeated until reports agree.
 //
-// Loads are spaced so that weights are never asked for faster than the weight
-// store gives them, over a change of holders too: a new holder waits for one
+// Loads are spaced so that weights are never requested faster than the weight
+// store serves them, across a change of holders too: a new holder waits for one
 // spacing before its first load.
 
 #ifndef PINFORD_HALL_PLANNER_H_
@@ -42,10 +42,10 @@
   Duration round = seconds(1);
   Duration order_limit = seconds(2);
   Duration load_spacing = seconds(10);   // from the weight store's rate
-  Duration move_cooldown = seconds(60);  // of a runner that was moved
+  Duration move_cooldown = seconds(60);  // of a runner after a move
 };
 
-// What the planner asks of its box.
+// The planner's inputs from its box.
 struct HallView {
   std::vector<PlannedRunner> runners;
   std::map<std::string, bool> checks_fence;  // by runner
@@ -55,7 +55,7 @@
 struct HallPlannerEvents {
   std::function<HallView()> view;
   std::function<bool()> on_duty;                 // whether to try for the lease
-  std::function<void(uint64_t token)> on_lease;  // 0: lost
+  std::function<void(uint64_t token)> on_lease;  // 0 if lost
   std::function<void(const std::string& runner, const Order&)> on_order;
 };
 
@@ -93,7 +93,7 @@
       ScheduleRound();
       return;
     }
-    // A renewal is a write, of which the store has few.
+    // A renewal is a write, and the store supports few writes.
     if (lease_.left() > options_.lease / 2) {
       ReadPlan();
       return;
@@ -121,7 +121,7 @@
         if (parsed) plan = std::move(*parsed);
       }
       if (plan.token > lease_.token()) {
-        // Another has planned since: this lease is of the past.
+        // Another box has planned since; this lease is no longer valid.
         lease_.Forget();
         ScheduleRound();
         return;
@@ -142,8 +142,9 @@
     next.number = plan.number + 1;
     store_->CompareAndSwap(plan_key_, revision, WritePlan(next),
                            [this, view, next](const StoreResult& r) {
-                             // Only what is known to be written is carried out;
-                             // the next round reads whatever is there.
+                             // Only a plan that is known to be written is
+                             // carried out. The next round reads the stored
+                             // plan in any case.
                              if (r.status == StoreStatus::kOk) {
                                IssueNextOrder(view, next);
                              } else {
@@ -152,7 +153,7 @@
                            });
   }
 
-  // Adds the next move, and forgets runners that are gone.
+  // Adds the next move, and erases runners that were removed.
   void UpdatePlan(const HallView& view, PlacementPlan* plan) const {
     std::vector<PlannedRunner> runners = view.runners;
     std::map<std::string, Holding> kept;
@@ -176,7 +177,7 @@
 
   // --- the orders ----------------------------------------------------------
 
-  // Gives the next order that the plan asks for, if one is due.
+  // Issues the next order that the plan requires, if one is due.
   void IssueNextOrder(const HallView& view, const PlacementPlan& plan) {
     for (const PlannedRunner& r : view.runners) {
       auto planned = plan.holdings.find(r.name);
--- a/pinford/lease_holder.h
+++ b/pinford/lease_holder.h
@@ -1,10 +1,10 @@
-// Holds one lease of the store's, or tries for it.
+// Holds one lease of the store, or tries to acquire it.
 //
-// A lease counts only until its last known end: the moment before the call
-// that renewed it was sent, plus its duration. A holder that was paused, or
-// that gets no answers, stops counting as one by itself, without a word from
-// the store. The token grows with each new holder and fences off the one
-// before.
+// A lease counts only until its last known end: the time just before the
+// renewing call was sent, plus the lease's duration. A holder that was paused,
+// or that gets no answers, stops holding the lease by itself, without any
+// message from the store. The token grows with each new holder and fences off
+// the previous one.
 
 #ifndef PINFORD_LEASE_HOLDER_H_
 #define PINFORD_LEASE_HOLDER_H_
@@ -22,7 +22,7 @@
 template <Store S, Clock Clk>
 class LeaseHolder {
  public:
-  // `on_token` is told of each new token, and of 0 when the lease is lost.
+  // `on_token` receives each new token, and 0 when the lease is lost.
   LeaseHolder(S* store, Clk* clock, std::string key, std::string holder,
               Duration lease, std::function<void(uint64_t)> on_token)
       : store_(store),
@@ -32,7 +32,7 @@
         lease_(lease),
         on_token_(std::move(on_token)) {}
 
-  // Takes or renews the lease; `then` is told whether it is held now.
+  // Acquires or renews the lease; `then` receives whether it is held now.
   void Renew(std::function<void(bool)> then) {
     const Time sent = clock_->now();
     store_->AcquireLease(key_, holder_, lease_,
@@ -44,15 +44,15 @@
                          });
   }
 
-  // The token while the lease is held for sure, else 0.
+  // The token while the lease is certain to be held, else 0.
   uint64_t token() const { return held() ? token_ : 0; }
   bool held() const { return token_ != 0 && clock_->now() < held_until_; }
-  // How long it is held for sure.
+  // How long the lease is certain to be held.
   Duration left() const {
     return held() ? held_until_ - clock_->now() : Duration(0);
   }
-  // Another has been seen at work under a higher token, or the store has lost
-  // what it acknowledged. A renewal that is under way counts no more.
+  // Abandons the lease: another holder has acted under a higher token, or the
+  // store has lost acknowledged writes. A renewal in progress is ignored.
   void Forget() {
     abandon_count_++;
     SetToken(0);
@@ -61,7 +61,7 @@
  private:
   void OnReply(Time sent, const StoreResult& r) {
     if (r.status != StoreStatus::kOk) {
-      // Without a reply the lease may have been renewed or not.
+      // Without a reply it is unknown whether the lease was renewed.
       const bool ended = clock_->now() >= held_until_;
       if (r.status == StoreStatus::kConflict || ended) SetToken(0);
       return;
@@ -84,7 +84,7 @@
   Duration lease_;
   std::function<void(uint64_t)> on_token_;
   uint64_t token_ = 0;
-  uint64_t abandon_count_ = 0;  // how often it was
+  uint64_t abandon_count_ = 0;  // counts abandoned leases
   Time held_until_{};
 };
 
--- a/pinford/mechanisms.h
+++ b/pinford/mechanisms.h
@@ -1,8 +1,8 @@
-// The mechanisms by which a forwarding box decides, each of which can be
-// switched off by its settings (`forward.off`), so that what one is worth on a
-// deployment can be measured there. All are on by default. None keeps one of
-// the promises: with any of them off fewer requests are served, or later, and
-// none wrongly.
+// The mechanisms that a forwarding box uses for its decisions. Each can be
+// disabled in the settings (`forward.off`), so that its effect on a deployment
+// can be measured there. All are enabled by default. None of them is needed for
+// correctness: without one, fewer requests are served, or later, but none
+// wrongly.
 
 #ifndef PINFORD_MECHANISMS_H_
 #define PINFORD_MECHANISMS_H_
@@ -15,40 +15,40 @@
 namespace pinford {
 
 enum class Mechanism {
-  kEntrySlots,        // first stages are priced and bounded by their slots
-  kPeerCounts,        // what peers have on runners counts
-  kObservedRoom,      // what runners say they hold corrects the account
-  kRoomBound,         // runners without room are left out
-  kReadingAccount,    // runners are priced by the prompts sent to them
-  kCrossingAccount,   // links between halls are priced by what crosses them
-  kLinkPairs,         // each pair of halls has a link of its own
-  kPacePrice,         // slow runners are priced by their pace
-  kServeAtNeed,       // runners that rest serve where no other can
-  kSilenceWatch,      // runners that fall silent are asked
-  kStageReplacement,  // stages that are down or slow are replaced
-  kResume,            // streams that break or stand still are taken up
-  kLostAtOnce,        // runners that do not answer are not planned with
-  kLoadSteps,         // large ranges are loaded in steps
-  kMoves,             // runners are moved to layers that are short
-  kFailureNews,       // boxes tell each other of runners that are down
-  kSpreadPrice,       // a runner's speed counts by what events take
-  kTimedRecovery,     // what becomes of streams goes by the time it takes
-  kWaitingPrompts,    // runners are priced by the prompts that wait there
+  kEntrySlots,       // first stages are costed and limited by their slots
+  kPeerCounts,       // counts the peers' work on runners
+  kObservedRoom,     // corrects estimates by what runners report to hold
+  kRoomBound,        // excludes runners without free memory
+  kReadingAccount,   // costs runners by the prompts sent to them
+  kCrossingAccount,  // costs links between halls by the tokens sent over them
+  kLinkPairs,        // gives each pair of halls a link of its own
+  kPacePrice,        // costs slow runners by their slowdown
+  kServeAtNeed,   // uses runners that are backing off where no other can serve
+  kSilenceWatch,  // probes runners that become unresponsive
+  kStageReplacement,  // replaces stages that are down or slow
+  kResume,            // resumes streams that break or stall
+  kLostAtOnce,        // plans without runners that do not respond
+  kLoadSteps,         // loads large ranges in steps
+  kMoves,             // moves runners to layers that lack capacity
+  kFailureNews,       // boxes report runners that are down to each other
+  kSpreadPrice,       // weights a runner's speed by the time between events
+  kTimedRecovery,     // decides on broken streams by the time to recover
+  kWaitingPrompts,    // costs runners by the prompts queued there
   kRetryLoans,        // boxes lend each other retries
-  kMoveAtRestart,     // what ran on a runner that starts anew moves at once
-  kTakeOverAsk,       // a planner that takes over asks empty runners first
+  kMoveAtRestart,     // reroutes the streams of a runner that restarts at once
+  kTakeOverAsk,       // a new planner queries empty runners first
 };
 inline constexpr int kMechanisms = 22;
 
 std::optional<Mechanism> MechanismNamed(std::string_view name);
 std::string_view MechanismName(Mechanism m);
 
-// Which of them are switched off.
+// The set of mechanisms that are disabled.
 class MechanismsOff {
  public:
   void Add(Mechanism m) { off_.set(static_cast<size_t>(m)); }
   bool on(Mechanism m) const { return !off_.test(static_cast<size_t>(m)); }
-  // Their names with a space between, for the log; "" for none.
+  // Their names separated by spaces, for the log; "" for none.
   std::string ToString() const;
 
  private:
--- a/pinford/membership.cc
+++ b/pinford/membership.cc
@@ -32,7 +32,7 @@
 }
 
 void Membership::set_counts(std::vector<EndpointCount> counts) {
-  // The greatest matter most: they tell where not to go.
+  // The greatest counts matter most: they show which endpoints to avoid.
   std::sort(counts.begin(), counts.end(),
             [](const EndpointCount& a, const EndpointCount& b) {
               return a.count > b.count;
@@ -50,7 +50,7 @@
   leaving_ = std::move(marks);
 }
 
-// What a digest tells of this box beside its row.
+// Adds this box's state other than its row to a digest.
 void Membership::FillOwnState(Digest* d) const {
   d->leaving = leaving_;
   d->counts = counts_;
@@ -69,8 +69,8 @@
 }
 
 // A heartbeat reaches all n members in about log2(n) rounds; four times that
-// and a margin for lost datagrams keep false suspicion rare. One of another
-// hall comes by fewer digests, and only as often as it is drawn for them.
+// and a margin for lost datagrams keep false suspicion rare. A heartbeat of
+// another hall arrives in fewer digests, and only in those it is drawn for.
 Duration Membership::SuspectAfter(const Member& member) const {
   const double rounds =
       4 * std::log2(static_cast<double>(members_.size()) + 2) + 8;
@@ -165,9 +165,9 @@
   if (std::optional<std::string> to = PickTarget(now)) {
     out.push_back({*to, FullDigest(now)});
   }
-  // Seeds are asked now and then for good, so that fleets which were cut
-  // apart long enough to forget each other still meet again.
-  // A new one tells them of itself more than once: datagrams get lost.
+  // Seeds are contacted regularly and permanently, so that fleets that were
+  // partitioned for long enough to drop each other still merge again. A new box
+  // contacts them more than once, as datagrams get lost.
   const bool ask_seed =
       members_.empty() || now < join_until_ || ticks_ % kSeedPeriod == 1;
   const std::string seed = ask_seed ? PickSeed() : "";
@@ -197,9 +197,9 @@
          std::pair(than_incarnation, than_heartbeat);
 }
 
-// Raises what only grows within one life of a member to what `from` has: the
-// versions of its documents, and that it leaves. True if it now leaves and
-// did not before.
+// Raises what only grows within one incarnation of a member to the values in
+// `from`: the versions of its documents, and that it is leaving. Returns true
+// if it is leaving now and was not before.
 static bool MergeMonotonic(const MemberRow& from, MemberRow* to) {
   for (int k = 0; k < kDocumentKinds; k++) {
     to->versions[k] = std::max(to->versions[k], from.versions[k]);
@@ -230,8 +230,8 @@
   const bool same_incarnation = !fresh && row.incarnation == m.row.incarnation;
   const MemberRow before = m.row;
   if (!fresh && !newer) {
-    // Its heartbeat came faster by way of another member. What only grows is
-    // news all the same.
+    // A newer heartbeat arrived first by way of another member. Monotonic state
+    // in this row may still be new.
     if (!same_incarnation) return false;
     if (MergeMonotonic(row, &m.row)) {
       changes->push_back({row.name, MemberChange::kLeaving});
@@ -273,8 +273,8 @@
   for (const MemberBeat& beat : digest.beats) {
     auto name = names_.find(beat.id);
     if (name == names_.end()) {
-      // One that was dropped and is back is as unknown as a new one: else only
-      // its own digests, each to one of all members, would tell of it.
+      // A dropped member that is back is as unknown as a new one. Otherwise
+      // only its own digests, each sent to one of all members, would report it.
       const auto dropped = dropped_ids_.find(beat.id);
       const bool is_dropped =
           dropped != dropped_ids_.end() && beat.incarnation <= dropped->second;
--- a/pinford/membership.h
+++ b/pinford/membership.h
@@ -1,27 +1,28 @@
-// Which boxes are there, and what each has told.
+// Tracks which boxes are members, and the state that each has reported.
 //
-// Gossip in the manner of van Renesse, Minsky and Hayden, "A gossip-style
-// failure detection service" (Middleware 1998): each box counts its own
-// heartbeat up and, at a rate set by a budget of bytes, sends a digest of all
-// the heartbeats it knows to one random member. A member whose heartbeat has
-// not grown for long enough is suspected, then dropped. That needs no
-// acknowledgements, and its cost for one box depends on the budget, not on
-// the number of boxes; what grows with the boxes is the time to notice a
-// loss, which goes with the digest's size and the logarithm of the number.
+// The protocol follows van Renesse, Minsky and Hayden, "A gossip-style failure
+// detection service" (Middleware 1998): each box increments its own heartbeat
+// and, at a rate set by a budget of bytes, sends a digest of all the heartbeats
+// it knows to one random member. A member whose heartbeat has not grown for
+// long enough is suspected, then dropped. This needs no acknowledgements, and
+// its cost for one box depends on the budget, not on the number of boxes. What
+// grows with the number is the time to detect a loss, which depends on the
+// digest's size and the logarithm of the number.
 //
-// News that cannot wait (a new configuration, a leaving endpoint, this box's
-// own leaving) is announced at once, in a small datagram to every live member
-// of the hall and to one member of each other hall, whose boxes pass it on in
+// Urgent state (a new configuration, a leaving endpoint, this box's own
+// leaving) is announced at once, in a small datagram to every live member of
+// the hall and to one member of each other hall, whose boxes pass it on in
 // theirs.
 //
-// Digests carry the heartbeats of the whole own hall and of a random few of
+// Digests carry the heartbeats of the whole local hall and of a random few of
 // the members elsewhere, and one digest in other_hall_every goes to another
-// hall. So members elsewhere are noticed as lost later than those near by.
-// Heartbeats name members by a hash; a box that meets one it does not know
-// asks the sender for all rows. A box that has just started asks its seeds for
-// them too: digests alone take seconds to name all members of a large fleet.
+// hall. So lost members are detected later in remote halls than in the local
+// one. Heartbeats identify members by a hash; a box that receives one it does
+// not know fetches all rows from the sender. A box that has just started
+// fetches them from its seeds too: digests alone take seconds to name all
+// members of a large fleet.
 //
-// No I/O: the caller sends what Tick and Announce return.
+// Does no I/O: the caller sends what Tick and Announce return.
 
 #ifndef PINFORD_MEMBERSHIP_H_
 #define PINFORD_MEMBERSHIP_H_
@@ -52,22 +53,22 @@
     Duration min_interval = milliseconds(50);
     Duration max_interval = seconds(2);
     Duration min_suspect = seconds(3);
-    // Dropped after this many times the time to suspect.
+    // A member is dropped after this many times its time to suspect.
     double drop_factor = 2;
     Duration joined_window =
-        seconds(5);          // how long a new row is passed on whole
+        seconds(5);          // how long digests include a new row in full
     size_t max_counts = 64;  // endpoint counts in a digest
-    // One digest in so many goes to another hall.
+    // One digest in this many goes to another hall.
     int other_hall_every = 8;
     size_t max_remote_beats = 16;  // heartbeats of other halls in a digest
-    // How much longer members elsewhere have than those near by.
+    // Factor on the time to suspect for members of other halls.
     double remote_factor = 4;
-    Duration sync_interval = seconds(1);  // between asking for all rows
-    // A box asks its seeds for all rows until it has been up for so long: by
-    // then each box of a fleet that started with it has told some seed of
-    // itself, and the seeds have told each other.
+    Duration sync_interval = seconds(1);  // between fetches of all rows
+    // A box fetches all rows from its seeds for this long after its start. By
+    // then each box of a fleet that started with it has announced itself to
+    // some seed, and the seeds have synchronized with each other.
     Duration join_period = milliseconds(2500);
-    // ... this often.
+    // Interval of those fetches.
     Duration join_interval = milliseconds(400);
   };
 
@@ -79,17 +80,17 @@
     Digest digest;
   };
 
-  // What this box tells of itself.
+  // This box's own state, which it sends to others.
   void set_version(DocumentKind kind, uint64_t version);
   void set_leaving() { self_.state = MemberState::kLeaving; }
   void set_counts(std::vector<EndpointCount> counts);
   void set_load(uint32_t running, uint32_t waiting);
   void set_leaving_endpoints(std::vector<LeavingMark> marks);
-  // How old this box's proof is that its configuration is the newest.
+  // Age of the proof that this box's configuration is the newest.
   void set_proof_age(Duration age) { proof_age_ = age; }
 
-  // The digest to send now and the time until the next call. `size` tells
-  // how many bytes a digest takes.
+  // Returns the digests to send now and the time until the next call. `size`
+  // returns a digest's size in bytes.
   template <typename SizeOf>
   std::pair<std::vector<Datagram>, Duration> Tick(Time now, SizeOf size) {
     std::vector<Datagram> out = TickDatagrams(now);
@@ -100,17 +101,17 @@
   // Small datagrams that carry this box's row and the leaving endpoints.
   std::vector<Datagram> Announce();
 
-  // Takes a digest in. Returns the members that changed with it.
+  // Applies a digest. Returns the members that changed.
   std::vector<std::pair<std::string, MemberChange>> OnDigest(
       Time now, const Digest& digest);
-  // The address to ask for all rows now, if there is a reason to. Call it
+  // The address to fetch all rows from now, if there is a reason to. Call it
   // often.
   std::optional<std::string> SyncFrom(Time now);
-  // All rows that this box vouches for, its own among them.
+  // All rows of members that this box considers live, including its own.
   std::vector<MemberRow> AllRows(Time now) const;
   std::vector<std::pair<std::string, MemberChange>> OnRows(
       Time now, const std::vector<MemberRow>& rows);
-  // Members lost since the last call.
+  // Returns and removes the members lost since the last call.
   std::vector<std::string> Expire(Time now);
 
   struct Member {
@@ -122,27 +123,28 @@
     uint32_t running = 0;
     uint32_t waiting = 0;
   };
-  // All but this box.
+  // All members except this box.
   const std::map<std::string, Member>& members() const { return members_; }
   const MemberRow& self() const { return self_; }
   bool Suspected(Time now, const Member& member) const;
 
-  // Whether this box is one of the `count` of its hall that `duty` falls to,
-  // by rendezvous hashing over the live members it sees. Boxes that see
-  // different members may both think so: duties are harmless when doubled.
+  // Whether this box is one of the `count` in its hall that are elected for
+  // `role`, by rendezvous hashing over the live members that it sees. Boxes
+  // that see different members may both be elected, so roles must tolerate
+  // duplicates.
   bool OnDuty(Time now, const std::string& role, int count) const;
   // Addresses of the seeds, without this box's own.
   const std::vector<std::string>& other_seeds() const { return other_seeds_; }
   // Addresses of up to `count` live members of any hall, drawn at random.
   std::vector<std::string> RandomLive(Time now, size_t count);
-  // Live boxes of all halls, this one among them.
+  // Number of live boxes in all halls, including this one.
   int live_boxes(Time now) const;
-  // Sums of what peers said of late, made up for the live boxes that were not
-  // heard.
+  // Sums of the counts that peers sent recently, scaled up for live boxes whose
+  // counts are missing.
   PeerCounts SumOfCounts(Time now) const;
 
  private:
-  // One round in so many asks a seed too.
+  // One round in this many also contacts a seed.
   static constexpr int kSeedPeriod = 8;
 
   std::vector<Datagram> TickDatagrams(Time now);
@@ -150,7 +152,7 @@
   Duration SuspectAfter(const Member& member) const;
   void FillOwnState(Digest* d) const;
   Digest FullDigest(Time now);
-  // A seed other than this box, "" if there is none.
+  // A random seed other than this box; "" if there is none.
   std::string PickSeed();
   std::optional<std::string> PickTarget(Time now);
   bool OnRow(Time now, const MemberRow& row,
@@ -163,8 +165,8 @@
   std::map<std::string, Member> members_;
   std::map<uint32_t, std::string> names_;  // of members, by NameId
   size_t remote_members_ = 0;              // members of other halls
-  // The last incarnation of members that were dropped, so that late datagrams
-  // do not bring them back.
+  // Last incarnation and heartbeat of dropped members, so that late datagrams
+  // do not add them again.
   std::map<std::string, std::pair<uint64_t, uint64_t>> dropped_;
   std::map<uint32_t, uint64_t> dropped_ids_;  // their incarnations, by NameId
   std::vector<EndpointCount> counts_;
@@ -174,7 +176,7 @@
   Duration proof_age_ = Duration::max();
   Duration interval_ = milliseconds(300);
   uint64_t ticks_ = 0;
-  std::string sync_from_;  // "" when there is no reason to ask
+  std::string sync_from_;  // "" when there is no reason to fetch
   Time join_until_{};
   Time next_sync_{};
 };
--- a/pinford/order.h
+++ b/pinford/order.h
@@ -1,9 +1,9 @@
-// An order to a runner: hold this, and drop what you held.
+// An order to a runner: hold this range, and drop what you held.
 //
-// Orders tell a state, not a change, so one that is given twice does nothing
-// the second time. Each carries the fencing token of the lease under which it
-// was given. Some runners check it and refuse any lower than they have seen;
-// some do not, and the platform's list says which (checks_fence).
+// Orders state the desired holding, not a change, so a repeated order has no
+// effect. Each carries the fencing token of the lease under which it was
+// issued. Some runners check it and refuse any token lower than they have seen;
+// some do not. The platform's list says which do (checks_fence).
 
 #ifndef PINFORD_ORDER_H_
 #define PINFORD_ORDER_H_
@@ -28,7 +28,7 @@
 enum class OrderStatus {
   kDone,
   kFenced,  // refused: a higher token has been seen
-  kLost,    // nothing is known
+  kLost,    // outcome unknown
 };
 
 std::string WriteOrder(const Order& order);
--- a/pinford/peer_counts.h
+++ b/pinford/peer_counts.h
@@ -1,4 +1,4 @@
-// What peers have on endpoints, as one box has heard it.
+// What peers have on endpoints, as this box has received it.
 
 #ifndef PINFORD_PEER_COUNTS_H_
 #define PINFORD_PEER_COUNTS_H_
@@ -11,16 +11,17 @@
 
 namespace pinford {
 
-// Names of boxes and endpoints, short enough to be told many at a time. Two
-// that share one, 4 in 1,000 fleets of 6,100, are counted as each other.
+// A short id for the name of a box or an endpoint, so that many fit into a
+// message. Names that share an id, which happens in 4 of 1,000 fleets of 6,100,
+// are counted as one.
 inline uint32_t NameId(std::string_view name) {
   return static_cast<uint32_t>(Hash64(name));
 }
 
 // On one endpoint, of all peers.
 struct PeerCount {
-  int work = 0;     // as EndpointTable counts it
-  int entries = 0;  // requests that have it as their first stage
+  int work = 0;     // in EndpointTable's units
+  int entries = 0;  // requests that have their first stage there
 };
 
 using PeerCounts = std::unordered_map<uint32_t, PeerCount>;  // by NameId
--- a/pinford/pipeline.h
+++ b/pinford/pipeline.h
@@ -1,5 +1,5 @@
-// The shape of a pipeline: layer ranges, stages and chains, and the step that
-// a stage is asked to run.
+// The structure of a pipeline: layer ranges, stages and chains, and the step
+// that a stage runs.
 //
 // A model has layers [0, L). An endpoint holds a contiguous range of one
 // version's layers and may run any part of it. A chain is a list of stages
@@ -42,14 +42,14 @@
 // "NAME:BEGIN-END NAME:BEGIN-END ...", for logs.
 std::string ChainText(const Chain& chain);
 
-// Names one step, in its request and in its reply. A reply counts only when
-// all of it equals the step that the box is waiting for.
+// Identifies a step in its request and its reply. A reply is accepted only if
+// all fields equal those of the step that the box is waiting for.
 struct StepId {
   std::string request;
-  // Counts the box's sends of this request; no two steps share one.
+  // Counts the box's sends of this request; unique for each step.
   uint32_t attempt = 0;
-  // Names this stage's cache on its endpoint, together with the request.
-  // Never used again once the stage is lost.
+  // Identifies this stage's cache on its endpoint, together with the request.
+  // Never reused once the stage is lost.
   uint32_t session = 0;
   // Position of the first input.
   int position = 0;
@@ -57,20 +57,21 @@
   friend bool operator==(const StepId&, const StepId&) = default;
 };
 
-// A run of `id.range` over the positions [id.position, id.position + inputs).
+// Runs `id.range` over the positions [id.position, id.position + inputs).
 struct StepRequest {
   StepId id;
-  // What the layers are of. An endpoint that holds another model or version by
-  // now refuses, so that no answer mixes versions.
+  // The model that the layers belong to. An endpoint that now holds another
+  // model or version refuses, so that no answer mixes versions.
   std::string model;
   std::string version;
   // How many positions the session's cache holds before this step. Positions
-  // below are recomputed for their outputs only and leave the cache alone;
-  // those from it on are appended. An endpoint whose cache differs refuses.
+  // below this are recomputed for their outputs only and do not change the
+  // cache; positions from this on are appended. An endpoint whose cache differs
+  // refuses.
   int cached = 0;
   std::vector<int> tokens;               // inputs of the first stage
   std::vector<std::string> activations;  // inputs of any other stage
-  bool last = false;                     // the chain ends here: give a token
+  bool last = false;                     // the chain ends here: return a token
   int priority = 0;                      // 0 is the most urgent
 
   int inputs() const {
--- a/pinford/placement.cc
+++ b/pinford/placement.cc
@@ -34,7 +34,7 @@
   return plan;
 }
 
-// Holders of each layer of `model`; empty if nobody holds any.
+// Holders of each layer of `model`; empty if there are none.
 static std::vector<int> Coverage(const std::vector<PlannedRunner>& runners,
                                  const std::string& model) {
   std::vector<int> holders;
@@ -59,8 +59,8 @@
   return it == wanted.end() ? 0 : it->second;
 }
 
-// Whether `runner` can go without taking its model below what is wanted. A
-// model that the policy does not name keeps all it has.
+// Whether `runner` can be moved without reducing its model below the wanted
+// replicas. A model that the policy does not name keeps all its runners.
 static bool CanSpare(const std::vector<PlannedRunner>& runners,
                      const PlannedRunner& runner,
                      const std::map<std::string, int>& wanted) {
@@ -74,7 +74,7 @@
   return true;
 }
 
-// A run of layers of `model` with too few holders, at most `size` long.
+// The first run of layers with too few holders, at most `size` long.
 static std::optional<LayerRange> UnderReplicated(
     const std::vector<int>& holders, int needed, int size) {
   const int layers = static_cast<int>(holders.size());
@@ -87,7 +87,7 @@
   return std::nullopt;
 }
 
-// Some runner that holds the model tells its version.
+// A usable runner that holds the model, from which its version is known.
 static const PlannedRunner* HolderOf(const std::vector<PlannedRunner>& runners,
                                      const std::string& model) {
   for (const PlannedRunner& r : runners) {
--- a/pinford/placement.h
+++ b/pinford/placement.h
@@ -1,12 +1,12 @@
-// Which runner of a hall should hold which layers.
+// Decides which runner of a hall should hold which layers.
 //
-// The policy says how many replicas of a model the hall should have. A hall
-// has as many replicas as the least covered layer has holders. Where that is
-// too few, one runner at a time is moved: the one whose going leaves the layers
-// that it holds with as many holders as they should have, least loaded first,
-// to the layers that lack holders. It may come from the same model. One move at
-// a time, and a rest for a runner that was moved, keep weights from travelling
-// to and fro as demand wavers.
+// The policy sets how many replicas of a model the hall should have. A hall has
+// as many replicas as its least covered layer has holders. Where that is too
+// few, one runner at a time is moved to the layers that lack holders: the least
+// loaded one whose removal leaves its present layers with as many holders as
+// they should have. It may belong to the same model. One move at a time, and a
+// cooldown for a runner that was moved, keep weights from being moved back and
+// forth as demand fluctuates.
 
 #ifndef PINFORD_PLACEMENT_H_
 #define PINFORD_PLACEMENT_H_
@@ -23,7 +23,7 @@
 
 namespace pinford {
 
-// What a runner holds, or should.
+// What a runner holds, or should hold.
 struct Holding {
   std::string model;
   std::string version;
@@ -31,7 +31,7 @@
   friend bool operator==(const Holding&, const Holding&) = default;
 };
 
-// The desired holdings of one hall, as kept in the platform's service.
+// The desired holdings of one hall, as stored in the platform's service.
 struct PlacementPlan {
   uint64_t token = 0;   // fencing token of the lease under which it was made
   uint64_t number = 0;  // grows with each plan
@@ -52,17 +52,18 @@
   bool cooling_down = false;  // was moved a short time ago
 };
 
-// Replicas of `model` among the runners: holders of its least covered layer.
+// Replicas of `model` among the runners: the holders of its least covered
+// layer.
 int ReplicasOf(const std::vector<PlannedRunner>& runners,
                const std::string& model);
 
-// A runner and what it should hold instead of what it holds.
+// A runner and what it should hold instead of its present holding.
 struct Move {
   std::string runner;
   Holding to;
 };
 
-// The next move towards `wanted` replicas a model, if one is due.
+// The next move towards `wanted` replicas for each model, if one is due.
 std::optional<Move> NextMove(const std::vector<PlannedRunner>& runners,
                              const std::map<std::string, int>& wanted);
 
--- a/pinford/pool_capacity.cc
+++ b/pinford/pool_capacity.cc
@@ -4,10 +4,10 @@
 
 namespace pinford {
 
-// Tokens a second that a runner reads beside what is sent to it already.
+// Tokens per second that a runner can prefill beyond its present load.
 static double FreePrefillRate(Time now, const EndpointTable& table,
                               const EndpointTable::Row& row) {
-  // An account over 1 says that prompts wait, not that none is read.
+  // A load over 1 means that prompts are queued, not that none is run.
   constexpr double kMinFree = 0.05;
   const LoadReport& report = *row.report;
   const double token_seconds =
--- a/pinford/pool_capacity.h
+++ b/pinford/pool_capacity.h
@@ -1,14 +1,13 @@
-// What the runners of a pool can still read, hall by hall and layer by layer.
+// The free capacity of a pool's runners, by hall and layer.
 //
-// A chain is as fast as its slowest layer, so that sums over a hall say
-// little: a hall with ninety runners stands still when the only holder of one
-// layer is lost. So the account is kept by layer, and asked for the least over
-// a range.
+// A chain is as fast as its slowest layer, so sums over a hall are misleading:
+// a hall with ninety runners stops when the only holder of one layer is lost.
+// So the capacity is kept per layer, and queried as the minimum over a range.
 //
-// It is made from the endpoint table at one moment, by the engines' own
-// figures (what a pass reads, what its steps cost, the runner's kind and pace)
-// and what this box takes all boxes to have sent there. It is as old as what
-// it was made of, which as_of() bounds from above.
+// It is computed from the endpoint table at one moment, from the engines' own
+// figures (prefill rate, cost of their steps, the runner's kind and slowdown)
+// and this box's estimate of what all boxes have sent there. It is as old as
+// its inputs; as_of() is an upper bound for their time.
 
 #ifndef PINFORD_POOL_CAPACITY_H_
 #define PINFORD_POOL_CAPACITY_H_
@@ -28,7 +27,7 @@
   // What the holders of one layer in one hall can take together.
   struct Layer {
     int holders = 0;        // that take new work
-    double read_per_s = 0;  // tokens of prompts, beside what is sent already
+    double read_per_s = 0;  // free prefill rate, in tokens
     double free_room = 0;   // memory, thousands of tokens
   };
 
@@ -37,12 +36,12 @@
 
   Time as_of() const { return as_of_; }
   std::vector<std::string> halls() const;
-  // The least of each figure over the layers of `range` in `hall`; zeros for a
-  // hall without runners.
+  // The minimum of each figure over the layers of `range` in `hall`; zeros for
+  // a hall without runners.
   Layer LeastOf(const std::string& hall, const LayerRange& range) const;
   // The same over all layers of the model.
   Layer LeastOf(const std::string& hall) const;
-  // The layer of `hall` whose holders read least.
+  // The layer of `hall` with the lowest free prefill rate.
   int ShortestLayer(const std::string& hall) const;
 
  private:
--- a/pinford/retry_after.cc
+++ b/pinford/retry_after.cc
@@ -6,7 +6,7 @@
 
 namespace pinford {
 
-// Beyond this a duration would not hold it. A year is longer than any rest.
+// A longer duration would overflow. A year exceeds any backoff.
 static constexpr double kMaxSeconds = 366.0 * 24 * 3600;
 
 std::optional<Duration> ParseRetryAfter(std::string_view text) {
@@ -19,7 +19,7 @@
     return std::nullopt;
   }
   if (out_of_range) value = kMaxSeconds;
-  // "inf" and "nan" are numbers to from_chars.
+  // from_chars accepts "inf" and "nan".
   if (!std::isfinite(value) || value < 0) return std::nullopt;
   return FromSeconds(std::min(value, kMaxSeconds));
 }
--- a/pinford/retry_after.h
+++ b/pinford/retry_after.h
@@ -1,4 +1,4 @@
-// What endpoints say in Retry-After.
+// Reads the Retry-After header of endpoints' answers.
 
 #ifndef PINFORD_RETRY_AFTER_H_
 #define PINFORD_RETRY_AFTER_H_
@@ -10,13 +10,13 @@
 
 namespace pinford {
 
-// The seconds of a Retry-After header, whole or with a fraction (RFC 9110,
-// 10.2.3, of which only the seconds: no decision here reads the time of day).
-// Nothing for what is no number, or below 0.
+// Parses the seconds of a Retry-After header, whole or with a fraction (RFC
+// 9110, 10.2.3, without dates, as no decision here uses the time of day).
+// Returns nothing if `text` is not a number or is below 0.
 std::optional<Duration> ParseRetryAfter(std::string_view text);
 
-// For how long an endpoint that answers so wants no more requests: 503 and 429
-// turn the request away; with other answers the header means something else.
+// The backoff that such an answer requests. Only 503 and 429 refuse the
+// request; with other statuses the header means something else.
 std::optional<Duration> RestAsked(int status, std::string_view retry_after);
 
 }  // namespace pinford
--- a/pinford/runner_price.h
+++ b/pinford/runner_price.h
@@ -1,50 +1,48 @@
-// What it costs to give a runner a part of a new stream, from what is known of
-// it: no state, no table, no clock.
+// The cost of giving a runner a stage of a new stream. Pure functions of what
+// is known of the runner, without state, table or clock.
 //
-// For runners whose room is known. Such engines run all that waits in one pass,
-// so that a stream more costs next to nothing until memory runs short; others
-// are priced by their backlog (LoadedLayerCost).
+// For runners whose memory capacity is known. Such engines run all waiting work
+// in one pass, so one more stream costs almost nothing until memory runs short.
+// Other runners are costed by their backlog (LoadedLayerCost).
 //
-// A runner's speed counts the less, the shorter events are against the pauses
-// that callers allow. All streams of a runner that is lost are late, since the
-// rest of its layers' holders must read them again: priced by speed alone four
-// runners of 99, five times as fast as the rest, carried 61 in 100 of all
-// streams each, with events at 0.15 of the allowed pause. Where events take a
-// quarter of it or more, slower chains are late by themselves, and hold memory
-// for longer.
+// The shorter the time between events is against the pause that callers allow,
+// the less a runner's speed counts. When a runner is lost, all of its streams
+// are late, as the remaining holders of its layers must prefill them again.
+// Costed by speed alone, four runners of 99, five times as fast as the others,
+// each carried 61% of all streams, with the time between events at 0.15 of the
+// allowed pause. Where it is a quarter of the pause or more, slower chains are
+// late by themselves, and hold memory for longer.
 
 #ifndef PINFORD_RUNNER_PRICE_H_
 #define PINFORD_RUNNER_PRICE_H_
 
 namespace pinford {
 
-// The power of a runner's idle time in its price. `gap_share` is what the time
-// between two events takes of the pause that callers allow, of late. By the
-// square root alone 1,823 of 51,165 answers were late where 2,043 had been,
-// with events at 0.15 of the pause, but 13,947 of 89,827 where 12,053 had been
-// with events at 0.18 to 0.3; by this 5,068 of 45,466 where 5,671 had been
-// there.
+// The exponent of a runner's idle time in its cost. `gap_share` is the recent
+// time between two events as a fraction of the pause that callers allow. With
+// the square root alone, 1,823 of 51,165 answers were late instead of 2,043 at
+// a gap share of 0.15, but 13,947 of 89,827 instead of 12,053 at 0.18 to 0.3;
+// with this function 5,068 of 45,466 were late there instead of 5,671.
 double SpeedWeight(double gap_share);
 
-// What is known of a runner when it is priced.
+// What is known of a runner when its cost is computed.
 struct RunnerLoad {
   double idle_layer_seconds = 0;  // for a layer of one token, without load
-  double pace = 1;                // so many times as long as it should
-  double prefill_load = 0;   // part of its time that goes to reading prompts
-  double memory_used = 0;    // part of its room that is taken
-  double queue_seconds = 0;  // seconds that what waits to be read there takes
+  double pace = 1;                // times slower than nominal
+  double prefill_load = 0;        // fraction of its time that goes to prefill
+  double memory_used = 0;         // fraction of its memory in use
+  double queue_seconds = 0;       // seconds that its queued prefill takes
 };
 
-// How many times as dear something is where what waits for it takes so many
-// seconds.
+// Factor on a cost where the queued work takes `queue_seconds`.
 double QueueFactor(double queue_seconds);
 
-// Seconds for a layer of one token there. `mean_idle` is the idle time of the
-// runners that it is compared with.
+// Seconds for a layer of one token there. `mean_idle` is the mean idle time of
+// the candidates.
 double LayerCost(const RunnerLoad& load, double mean_idle, double speed_weight);
 
-// Seconds for a token more, as the first stage of `entries` of `slots`
-// requests. Infinite where no slot is likely to be free: what others have begun
+// Additional seconds for a token as the first stage of `entries` requests of
+// `slots`. Infinite where a free slot is unlikely: what others have started
 // there is known a second late.
 double FirstStageSlotCost(double entries, int slots);
 
--- a/pinford/step_deadline.cc
+++ b/pinford/step_deadline.cc
@@ -1,6 +1,6 @@
-// Method: a step's time is taken as max(mean of small steps, work * slowest
-// smoothed rate). A large step (a prompt) teaches the rate, a small one (one
-// position) teaches the mean; both smooth as RFC 6298 does, with 1/8 and 1/4.
+// Method: a step's time is estimated as max(mean of small steps, work *
+// smoothed rate). A large step (a prompt) determines the rate, a small one (one
+// position) the mean. Both are smoothed as in RFC 6298, with 1/8 and 1/4.
 
 #include "pinford/step_deadline.h"
 
