--- a/pinford/testing/decisions_test.cc
+++ b/pinford/testing/decisions_test.cc
@@ -145,7 +145,7 @@
   EXPECT_GT(repeats, 5);
 }
 
-TEST(StepDeadline, FollowsWhatStepsTake) {
+TEST(StepDeadline, FollowsMeasuredSteps) {
   const struct {
     const char* name;
     std::vector<std::pair<double, int>> steps;  // work, ms
@@ -220,7 +220,7 @@
   EXPECT_EQ(a.dropped(), 21u);
 }
 
-TEST(Address, TakesNumbersOnly) {
+TEST(Address, AcceptsNumericAddressesOnly) {
   const struct {
     const char* text;
     bool valid;
@@ -273,7 +273,7 @@
   EndpointTable table_;
 };
 
-TEST_F(EndpointTableTest, WhoeverSaysFirstThatItLeavesIsBelieved) {
+TEST_F(EndpointTableTest, FirstNoticeOfLeavingCounts) {
   const struct {
     const char* name;
     void (*report)(EndpointTableTest*, EndpointTable*, PausedClock*);
@@ -299,7 +299,7 @@
     List(ListedState::kLive, 5);
     Report(5, false);
     EXPECT_FALSE(Takes());
-    EXPECT_FALSE(table_.OnLeaving("x", 5)) << "not news any more";
+    EXPECT_FALSE(table_.OnLeaving("x", 5)) << "already known";
     // A new life does, and an old mark does not touch it.
     List(ListedState::kLive, 6);
     Report(6, false);
@@ -309,7 +309,7 @@
   }
 }
 
-TEST_F(EndpointTableTest, TakesNothingWithoutAFreshReportOrWhileResting) {
+TEST_F(EndpointTableTest, TakesNoWorkWithoutAFreshReportOrDuringBackoff) {
   List(ListedState::kLive, 1);
   EXPECT_FALSE(Takes());
   Report(1, false);
@@ -323,7 +323,7 @@
   EXPECT_TRUE(Takes());
 }
 
-TEST(EndpointTable, TheGreatestWholeVersion) {
+TEST(EndpointTable, PicksTheHighestCompleteVersion) {
   struct HeldRange {
     const char* version;
     LayerRange range;
@@ -362,7 +362,7 @@
   }
 }
 
-TEST_F(EndpointTableTest, CountsWhatItSentSinceTheReport) {
+TEST_F(EndpointTableTest, CountsWorkSentSinceTheReport) {
   List(ListedState::kLive, 1);
   for (int i = 0; i < 3; i++) table_.OnSent("x");
   Report(1, false, 5);  // three of ours, two of others
@@ -376,7 +376,7 @@
   EXPECT_EQ(table_.LoadOf("x"), 6);
 }
 
-TEST_F(EndpointTableTest, WhatPeersDoNotNameTheyDoNotHave) {
+TEST_F(EndpointTableTest, EndpointsMissingFromPeerCountsHaveNone) {
   List(ListedState::kLive, 1);
   table_.OnPeerCounts({{NameId("x"), {6, 2}}, {NameId("unknown"), {9, 9}}});
   EXPECT_EQ(table_.rows().at("x").peers.work, 6);
@@ -467,7 +467,7 @@
             AdmissionVerdict::kQueued);
 }
 
-TEST(Admission, TheEarliestDeadlineOfTheBackgroundFirst) {
+TEST(Admission, BackgroundTierStartsTheEarliestDeadlineFirst) {
   Admission admission({});
   for (int i = 0; i < 10; i++) {
     AdmissionItem item = Item(i, Tier::kBackground, "night");
--- a/pinford/testing/endpoint_rests_test.cc
+++ b/pinford/testing/endpoint_rests_test.cc
@@ -15,7 +15,7 @@
 
 Time At(int64_t ms) { return Time{} + hours(1) + milliseconds(ms); }
 
-TEST(EndpointNotice, ReadsSecondsOfWhoTurnsAway) {
+TEST(EndpointNotice, ReadsRetryAfterOfRefusals) {
   const struct {
     int status;
     const char* retry_after;  // nullptr for none
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(EndpointNotice, ReadsWhoLeaves) {
+TEST(EndpointNotice, ReadsTheLeavingHeader) {
   const struct {
     int status;
     const char* value;  // nullptr for no such header
@@ -82,7 +82,7 @@
 TEST(EndpointBackoffs, HoldUntilTheLastOfThemEnds) {
   const struct {
     const char* name;
-    std::vector<std::pair<int64_t, Duration>> asked;  // when, for how long
+    std::vector<std::pair<int64_t, Duration>> requested;  // when, for how long
     int64_t now_ms;
     Duration left;
   } cases[] = {
@@ -97,7 +97,7 @@
   };
   for (const auto& c : cases) {
     EndpointBackoffs backoffs;
-    for (const auto& [at, rest] : c.asked)
+    for (const auto& [at, rest] : c.requested)
       backoffs.OnRequested(At(at), "a", rest);
     EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "a"), c.left) << c.name;
     EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "b"), Duration(0)) << c.name;
@@ -105,13 +105,13 @@
   }
 }
 
-TEST(EndpointBackoffs, AsTheListOfAllThatWasAsked) {
+TEST(EndpointBackoffs, MatchesAListOfAllRequests) {
   Random random(7);
   std::uniform_int_distribution<int> step(0, 400);
   std::uniform_int_distribution<int> who(0, 4);
   std::uniform_int_distribution<int> ask(0, 3000);
   EndpointBackoffs backoffs;
-  std::vector<std::pair<std::string, Time>> asked;
+  std::vector<std::pair<std::string, Time>> requested;
   Time now = At(0);
   for (int i = 0; i < 5000; i++) {
     now += milliseconds(step(random));
@@ -119,10 +119,10 @@
     if (step(random) % 3 == 0) {
       const Duration rest = milliseconds(ask(random));
       backoffs.OnRequested(now, name, rest);
-      asked.emplace_back(name, now + rest);
+      requested.emplace_back(name, now + rest);
     }
     Duration left{};
-    for (const auto& [n, until] : asked) {
+    for (const auto& [n, until] : requested) {
       if (n == name) left = std::max(left, until - now);
     }
     ASSERT_EQ(backoffs.Remaining(now, name), left) << i;
--- a/pinford/testing/hall_planner_test.cc
+++ b/pinford/testing/hall_planner_test.cc
@@ -22,7 +22,7 @@
   return r;
 }
 
-TEST(Placement, MovesOneSpareRunnerToWhatLacks) {
+TEST(Placement, MovesOneSpareRunnerToMissingLayers) {
   const std::vector<PlannedRunner> runners = {
       Runner("a0", "a", {0, 4}),    Runner("a1", "a", {4, 8}),
       Runner("b0", "b", {0, 4}, 5), Runner("b1", "b", {4, 8}),
@@ -211,13 +211,13 @@
   return ReplicasOf(w->View().runners, model);
 }
 
-TEST(HallPlanner, ReachesWhatIsWanted) {
+TEST(HallPlanner, ReachesWantedReplicas) {
   Simulation w(1, 0);
   w.wanted = {{"a", 3}, {"b", 1}};
   w.clock.Advance(seconds(120));
   EXPECT_EQ(ReplicasNow(&w, "a"), 3);
   EXPECT_EQ(ReplicasNow(&w, "b"), 1);
-  EXPECT_EQ(w.runners.loads.size(), 4u) << "each weight travels once";
+  EXPECT_EQ(w.runners.loads.size(), 4u) << "each weight is loaded once";
   int holders = 0;
   for (const auto& planner : w.planners) holders += planner->holds_lease();
   EXPECT_EQ(holders, 1);
@@ -226,7 +226,7 @@
 // An order is held up on its way, its sender paused, and the next holder of
 // the lease plans otherwise: runners that check the token refuse the old
 // order, and those that do not are put right.
-TEST(HallPlanner, AStaleOrderIsRefusedOrPutRight) {
+TEST(HallPlanner, StaleOrderIsRefusedOrCorrected) {
   int stale = 0;
   for (int seed = 0; seed < 30; seed++) {
     Simulation w(seed, 0);
@@ -252,12 +252,12 @@
     stale += w.runners.stale_accepted;
   }
   EXPECT_GT(stale, 0) << "the case was never reached";
-  printf("%d stale orders were taken and put right\n", stale);
+  printf("%d stale orders were accepted and corrected\n", stale);
 }
 
 // Clocks differ: the store's leases end long before their holders think, so
 // two hold one at a time. What is written still follows the higher token.
-TEST(HallPlanner, HoldersWhoseClocksRunSlow) {
+TEST(HallPlanner, LeaseHoldersWithSlowClocks) {
   for (int seed = 0; seed < 60; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Simulation w(seed, 0);
@@ -307,7 +307,7 @@
     changes += static_cast<int>(w.runners.loads.size());
     if (HasFailure()) return;
   }
-  printf("%d loads, %d of them by a stale order and put right\n", changes,
+  printf("%d loads, %d of them by a stale order and corrected\n", changes,
          stale);
 }
 
--- a/pinford/testing/membership_test.cc
+++ b/pinford/testing/membership_test.cc
@@ -166,7 +166,7 @@
   int epoch_ = 0;
 };
 
-TEST(Membership, AllMeetAndTheLostAreDropped) {
+TEST(Membership, DiscoversAllMembersAndDropsLostOnes) {
   const struct {
     int boxes, halls;
     double loss;
@@ -201,7 +201,7 @@
 
 // Its digests reach one member at a time; the others hear of its new life by
 // its heartbeat in the digests of those.
-TEST(Membership, AMemberThatWasDroppedIsBackSoon) {
+TEST(Membership, ADroppedMemberThatRestartsIsBackSoon) {
   for (uint64_t seed = 1; seed <= 8; seed++) {
     SCOPED_TRACE(seed);
     Net net(33, 1, 0.1, seed);
@@ -256,7 +256,7 @@
   }
 }
 
-TEST(Membership, DutiesFallToTwo) {
+TEST(Membership, TwoMembersAreElectedForEachRole) {
   Net net(8, 1, 0);
   net.clock_.Advance(seconds(30));
   auto elected = [&net](const std::string& role) {
@@ -278,7 +278,7 @@
   }
 }
 
-TEST(Membership, LeavingIsNotForgottenToLateWords) {
+TEST(Membership, LateDatagramsDoNotRevertLeaving) {
   Net net(2, 1, 0);
   net.clock_.Advance(seconds(10));
   Membership& a = *net.at(0).membership;
--- a/pinford/testing/overload_test.cc
+++ b/pinford/testing/overload_test.cc
@@ -17,11 +17,11 @@
   EXPECT_LT(r.classes[0].wait_p95, 0.5);
   EXPECT_EQ(r.classes[1].refused, 0);
   EXPECT_LT(r.classes[1].wait_p95, 2);
-  EXPECT_GT(r.classes[3].served, 0) << "the background starves";
+  EXPECT_GT(r.classes[3].served, 0) << "the background tier starves";
   EXPECT_GE(r.small_share, 0.55);
 }
 
-TEST(Overload, NoTierWaitsLongBelowTheLoad) {
+TEST(Overload, NoTierWaitsLongBelowCapacity) {
   OverloadOptions options;
   options.offered = 0.8;
   const OverloadResult r = SimulateOverload(options);
--- a/pinford/testing/pool_capacity_test.cc
+++ b/pinford/testing/pool_capacity_test.cc
@@ -64,7 +64,7 @@
   EndpointTable table_;
 };
 
-TEST_F(PoolCapacityTest, IsThatOfTheShortestLayer) {
+TEST_F(PoolCapacityTest, IsTheMinimumOverLayers) {
   const PoolCapacity c = Capacity();
   EXPECT_EQ(c.halls(), (std::vector<std::string>{"h1", "h2"}));
   EXPECT_EQ(c.LeastOf("h1", {0, 2}).holders, 2);
@@ -78,7 +78,7 @@
   EXPECT_EQ(c.LeastOf("h1", {2, 2}).holders, 0);
 }
 
-TEST_F(PoolCapacityTest, FollowsWhatIsKnownOfARunner) {
+TEST_F(PoolCapacityTest, FollowsRunnerState) {
   table_.SetPace("a", 10);
   EXPECT_DOUBLE_EQ(Capacity().LeastOf("h1", {0, 2}).read_per_s, 550);
   table_.SetDown("a", true);
@@ -91,7 +91,7 @@
   EXPECT_NEAR(Capacity().LeastOf("h2").read_per_s, 12.5, 1);
 }
 
-TEST_F(PoolCapacityTest, WhatWaitsMakesARunnerDear) {
+TEST_F(PoolCapacityTest, QueuedPrefillRaisesTheCost) {
   table_.set_boxes(10);
   EXPECT_EQ(table_.PrefillQueueSecondsOf("a"), 0);
   table_.OnWaiting("a", 200);
@@ -110,7 +110,7 @@
 
 // Prompts that are read at once leave no trace; the same number that wait send
 // the next one elsewhere.
-TEST_F(PoolCapacityTest, TheNextPromptGoesWhereNoneWaits) {
+TEST_F(PoolCapacityTest, NextPromptAvoidsQueuedPrefill) {
   const auto first = [this] {
     const auto chain = table_.PickChainFor(
         now_, "m", "1", {0, 2},
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_F(PoolChoice, WithoutAFreeSlotItMayStillBeALaterStage) {
+TEST_F(PoolChoice, EndpointWithoutAFreeSlotMayBeALaterStage) {
   Add({{"full", "h1", {0, kLayers}, 0.001}, {"entry", "h1", {0, 3}, 0.01}});
   table_.OnPeerCounts({{NameId("full"), {0, kSlots}}});
   const auto chain = Pick();
@@ -93,7 +93,7 @@
   EXPECT_EQ(ChainText(*chain), "entry:0-1 full:1-10");
 }
 
-TEST_F(PoolChoice, NobodyIsPickedWhereAllSlotsAreTaken) {
+TEST_F(PoolChoice, NoChainWhenAllFirstStageSlotsAreUsed) {
   Add({{"a", "h1", {0, kLayers}, 0.001}, {"b", "h2", {0, kLayers}, 0.001}});
   table_.OnPeerCounts({{NameId("a"), {0, kSlots}}});
   EXPECT_EQ(First(), "b");
@@ -103,7 +103,7 @@
 
 // What a runner says corrects the account both ways, and fades as the account
 // is what is newer.
-TEST_F(PoolChoice, WhatARunnerSaysCorrectsTheAccount) {
+TEST_F(PoolChoice, RunnerReportCorrectsTheEstimate) {
   struct Case {
     int own;
     int peers;
@@ -127,7 +127,7 @@
   }
 }
 
-TEST_F(PoolChoice, RequestsOfBoxesThatAreGoneTakeSlots) {
+TEST_F(PoolChoice, RequestsOfRemovedBoxesUseSlots) {
   Add({{"a", "h1", {0, kLayers}, 0.001}, {"b", "h1", {0, kLayers}, 0.1}});
   table_.OnObserved(now_, "a", 0, kSlots);
   EXPECT_EQ(First(), "b");
@@ -137,7 +137,7 @@
 
 // A stage that failed rests, but one that has answered since serves where no
 // other can. One that has not answered does not.
-TEST_F(PoolChoice, WhatAnsweredSinceItFailedServesAtNeed) {
+TEST_F(PoolChoice, EndpointThatAnsweredSinceItFailedServesAsLastResort) {
   Add({{"a", "h1", {0, 6}, 0.001}, {"b", "h1", {6, kLayers}, 0.001}});
   now_ += seconds(1);
   table_.OnFailure(now_, "b", now_);
@@ -156,7 +156,7 @@
   EXPECT_EQ(Pick()->back().endpoint, "c");
 }
 
-TEST_F(PoolChoice, TheShortestLayerIsTold) {
+TEST_F(PoolChoice, ReportsTheMemoryBottleneck) {
   Add({{"a", "h1", {0, 6}, 0.001},
        {"b", "h1", {4, kLayers}, 0.001},
        {"c", "h1", {4, 8}, 0.001}});
@@ -253,7 +253,7 @@
   EXPECT_EQ(MaxShareOnOneRunner(false, 0.3), MaxShareOnOneRunner(true, 0.3));
 }
 
-TEST(SpeedWeightTest, SpeedCountsByWhatEventsTake) {
+TEST(SpeedWeightTest, WeightDependsOnTheGapShare) {
   const struct {
     double gap_share;
     double weight;
@@ -287,7 +287,7 @@
 }
 
 // Every mechanism has a name that reads back, and is on unless it is named.
-TEST(Mechanisms, HaveNamesAndAreOnByDefault) {
+TEST(Mechanisms, HaveNamesAndAreEnabledByDefault) {
   MechanismsOff all;
   for (int i = 0; i < kMechanisms; i++) {
     const auto m = static_cast<Mechanism>(i);
@@ -306,7 +306,7 @@
 }
 
 // What is switched off decides nothing.
-TEST(Mechanisms, SwitchedOffTheyDecideNothing) {
+TEST(Mechanisms, DisabledTheyHaveNoEffect) {
   struct Case {
     Mechanism mechanism;
     std::function<void(EndpointTable*, Time)> load;
@@ -363,7 +363,7 @@
   }
 }
 
-TEST(PeerCounts, SumWhatBoxesHaveAsFirstStage) {
+TEST(PeerCounts, SumFirstStageRequestsOfAllBoxes) {
   const auto row = [](const std::string& name) {
     MemberRow r;
     r.name = name;
--- a/pinford/testing/reading_load_test.cc
+++ b/pinford/testing/reading_load_test.cc
@@ -127,7 +127,7 @@
   return got;
 }
 
-TEST(PrefillLoad, NoRunnerGetsMoreThanItReadsWhileOthersIdle) {
+TEST(PrefillLoad, NoRunnerIsOverloadedWhileOthersIdle) {
   // A fast runner, whose steps are short, reads no more than the slow ones.
   const std::vector<Runner> runners = {{Listed("fast"), Report(0.002, 50)},
                                        {Listed("mid"), Report(0.006, 60)},
@@ -148,7 +148,7 @@
 
 // A chain across halls is the fastest here, but the links between them carry
 // only so many streams; the others stay in their hall.
-TEST(PrefillLoad, LinksBetweenHallsAreNotFilled) {
+TEST(PrefillLoad, CrossHallLinksAreNotSaturated) {
   constexpr double kPerSecond = 60;
   constexpr double kLinksCarry = 20;  // streams a second
   const auto runner = [](const std::string& name, const std::string& hall,
@@ -173,7 +173,7 @@
   EXPECT_GT(crossed / kSeconds, kLinksCarry / 4);
 }
 
-TEST(PrefillLoad, WhatCannotBeToldCostsNothing) {
+TEST(PrefillLoad, UnknownPrefillRateCostsNothing) {
   LoadReport unknown = Report(0.002, 50);
   unknown.read_seconds = 0;
   const auto got = Spread(
