--- a/pinford/testing/chain_choice_benchmark.cc
+++ b/pinford/testing/chain_choice_benchmark.cc
@@ -1,5 +1,5 @@
-// How chains are chosen, against the maximum-flow bound and three baselines.
-// All figures are on a paused clock, so they are the same on each run.
+// Compares how chains are chosen with the maximum-flow bound and the baselines.
+// Runs on a paused clock, so the results are the same on each run.
 
 #include <cstdio>
 
--- a/pinford/testing/chain_choice_test.cc
+++ b/pinford/testing/chain_choice_test.cc
@@ -1,5 +1,5 @@
-// The regression bound on the choice of chains. Its figures come from a paused
-// clock and fixed seeds, so they are the same on each run.
+// Regression bounds on the choice of chains. Paused clock and fixed seeds make
+// the results the same on each run.
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
       {{{0, 2}, {2, 4}}, {8, 4}, 2},
       {{{0, 4}, {0, 4}}, {8, 4}, 3},
       {{{0, 3}, {1, 4}}, {8, 8}, 4},   // the middle layers are shared
-      {{{0, 3}, {1, 4}}, {2, 10}, 2},  // layer 0 is the first's alone
+      {{{0, 3}, {1, 4}}, {2, 10}, 2},  // only the first holds layer 0
       {{{0, 2}, {3, 4}}, {8, 8}, 0},
   };
   for (const auto& c : cases) {
@@ -37,7 +37,7 @@
     options.report_lag = milliseconds(c.lag_ms);
     const PoolResult result = SimulatePool(options);
     EXPECT_GE(result.share, c.min_share);
-    // Tokens that were under way when the window began count at its edge.
+    // Tokens in progress when the window started count at its edge.
     EXPECT_LE(result.share, 1.005);
     options.choice = ChainChoice::kLeastInFlight;
     EXPECT_GT(result.share, SimulatePool(options).share);
--- a/pinford/testing/decisions_test.cc
+++ b/pinford/testing/decisions_test.cc
@@ -1,4 +1,4 @@
-// The small decision modules, each by a table of cases or against a simple
+// Small decision modules, each tested with a table of cases or against a simple
 // oracle.
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
   for (const auto& c : cases) EXPECT_EQ(Partitions(c.chain, {0, 8}), c.valid);
 }
 
-// Every chain there is, by trying all: the cheapest cost, or infinity.
+// Tries every chain; returns the lowest cost, or infinity.
 double CheapestByBruteForce(const std::vector<Candidate>& all, LayerRange range,
                             int last) {
   if (range.empty()) return 0;
@@ -78,7 +78,7 @@
   EXPECT_GT(covered, 100);
 }
 
-// The same of the chains in which no endpoint stands twice.
+// The same over chains in which no endpoint occurs twice.
 double CheapestSimpleByBruteForce(const std::vector<Candidate>& all,
                                   LayerRange range, double cross_hall_cost,
                                   std::vector<int> used) {
@@ -141,7 +141,7 @@
     if (ChainCost(all, *any, cross_hall) < best - 1e-9) repeats++;
   }
   EXPECT_GT(covered, 150);
-  // The cheapest path alone would not have done.
+  // PickChain alone would have returned cheaper chains with repeats.
   EXPECT_GT(repeats, 5);
 }
 
@@ -170,7 +170,7 @@
     }
     EXPECT_GE(deadline.For(c.work), milliseconds(c.min_ms));
     EXPECT_LE(deadline.For(c.work), milliseconds(c.max_ms));
-    // Twice as long after each one that passed, until a reply comes.
+    // Doubled by each missed deadline until a reply is measured.
     const Duration before = deadline.For(c.work);
     deadline.BackOff();
     deadline.BackOff();
@@ -188,14 +188,14 @@
   RetryBudget budget({.per_success = 0.1, .per_second = 5, .most = 50});
   PausedClock clock;
   int taken = 0;
-  // Everything fails for a minute, a thousand times a second.
+  // Everything fails for a minute, 1,000 times per second.
   for (int i = 0; i < 60000; i++) {
     clock.Advance(milliseconds(1));
     if (budget.Take(clock.now())) taken++;
   }
   EXPECT_LE(taken, 50 + 60 * 5);
   EXPECT_GE(taken, 60 * 5);
-  // With successes, a tenth of them at most.
+  // Successes allow retries for at most a tenth of them.
   for (int i = 0; i < 1000; i++) budget.OnSuccess();
   taken = 0;
   while (budget.Take(clock.now())) taken++;
@@ -295,12 +295,12 @@
     EXPECT_TRUE(Takes());
     c.report(this, &table_, &clock_);
     EXPECT_FALSE(Takes());
-    // Sources that lag do not bring it back.
+    // Stale sources do not revert it.
     List(ListedState::kLive, 5);
     Report(5, false);
     EXPECT_FALSE(Takes());
     EXPECT_FALSE(table_.OnLeaving("x", 5)) << "already known";
-    // A new life does, and an old mark does not touch it.
+    // A new incarnation takes work, and an old mark does not affect it.
     List(ListedState::kLive, 6);
     Report(6, false);
     EXPECT_TRUE(Takes());
@@ -365,11 +365,11 @@
 TEST_F(EndpointTableTest, CountsWorkSentSinceTheReport) {
   List(ListedState::kLive, 1);
   for (int i = 0; i < 3; i++) table_.OnSent("x");
-  Report(1, false, 5);  // three of ours, two of others
+  Report(1, false, 5);  // three of this box, two of others
   EXPECT_EQ(table_.LoadOf("x"), 5);
   for (int i = 0; i < 4; i++) table_.OnSent("x");
   EXPECT_EQ(table_.LoadOf("x"), 9);
-  // Peers know better than the late report.
+  // Peer counts take precedence over the older report.
   table_.OnPeerCounts({{NameId("x"), {6, 0}}});
   EXPECT_EQ(table_.LoadOf("x"), 13);
   for (int i = 0; i < 9; i++) table_.OnDone("x");
@@ -381,7 +381,7 @@
   table_.OnPeerCounts({{NameId("x"), {6, 2}}, {NameId("unknown"), {9, 9}}});
   EXPECT_EQ(table_.rows().at("x").peers.work, 6);
   EXPECT_EQ(table_.rows().at("x").peers.entries, 2);
-  // A new life does not take the name from it by which peers count.
+  // A restart keeps the id by which peers count.
   table_.OnNewLife(Time{}, "x");
   EXPECT_EQ(table_.rows().at("x").peers.work, 0);
   table_.OnPeerCounts({{NameId("x"), {3, 1}}});
@@ -411,7 +411,8 @@
   const std::map<std::string, double> weights = {{"a", 1}, {"b", 2}, {"c", 5}};
   for (int i = 0; i < 300; i++) {
     for (const auto& [share, weight] : weights) {
-      // Customers of long answers get no more tokens than those of short.
+      // Customers with long answers get no more tokens than those with short
+      // ones.
       const double cost = share == "a" ? 40 : 10;
       admission.Offer(Time{}, Item(id++, Tier::kStandard, share, weight, cost));
     }
@@ -441,7 +442,7 @@
 TEST(Admission, RefusesAtOnceWhatCannotStartInTime) {
   Admission admission({.max_waiting = 10, .max_share_waiting = 0.5});
   PausedClock clock;
-  // 100 tokens a second drain.
+  // 100 tokens per second drain.
   for (int i = 0; i < 40; i++) {
     clock.Advance(milliseconds(100));
     admission.OnFinished(clock.now(), 10);
@@ -450,7 +451,8 @@
   AdmissionItem first = Item(1, Tier::kStandard, "a", 1, 1000);
   EXPECT_EQ(admission.Offer(clock.now(), first), AdmissionVerdict::kQueued);
   AdmissionItem late = Item(2, Tier::kStandard, "b");
-  late.deadline = clock.now() + seconds(5);  // ten seconds are ahead of it
+  // ten seconds of work are ahead of it
+  late.deadline = clock.now() + seconds(5);
   EXPECT_EQ(admission.Offer(clock.now(), late), AdmissionVerdict::kTooLate);
   EXPECT_GE(admission.RetryAfter(clock.now()), seconds(8));
   AdmissionItem urgent = late;
--- a/pinford/testing/directory_benchmark.cc
+++ b/pinford/testing/directory_benchmark.cc
@@ -1,5 +1,5 @@
-// What the list of endpoints costs a box, by its length: made for a peer, taken
-// from one, and changed by one entry.
+// The cost of the list of endpoints for a box, by its length: encoding it for a
+// peer, applying one from a peer, and changing one entry.
 
 #include <benchmark/benchmark.h>
 
@@ -25,7 +25,7 @@
   return c;
 }
 
-// Ids and addresses of runners have nothing in common that packs well.
+// Ids and addresses of runners are random, so they compress badly.
 std::vector<DirectoryEntry> Entries(int n) {
   Random random(1);
   std::vector<DirectoryEntry> list;
@@ -100,7 +100,7 @@
 }
 BENCHMARK(BM_ListChange)->Arg(99)->Arg(1000)->Arg(2999)->Arg(6100);
 
-// One entry changes, and a peer that has all others is told.
+// One entry changes, and a peer that has all others receives the change.
 void BM_ChangeToAPeer(benchmark::State& state) {
   const auto entries = Entries(static_cast<int>(state.range(0)));
   Box source;
@@ -122,7 +122,7 @@
 }
 BENCHMARK(BM_ChangeToAPeer)->Arg(99)->Arg(1000)->Arg(2999)->Arg(6100);
 
-// A chain over runners that hand over to one another.
+// Picks a chain over runners that hand off to one another.
 void BM_PickAmongRunners(benchmark::State& state) {
   EndpointTable::Options options;
   options.hand_over_directly = true;
--- a/pinford/testing/endpoint_rests_test.cc
+++ b/pinford/testing/endpoint_rests_test.cc
@@ -1,4 +1,5 @@
-// Rests that endpoints ask for: what is read of them, and how long they hold.
+// Backoffs that endpoints request: how answers are read, and how long a backoff
+// holds.
 
 #include "pinford/endpoint_rests.h"
 
@@ -67,7 +68,8 @@
       {200, "", false},
       {200, "no", false},
       {200, nullptr, false},
-      // Perhaps another endpoint's answer, at an address that was given anew.
+      // The address may have been reassigned, so another endpoint may have
+      // answered.
       {421, "1", false},
   };
   for (const auto& c : cases) {
--- a/pinford/testing/hall_planner_test.cc
+++ b/pinford/testing/hall_planner_test.cc
@@ -1,5 +1,6 @@
-// The planner's orders: leases that lapse while their holder is paused, two
-// planners, runners with and without a fence check, the weight store's rate.
+// The planner's orders with leases that expire while their holder is paused,
+// several planners, runners with and without a fencing check, and the weight
+// store's rate limit.
 
 #include "pinford/hall_planner.h"
 
@@ -34,11 +35,11 @@
   } cases[] = {
       {{}, "", {}},
       {{{"a", 1}, {"b", 2}}, "", {}},
-      {{{"a", 2}, {"b", 2}}, "", {}},        // nobody can be spared
-      {{{"a", 2}, {"b", 1}}, "b1", {0, 4}},  // the least loaded goes
-      {{{"a", 2}}, "", {}},                  // b is not the policy's to take
+      {{{"a", 2}, {"b", 2}}, "", {}},        // no runner can be spared
+      {{{"a", 2}, {"b", 1}}, "b1", {0, 4}},  // the least loaded is moved
+      {{{"a", 2}}, "", {}},                  // the policy does not name b
       {{{"a", 3}, {"b", 0}}, "b1", {0, 4}},
-      {{{"c", 1}, {"b", 0}}, "", {}},  // nobody knows c's version
+      {{{"c", 1}, {"b", 0}}, "", {}},  // c's version is unknown
   };
   for (const auto& c : cases) {
     const std::optional<Move> move = NextMove(runners, c.wanted);
@@ -50,7 +51,7 @@
   }
 }
 
-// A model whose runners crowd on some layers is mended from within.
+// A model with too many holders of some layers is rebalanced internally.
 TEST(Placement, MovesWithinAModel) {
   const std::vector<PlannedRunner> runners = {
       Runner("a0", "a", {0, 4}), Runner("a1", "a", {0, 4}),
@@ -61,7 +62,7 @@
   EXPECT_EQ(move->to.range, LayerRange({4, 8}));
 }
 
-// Runners that do as they are told, some after checking the token.
+// Runners that follow orders, some after checking the token.
 struct FakeRunners {
   struct Row {
     PlannedRunner runner;
@@ -70,8 +71,9 @@
   };
   std::map<std::string, Row> rows;
   std::vector<Time> loads;
-  Duration order_delay{};  // every order on its way
-  int stale_accepted = 0;  // orders taken with a token lower than one before
+  Duration order_delay{};  // of every order in transit
+  // orders accepted with a token lower than an earlier one
+  int stale_accepted = 0;
 
   bool Accept(Time now, const std::string& name, const Order& order) {
     Row& row = rows.at(name);
@@ -158,7 +160,7 @@
     return view;
   }
 
-  // The runners hold what the last written plan says.
+  // Whether the runners hold what the last written plan says.
   bool HoldsPlan() {
     const auto& value = store.values["pinford/plan/h"].value;
     std::optional<PlacementPlan> plan = ParsePlan(value);
@@ -169,7 +171,8 @@
     return true;
   }
 
-  // Loads over any stretch of time stay within the weight store's rate.
+  // The largest number of loads in any window of length `d`; the weight store's
+  // rate limits it.
   int MaxLoadsWithin(Duration d) {
     int max_loads = 0;
     for (Time begin : runners.loads) {
@@ -193,7 +196,7 @@
   std::vector<std::unique_ptr<TestPlanner>> planners;
 };
 
-// Plans that were written: their tokens never fall, their numbers grow.
+// Checks the written plans: tokens never decrease, and numbers increase.
 void CheckPlans(const Simulation& w) {
   auto it = w.store.history.find("pinford/plan/h");
   if (it == w.store.history.end()) return;
@@ -223,9 +226,9 @@
   EXPECT_EQ(holders, 1);
 }
 
-// An order is held up on its way, its sender paused, and the next holder of
-// the lease plans otherwise: runners that check the token refuse the old
-// order, and those that do not are put right.
+// An order is delayed in transit and its sender paused while the next holder of
+// the lease plans differently. Runners that check the token refuse the old
+// order; those that do not are corrected later.
 TEST(HallPlanner, StaleOrderIsRefusedOrCorrected) {
   int stale = 0;
   for (int seed = 0; seed < 30; seed++) {
@@ -255,8 +258,8 @@
   printf("%d stale orders were accepted and corrected\n", stale);
 }
 
-// Clocks differ: the store's leases end long before their holders think, so
-// two hold one at a time. What is written still follows the higher token.
+// The store's leases end long before their holders expect it, so two boxes hold
+// one at the same time. The written plans still follow the higher token.
 TEST(HallPlanner, LeaseHoldersWithSlowClocks) {
   for (int seed = 0; seed < 60; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -301,7 +304,7 @@
     EXPECT_TRUE(w.HoldsPlan());
     CheckPlans(w);
     EXPECT_EQ(ReplicasNow(&w, "a"), w.wanted["a"]);
-    // Two orders may lie closer than the spacing by what they took to arrive.
+    // Loads may be closer than the spacing by the orders' time in transit.
     EXPECT_LE(w.MaxLoadsWithin(w.options.load_spacing - milliseconds(400)), 1);
     stale += w.runners.stale_accepted;
     changes += static_cast<int>(w.runners.loads.size());
--- a/pinford/testing/membership_test.cc
+++ b/pinford/testing/membership_test.cc
@@ -1,5 +1,5 @@
-// Membership and the spread of documents on a paused clock: many boxes, a
-// network that loses datagrams, deaths, restarts and cuts.
+// Membership and the spread of documents among many boxes on a paused clock,
+// with lost datagrams, crashes, restarts and partitions.
 
 #include "pinford/membership.h"
 
@@ -20,7 +20,7 @@
     std::unique_ptr<ReplicatedDocument> configuration;
     std::vector<uint64_t> adopted;
     bool up = true;
-    int side = 0;  // boxes reach only those on their own side
+    int side = 0;  // of a partition; boxes reach only those on their side
     int64_t bytes = 0;
   };
 
@@ -63,7 +63,7 @@
     for (auto& d : box.membership->Announce()) Send(i, d);
   }
 
-  // Whether all boxes that are up see just those that are up.
+  // Whether all running boxes see exactly the running boxes.
   bool AllSeeAll() {
     for (Box& box : boxes_) {
       if (!box.up) continue;
@@ -144,7 +144,7 @@
                                  other.membership->AllRows(clock_.now()));
   }
 
-  // Takes the configuration from a peer that has a higher one, a moment later
+  // Fetches the configuration from a peer that has a newer one, after a delay
   // and possibly out of order.
   void Fetch(int i) {
     Box& box = boxes_[i];
@@ -179,7 +179,7 @@
     auto all = [&net] { return net.AllSeeAll(); };
     const Duration meet = net.TimeUntil(seconds(60), all);
     EXPECT_LT(meet, seconds(30));
-    // None is suspected without cause.
+    // No member is suspected without cause.
     for (int i = 0; i < 100; i++) {
       net.clock_.Advance(milliseconds(600));
       EXPECT_TRUE(net.AllSeeAll()) << "after " << i;
@@ -199,8 +199,8 @@
   }
 }
 
-// Its digests reach one member at a time; the others hear of its new life by
-// its heartbeat in the digests of those.
+// Its digests reach one member at a time. The others learn of its new
+// incarnation from its heartbeat in the digests of those.
 TEST(Membership, ADroppedMemberThatRestartsIsBackSoon) {
   for (uint64_t seed = 1; seed <= 8; seed++) {
     SCOPED_TRACE(seed);
@@ -215,8 +215,8 @@
   }
 }
 
-// Duties fall on the right boxes once a box sees its hall. All start together,
-// as after a power loss; then a box starts alone.
+// Roles are assigned correctly only once a box sees its whole hall. First all
+// boxes start together, as after a power loss; then one starts alone.
 TEST(Membership, ANewBoxSeesItsHallWithinTheJoinTime) {
   const struct { int boxes, halls; } cases[] = {{8, 3}, {66, 4}, {99, 3}};
   for (const auto& c : cases) {
@@ -291,7 +291,7 @@
   Digest leaving;
   leaving.sender = row;
   a.OnDigest(net.clock_.now(), late);
-  // The same heartbeat, with news in it.
+  // The same heartbeat with new state.
   const auto changes = a.OnDigest(net.clock_.now(), leaving);
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_EQ(changes[0].second, MemberChange::kLeaving);
@@ -332,7 +332,7 @@
   net.clock_.Advance(seconds(30));
   for (int i = 5; i < 8; i++) net.at(i).side = 1;
   net.Adopt(0, 1);
-  // Long enough for the sides to forget each other.
+  // Long enough for the sides to drop each other.
   net.clock_.Advance(seconds(300));
   EXPECT_FALSE(net.AllHave(1));
   for (int i = 5; i < 8; i++) net.at(i).side = 0;
--- a/pinford/testing/overload_benchmark.cc
+++ b/pinford/testing/overload_benchmark.cc
@@ -1,5 +1,6 @@
-// Order and limits under load, and the paper's headroom per tier beside them.
-// On a paused clock, so the figures are the same on each run.
+// Order and limits under load, compared with headroom per tier as in the paper
+// (overload_simulation.h). Runs on a paused clock, so the results are the same
+// on each run.
 
 #include <cstdio>
 
--- a/pinford/testing/overload_simulation.h
+++ b/pinford/testing/overload_simulation.h
@@ -1,12 +1,12 @@
 // Admission under load on a paused clock: one box, a pool of slots with a
 // fixed rate, and callers of several tiers and customers.
 //
-// A request holds a slot for its tokens over the rate of one slot. Orders
-// that are compared: first come first served; pinford's two levels of fair
-// queueing; and headroom per tier after Vestrum, Raeesi and Rod, "Extending
+// A request occupies a slot for its tokens divided by the rate of one slot. The
+// orders compared are first come first served, pinford's two levels of fair
+// queueing, and headroom per tier after Vestrum, Raeesi and Rod, "Extending
 // Llumnix's binary priority model to multi-tier SLA scheduling": tier p of K
 // may start only while H_q = h_max * M * exp(-lambda q) slots stay free for
-// each tier q above it that has work here.
+// each higher tier q that has work waiting or running.
 
 #ifndef PINFORD_TESTING_OVERLOAD_SIMULATION_H_
 #define PINFORD_TESTING_OVERLOAD_SIMULATION_H_
@@ -25,9 +25,9 @@
 struct OverloadOptions {
   OrderRule rule = OrderRule::kFairQueueing;
   int tiers = kTierCount;  // into which the four classes are folded
-  double offered = 2;      // of what the slots can carry
+  double offered = 2;      // fraction of the slots' capacity
   int slots = 64;
-  double slot_rate = 20;  // tokens a second
+  double slot_rate = 20;  // tokens per second
   double h_max = 0.20;
   double lambda = 0.5;
   Duration length = seconds(300);
@@ -45,7 +45,7 @@
   };
   std::array<Class, kTierCount> classes;
   double goodput = 0;      // tokens of requests started in time / capacity
-  double small_share = 0;  // what a small customer got of its fair part
+  double small_share = 0;  // served fraction of the small customers' tokens
 };
 
 OverloadResult SimulateOverload(const OverloadOptions& options);
--- a/pinford/testing/overload_simulation_standin.cc
+++ b/pinford/testing/overload_simulation_standin.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-// The four classes of callers: a part of the requests, their tokens, and how
-// long they wait for a start.
+// The four classes of callers: their fraction of the requests, their mean
+// tokens, and how long they wait for a start.
 struct ClassSpec {
   double part;
   double tokens;
@@ -62,7 +62,8 @@
       small += served_[i];
       small_offered += asked_[i];
     }
-    // Small customers ask for less than an even part; they should get it all.
+    // Small customers offer less than an even share, so all of it should be
+    // served.
     result.small_share = small / std::max(1.0, small_offered);
     return result;
   }
--- a/pinford/testing/overload_test.cc
+++ b/pinford/testing/overload_test.cc
@@ -1,5 +1,5 @@
-// The regression bound on order and limits under load. Paused clock and fixed
-// seeds: the same figures on each run.
+// Regression bounds on order and limits under load. Paused clock and fixed
+// seeds make the results the same on each run.
 
 #include <gtest/gtest.h>
 
--- a/pinford/testing/pool_capacity_test.cc
+++ b/pinford/testing/pool_capacity_test.cc
@@ -1,4 +1,4 @@
-// What the runners of a pool can still read, and how it prices them.
+// A pool's free prefill capacity, and how queued prefill affects costs.
 
 #include "pinford/pool_capacity.h"
 
@@ -11,7 +11,7 @@
 
 constexpr int kLayers = 4;
 constexpr double kMemory = 100;
-constexpr double kReadSeconds = 0.001;  // a token in a layer
+constexpr double kReadSeconds = 0.001;  // one token in one layer
 
 class PoolCapacityTest : public testing::Test {
  protected:
@@ -86,7 +86,7 @@
   table_.SetDown("c", true);
   EXPECT_EQ(Capacity().LeastOf("h1").holders, 0);
   EXPECT_DOUBLE_EQ(Capacity().LeastOf("h1").read_per_s, 0);
-  // A prompt of 500 tokens: half of its time for a second, over two.
+  // 500 tokens take half of its time for a second, averaged over two seconds.
   table_.OnPrompt(now_, "d", 500 * kLayers);
   EXPECT_NEAR(Capacity().LeastOf("h2").read_per_s, 12.5, 1);
 }
@@ -108,8 +108,8 @@
   EXPECT_LT(QueueFactor(0.05), QueueFactor(0.1));
 }
 
-// Prompts that are read at once leave no trace; the same number that wait send
-// the next one elsewhere.
+// Prompts that have been run leave no trace; the same number of queued prompts
+// sends the next one elsewhere.
 TEST_F(PoolCapacityTest, NextPromptAvoidsQueuedPrefill) {
   const auto first = [this] {
     const auto chain = table_.PickChainFor(
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -1,5 +1,5 @@
-// What decides which runners of a pool a new request gets: the slots of first
-// stages, what runners say they hold, and the links between halls.
+// How a pool's runners are chosen for new requests: first-stage slots, the
+// runners' own figures, and the links between halls.
 
 #include <gtest/gtest.h>
 
@@ -74,7 +74,7 @@
 
 TEST_F(PoolChoice, FirstStagesKeepToTheirSlots) {
   Add({{"fast", "h1", {0, kLayers}, 0.001}, {"slow", "h1", {0, kLayers}, 0.1}});
-  // By this box, by its peers, and by both.
+  // Used by this box, by its peers, and by both.
   for (const auto& [own, peers] : {std::pair(20, 0), {0, 20}, {12, 8}}) {
     EXPECT_EQ(First(), "fast");
     for (int i = 0; i < own; i++) table_.OnEntry("fast");
@@ -101,8 +101,8 @@
   EXPECT_FALSE(Pick());
 }
 
-// What a runner says corrects the account both ways, and fades as the account
-// is what is newer.
+// A runner's report corrects the estimate up or down, and decays as the
+// estimate becomes the more recent of the two.
 TEST_F(PoolChoice, RunnerReportCorrectsTheEstimate) {
   struct Case {
     int own;
@@ -119,7 +119,7 @@
     EXPECT_NEAR(table_.TakenOf(now_, "a"), estimate, 1e-9);
     table_.OnObserved(now_, "a", c.reported, 0);
     EXPECT_NEAR(table_.TakenOf(now_, "a"), c.reported / kMemory, 1e-9);
-    // What is sent afterwards counts beside it.
+    // Work sent afterwards is added.
     table_.OnSent("a", 50);
     EXPECT_NEAR(table_.TakenOf(now_, "a"), (c.reported + 50) / kMemory, 1e-9);
     now_ += seconds(20);
@@ -135,8 +135,8 @@
   EXPECT_EQ(First(), "a");
 }
 
-// A stage that failed rests, but one that has answered since serves where no
-// other can. One that has not answered does not.
+// A stage that failed backs off, but serves as a last resort if it has answered
+// since.
 TEST_F(PoolChoice, EndpointThatAnsweredSinceItFailedServesAsLastResort) {
   Add({{"a", "h1", {0, 6}, 0.001}, {"b", "h1", {6, kLayers}, 0.001}});
   now_ += seconds(1);
@@ -147,7 +147,7 @@
   table_.OnObserved(now_, "b", 0, 0);
   EXPECT_EQ(table_.VersionFor(now_, "m", "").value_or(""), "1");
   EXPECT_TRUE(Pick());
-  // It is no first choice while it rests.
+  // It is not the first choice while it backs off.
   Add({{"a", "h1", {0, 6}, 0.001},
        {"b", "h1", {6, kLayers}, 0.001},
        {"c", "h1", {6, kLayers}, 0.1}});
@@ -184,7 +184,7 @@
     EndpointTable table("h1", Options(), Random(1));
     std::swap(table, table_);
     Add(runners);
-    table_.set_crossing_seconds(1 / 20000.0);  // a link carries 20 a second
+    table_.set_crossing_seconds(1 / 20000.0);  // a link carries 20 per second
     constexpr int kSent = 600;
     int n = 0;
     for (int i = 0; i < kSent; i++) {
@@ -194,7 +194,7 @@
       table_.OnCrossing(now_, 1000);
       n++;
     }
-    return n * 100.0 / kSent;  // a second
+    return n * 100.0 / kSent;  // per second
   };
   const double one_link = crossed(two);
   const double three_links = crossed(three);
@@ -204,8 +204,9 @@
   EXPECT_LT(three_links, 3 * 20);
 }
 
-// Streams on four equal holders of all layers and one that is five times as
-// fast, at a fifth of the room: what the loss of one runner interrupts at most.
+// Distributes streams over four equal holders of all layers and one that is
+// five times as fast, until a fifth of their memory is in use. Returns the
+// largest fraction on one runner, which its loss would interrupt.
 double MaxShareOnOneRunner(bool by_speed_alone, double gap_share) {
   EndpointTable::Options options;
   options.report_valid = hours(1);
@@ -249,7 +250,7 @@
 TEST(SpeedWeightTest, AFastRunnerDoesNotCarryMostStreams) {
   EXPECT_GE(MaxShareOnOneRunner(true, 0.1), 0.75);
   EXPECT_LE(MaxShareOnOneRunner(false, 0.1), 0.62);
-  // Where events take much of the pause, speed counts in full.
+  // Where events take much of the pause, speed counts fully.
   EXPECT_EQ(MaxShareOnOneRunner(false, 0.3), MaxShareOnOneRunner(true, 0.3));
 }
 
@@ -269,7 +270,7 @@
   EXPECT_DOUBLE_EQ(base, 0.001);
   const struct {
     RunnerLoad load;
-    double factor;  // the idle one's price
+    double factor;  // on the idle runner's cost
   } cases[] = {
       {{0.004, 1, 0, 0}, 4},     {{0.001, 2, 0, 0}, 4},
       {{0.001, 1, 0.5, 0}, 2},   {{0.001, 1, 0, 0.75}, 4},
@@ -279,14 +280,14 @@
   for (const auto& c : cases) {
     EXPECT_NEAR(LayerCost(c.load, 0.001, 1) / base, c.factor, 1e-9);
   }
-  // With half of its weight, four times the time is twice the price.
+  // With half the weight, four times the time doubles the cost.
   EXPECT_NEAR(LayerCost(cases[0].load, 0.001, 0.5) / base, 2, 1e-9);
   EXPECT_EQ(FirstStageSlotCost(0, 20), 0);
   EXPECT_DOUBLE_EQ(FirstStageSlotCost(10, 20), 0.001);
   EXPECT_TRUE(std::isinf(FirstStageSlotCost(19, 20)));
 }
 
-// Every mechanism has a name that reads back, and is on unless it is named.
+// Every mechanism has a name that parses back, and is enabled unless disabled.
 TEST(Mechanisms, HaveNamesAndAreEnabledByDefault) {
   MechanismsOff all;
   for (int i = 0; i < kMechanisms; i++) {
@@ -305,7 +306,6 @@
   }
 }
 
-// What is switched off decides nothing.
 TEST(Mechanisms, DisabledTheyHaveNoEffect) {
   struct Case {
     Mechanism mechanism;
@@ -355,7 +355,7 @@
       const auto chain =
           table.PickChainFor(now + milliseconds(2), "m", "1", {0, 1},
                              [](const std::string&) { return 1.0; });
-      // Serving at need is the one that lets in, the others keep out.
+      // The last resort adds candidates; the others exclude them.
       const bool admits = c.mechanism == Mechanism::kServeAtNeed;
       EXPECT_EQ(chain.has_value(), off != admits)
           << MechanismName(c.mechanism) << " off: " << off;
--- a/pinford/testing/pool_simulation.h
+++ b/pinford/testing/pool_simulation.h
@@ -1,10 +1,9 @@
 // A pool of queues on a paused clock, to measure how chains are chosen.
 //
-// An engine here is one first-in-first-out queue with a rate in layer
-// positions a second; a stream is a chain through which one token after the
-// other goes. Boxes decide apart, each with its own table, from reports and
-// peers' counts that are late. It is a model of the decision's surroundings,
-// no more: no failures, no prompts, no memory.
+// An engine is one first-in-first-out queue with a rate in layer positions per
+// second. A stream is a chain through which one token after the other passes.
+// Boxes decide independently, each with its own table, from stale reports and
+// peers' counts. The model has no failures, prompts or memory.
 
 #ifndef PINFORD_TESTING_POOL_SIMULATION_H_
 #define PINFORD_TESTING_POOL_SIMULATION_H_
@@ -43,8 +42,8 @@
   Duration peer_lag = milliseconds(500);
   // One runner whose link is this many times slower; 1 for none.
   double slow_link = 1;
-  // 0: as many streams as fill every queue. Else streams arrive by a Poisson
-  // process that offers this share of the bound.
+  // 0: as many streams as fill every queue. Otherwise streams arrive by a
+  // Poisson process that offers this fraction of the bound.
   double offered = 0;
   Duration warm_up = seconds(20);
   Duration length = seconds(40);
@@ -53,8 +52,8 @@
 };
 
 struct PoolResult {
-  double bound = 0;      // tokens a second, by maximum flow
-  double tokens = 0;     // tokens a second that were measured
+  double bound = 0;      // tokens per second, by maximum flow
+  double tokens = 0;     // tokens per second that were measured
   double share = 0;      // tokens / bound
   double first_p95 = 0;  // seconds
   double between_p95 = 0;
@@ -63,13 +62,13 @@
 
 PoolResult SimulatePool(const PoolOptions& options);
 
-// The most tokens a second that endpoints with these holdings and rates
-// (layer positions a second) can give, were every token free to take any
-// endpoint for any layer.
+// The maximum tokens per second of endpoints with these holdings and rates
+// (layer positions per second), if every token could use any endpoint for any
+// layer.
 double FlowBound(const std::vector<LayerRange>& holdings,
                  const std::vector<double>& rates, int layers);
 
-// The value at `q` of the sorted copy of `values`; 0 for none.
+// The quantile `q` of `values`; 0 for none.
 double Quantile(std::vector<double> values, double q);
 
 }  // namespace pinford
--- a/pinford/testing/pool_simulation_standin.cc
+++ b/pinford/testing/pool_simulation_standin.cc
@@ -31,8 +31,8 @@
 
 // --- the bound -------------------------------------------------------------
 
-// Whether `t` tokens a second can flow: each layer asks for t, an endpoint
-// gives at most its rate. Augmenting paths by breadth-first search
+// Whether `t` tokens per second can flow: each layer needs t, and an endpoint
+// supplies at most its rate. Finds augmenting paths by breadth-first search
 // (Edmonds and Karp, 1972) over layers and endpoints.
 static bool Flows(const std::vector<LayerRange>& holdings,
                   const std::vector<double>& rates, int layers, double t) {
@@ -108,9 +108,9 @@
 
 namespace {
 
-// Rates of the six kinds of accelerator, against the slowest.
+// Rates of the six kinds of accelerator relative to the slowest.
 constexpr double kKinds[] = {1, 1.5, 2, 3, 4, 6};
-// Layer positions a second of the slowest.
+// Layer positions per second of the slowest.
 constexpr double kSlowest = 400;
 
 struct Runner {
@@ -153,7 +153,7 @@
       Arrive();
     } else {
       // Enough that queues need not run empty, few enough that each stream is
-      // placed anew several times while it is measured.
+      // placed several times while it is measured.
       constexpr int kPerRunner = 8;
       for (int i = 0; i < kPerRunner * options_.runners; i++) {
         clock_.After(milliseconds(random_() % 5000),
@@ -181,9 +181,9 @@
     bool restart = false;
   };
 
-  // Blocks of a quarter of the layers, and for every third runner of a half,
-  // so that the ranges overlap and each block has holders of several kinds. A
-  // walk that goes as far as each runner holds never meets a lone holder.
+  // Blocks of a quarter of the layers, and for every third runner of a half, so
+  // that the ranges overlap and each block has holders of several kinds. Every
+  // layer that a baseline's walk reaches has several holders.
   void MakeRunners() {
     const int block = options_.layers / 4;
     for (int i = 0; i < options_.runners; i++) {
@@ -273,7 +273,7 @@
     return -1;
   }
 
-  // What the least-loaded baselines compare.
+  // The load that the least-loaded baselines compare.
   double LoadOn(int box, int i) const {
     const EndpointTable& table = *boxes_[box].table;
     const std::string& name = runners_[i].name;
@@ -282,8 +282,9 @@
     return table.BacklogOf(name);
   }
 
-  // The baselines walk from the first layer to the last and take, of the
-  // runners that hold the layer, one by their rule, for as far as it holds.
+  // The baselines go from the first layer to the last. At each point they pick
+  // one of the layer's holders by their rule and use it for all layers that it
+  // holds from there on.
   std::vector<std::pair<int, LayerRange>> BaselineChain(int box) {
     std::vector<std::pair<int, LayerRange>> chain;
     int at = 0;
--- a/pinford/testing/reading_load_test.cc
+++ b/pinford/testing/reading_load_test.cc
@@ -1,5 +1,5 @@
-// Prompts against what runners can read of them: boxes that hear nothing of
-// each other spread them all the same.
+// Boxes that receive nothing from each other still spread prompts according to
+// what the runners can prefill.
 
 #include <gtest/gtest.h>
 
@@ -23,8 +23,8 @@
   return e;
 }
 
-// A runner of all layers that takes `step` seconds for a token and reads
-// `prompts` prompts of a thousand tokens a second.
+// A runner of all layers that takes `step` seconds for a token and prefills
+// `prompts` prompts of a thousand tokens per second.
 LoadReport Report(double step, double prompts) {
   LoadReport r;
   r.incarnation = 1;
@@ -63,7 +63,7 @@
   LoadReport report;
 };
 
-// Boxes of hall "h" that hear nothing of each other.
+// Boxes of hall "h" that receive nothing from each other.
 class Fleet {
  public:
   Fleet(int boxes, const std::vector<Runner>& runners) {
@@ -87,8 +87,8 @@
     for (auto& table : tables_) table->set_crossing_seconds(s);
   }
 
-  // Some box sends a prompt of a thousand tokens, `after` the one before.
-  // Returns where; its last runner's hall is in `last_hall`.
+  // A random box sends a prompt of a thousand tokens, `after` the previous one.
+  // Returns its chain; `last_hall` receives its last runner's hall.
   Chain SendPrompt(Duration after, std::string* last_hall = nullptr) {
     now_ += after;
     EndpointTable& table = *tables_[random_() % tables_.size()];
@@ -114,7 +114,7 @@
 
 constexpr int kSeconds = 20;
 
-// Prompts a second that each runner gets of `per_s` in all.
+// Prompts per second that each runner gets of `per_s` in total.
 std::map<std::string, double> Spread(int boxes, double per_s,
                                      const std::vector<Runner>& runners) {
   Fleet fleet(boxes, runners);
@@ -128,29 +128,29 @@
 }
 
 TEST(PrefillLoad, NoRunnerIsOverloadedWhileOthersIdle) {
-  // A fast runner, whose steps are short, reads no more than the slow ones.
+  // A fast runner, whose steps are short, prefills no more than the slow ones.
   const std::vector<Runner> runners = {{Listed("fast"), Report(0.002, 50)},
                                        {Listed("mid"), Report(0.006, 60)},
                                        {Listed("slow"), Report(0.016, 60)}};
   for (int boxes : {1, 8, 40}) {
     SCOPED_TRACE(std::to_string(boxes) + " boxes");
-    // At 70% of what all can read.
+    // At 70% of what all can prefill.
     auto got = Spread(boxes, 119, runners);
-    // With many boxes each sends too seldom to see more than a rough share.
+    // With many boxes, each sends too seldom to see more than a rough share.
     EXPECT_LT(got["fast"], boxes > 8 ? 55 : 50);
     EXPECT_LT(got["mid"], 60);
     EXPECT_LT(got["slow"], 60);
-    // With little to do, the fast one does most of it.
+    // With little load, the fast one does most of the work.
     got = Spread(boxes, 10, runners);
     EXPECT_GT(got["fast"], got["slow"]);
   }
 }
 
 // A chain across halls is the fastest here, but the links between them carry
-// only so many streams; the others stay in their hall.
+// only a limited number of streams; the others stay in their hall.
 TEST(PrefillLoad, CrossHallLinksAreNotSaturated) {
   constexpr double kPerSecond = 60;
-  constexpr double kLinksCarry = 20;  // streams a second
+  constexpr double kLinksCarry = 20;  // streams per second
   const auto runner = [](const std::string& name, const std::string& hall,
                          LayerRange holds, double step) {
     Runner r{Listed(name), Report(step, 500)};
--- a/pinford/testing/slope_benchmark.cc
+++ b/pinford/testing/slope_benchmark.cc
@@ -1,5 +1,5 @@
-// The slopes from which docs/CAPACITY.md is worked out: what each part costs
-// for one unit of its work, at three sizes or more.
+// Costs per unit of work of each part, at three sizes or more. docs/CAPACITY.md
+// is computed from their slopes.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -45,14 +45,14 @@
   return m;
 }
 
-// One digest made, sealed, opened and taken in: what a gossip round costs a
-// box as sender and as receiver. Arguments: boxes in the hall, elsewhere.
+// One digest built, sealed, opened and applied: the cost of a gossip round for
+// a box as sender and as receiver. Arguments: boxes in the hall, elsewhere.
 void BM_GossipRound(benchmark::State& state) {
   Membership a = Fleet(state.range(0), state.range(1));
   Membership b = Fleet(state.range(0), state.range(1));
   const PeerCodec codec("a key of sixteen");
   size_t bytes = 0;
-  Time now = Time{} + seconds(6);  // nobody counts as joined just now
+  Time now = Time{} + seconds(6);  // no member counts as just joined
   double interval = 0;
   for (auto _ : state) {
     auto [out, next] = a.Tick(
@@ -75,10 +75,8 @@
     ->Args({33, 160})
     ->Args({33, 697});
 
-// What peers have on each endpoint, as a box works it out at each tick.
-// Arguments: boxes, endpoints.
-// Runners of three kinds in `halls` halls, the given part of which hold
-// nothing.
+// Runners of three kinds in `halls` halls, of which `empty_of_a_hundred` in a
+// hundred hold nothing.
 std::vector<PoolRunner> RunnersOf(const EnginePool& pool, int n, int halls,
                                   int empty_of_a_hundred) {
   constexpr int kHundred = 100;
@@ -105,7 +103,8 @@
   return pool;
 }
 
-// Placing a pool that holds nothing, a tenth of one, and looking for a move.
+// Placing a pool of which all, none or a tenth of the runners are empty.
+// Arguments: runners, empty ones in a hundred.
 void BM_PlaceRest(benchmark::State& state) {
   const EnginePool pool = PoolOfEighty();
   const auto runners = RunnersOf(pool, static_cast<int>(state.range(0)), 3,
@@ -148,7 +147,7 @@
 }
 BENCHMARK(BM_BestMoves)->Arg(190)->Arg(1000)->Arg(6100);
 
-// The ranks of a hall's boxes for the store, made anew at each turn.
+// Computes the ranks of a hall's boxes for the store, as on each refresh.
 void BM_SourceRoster(benchmark::State& state) {
   const int boxes = static_cast<int>(state.range(0));
   const int halls = static_cast<int>(state.range(1));
@@ -169,6 +168,8 @@
 }
 BENCHMARK(BM_SourceRoster)->Args({60, 4})->Args({300, 5})->Args({730, 22});
 
+// Sums the peers' counts for each endpoint, as a box does at each tick.
+// Arguments: boxes, endpoints.
 void BM_PeerCounts(benchmark::State& state) {
   const auto boxes = static_cast<int>(state.range(0));
   const auto endpoints = static_cast<uint32_t>(state.range(1));
@@ -225,8 +226,8 @@
   return table;
 }
 
-// What peers told since the last tick, handed to the table: so many runners,
-// each fourth of which some peer counts.
+// Applies to the table what peers reported since the last tick. Argument: the
+// number of runners, of which peers count a quarter.
 void BM_CountsToTheTable(benchmark::State& state) {
   const auto runners = static_cast<int>(state.range(0));
   EndpointTable table = Runners(runners, 80);
@@ -254,7 +255,7 @@
     ->Args({90, 80})
     ->Args({277, 80});
 
-// One look at what endpoints there are, as each arriving request takes.
+// The checks of the present endpoints that each arriving request makes.
 void BM_SlotsOfModel(benchmark::State& state) {
   EndpointTable table = Runners(static_cast<int>(state.range(0)), 80);
   for (auto _ : state) {
@@ -276,7 +277,7 @@
 }
 BENCHMARK(BM_EndpointMemory)->Arg(30)->Arg(277)->Arg(6100);
 
-// A load report read, as from a poll.
+// Parses a load report, as from a poll.
 void BM_ReadReport(benchmark::State& state) {
   LoadReport r;
   r.model = "model";
@@ -309,7 +310,7 @@
 }
 BENCHMARK(BM_Classify)->Arg(10)->Arg(780)->Arg(10000);
 
-// One request offered and one taken, with so many waiting and customers.
+// One request offered and one started. Arguments: waiting requests, customers.
 void BM_Admission(benchmark::State& state) {
   Admission admission({.max_waiting = 1000000});
   const auto customers = static_cast<int>(state.range(1));
@@ -331,8 +332,9 @@
 }
 BENCHMARK(BM_Admission)->Args({10, 10})->Args({200, 100})->Args({2000, 780});
 
-// An activation's way through the box: read from one stage's reply, written
-// into the next stage's request. Argument: bytes of one activation as text.
+// The path of an activation through the box: parsed from one stage's reply and
+// written into the next stage's request. Argument: bytes of one activation as
+// text.
 void BM_RelayActivation(benchmark::State& state) {
   StepReply reply;
   reply.id = {"0123456789abcdef0123456789abcdef", 5, 3, 17, {0, 20}};
@@ -352,7 +354,7 @@
     ->Arg(1 << 14)
     ->Arg(1 << 15);
 
-// A configuration taken in by a box: read, compiled and tried.
+// A configuration adopted by a box: parsed, compiled and tried.
 void BM_AdoptConfiguration(benchmark::State& state) {
   std::string source = "function classify(r) return {} end\n";
   while (source.size() < static_cast<size_t>(state.range(0))) {
