--- a/pinford/endpoint_choice.cc
+++ b/pinford/endpoint_choice.cc
@@ -99,9 +99,9 @@
     const std::string& hall = row->listed.hall;
     const int number =
         halls.emplace(hall, static_cast<int>(halls.size())).first->second;
-    const bool far = hall != hall_ && !options_.hand_over_directly;
+    const bool remote = hall != hall_ && !options_.hand_over_directly;
     const double handoff =
-        far ? options_.other_hall_seconds : options_.handoff_seconds;
+        remote ? options_.other_hall_seconds : options_.handoff_seconds;
     const double cost = CostOf(now, *row, means) *
                         std::pow(options_.cost.factor, jitter(random_));
     const bool elsewhere = hall != hall_ && options_.hand_over_directly;
--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -405,8 +405,8 @@
 bool EndpointTable::HasMemoryFor(Time now, const Row& row,
                                  double layer_work) const {
   if (row.report->room <= 0 || !enabled(Mechanism::kRoomBound)) return true;
-  const double more = layer_work * row.report->holds.size();
-  return MemoryUsedOf(now, row) + more <=
+  const double needed = layer_work * row.report->holds.size();
+  return MemoryUsedOf(now, row) + needed <=
          row.report->room * options_.max_memory_utilization;
 }
 
--- a/pinford/membership.cc
+++ b/pinford/membership.cc
@@ -260,9 +260,9 @@
 std::vector<std::pair<std::string, MemberChange>> Membership::OnDigest(
     Time now, const Digest& digest) {
   std::vector<std::pair<std::string, MemberChange>> changes;
-  const bool news = OnRow(now, digest.sender, &changes);
+  const bool updated = OnRow(now, digest.sender, &changes);
   auto it = members_.find(digest.sender.name);
-  if (news && it != members_.end()) {
+  if (updated && it != members_.end()) {
     Member& m = it->second;
     m.counts = digest.counts;
     m.counts_received = now;
@@ -315,9 +315,10 @@
   const uint64_t own = RendezvousWeight(self_.name, role);
   int before = 0;
   for (const auto& [name, m] : members_) {
-    const bool able = m.row.hall == self_.hall &&
-                      m.row.state == MemberState::kLive && !Suspected(now, m);
-    if (able && RendezvousWeight(name, role) > own) before++;
+    const bool eligible = m.row.hall == self_.hall &&
+                          m.row.state == MemberState::kLive &&
+                          !Suspected(now, m);
+    if (eligible && RendezvousWeight(name, role) > own) before++;
   }
   return before < count;
 }
--- a/pinford/testing/endpoint_rests_test.cc
+++ b/pinford/testing/endpoint_rests_test.cc
@@ -20,7 +20,7 @@
   const struct {
     int status;
     const char* retry_after;  // nullptr for none
-    int64_t rest_ms;          // -1 for none
+    int64_t expected_ms;      // -1 for none
   } cases[] = {
       {503, "3", 3000},
       {503, "0.25", 250},
@@ -49,7 +49,7 @@
     }
     const EndpointNotice notice = ReadNotice(head, ForwardHeaders());
     const int64_t ms = notice.rest ? ToMillis(*notice.rest) : -1;
-    EXPECT_EQ(ms, c.rest_ms)
+    EXPECT_EQ(ms, c.expected_ms)
         << c.status << " " << (c.retry_after ? c.retry_after : "none");
   }
 }
@@ -99,8 +99,8 @@
   };
   for (const auto& c : cases) {
     EndpointBackoffs backoffs;
-    for (const auto& [at, rest] : c.requested)
-      backoffs.OnRequested(At(at), "a", rest);
+    for (const auto& [at, backoff] : c.requested)
+      backoffs.OnRequested(At(at), "a", backoff);
     EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "a"), c.left) << c.name;
     EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "b"), Duration(0)) << c.name;
     EXPECT_EQ(backoffs.Count(At(c.now_ms)), c.left > Duration(0) ? 1 : 0);
@@ -110,18 +110,18 @@
 TEST(EndpointBackoffs, MatchesAListOfAllRequests) {
   Random random(7);
   std::uniform_int_distribution<int> step(0, 400);
-  std::uniform_int_distribution<int> who(0, 4);
-  std::uniform_int_distribution<int> ask(0, 3000);
+  std::uniform_int_distribution<int> endpoint_index(0, 4);
+  std::uniform_int_distribution<int> backoff_ms(0, 3000);
   EndpointBackoffs backoffs;
   std::vector<std::pair<std::string, Time>> requested;
   Time now = At(0);
   for (int i = 0; i < 5000; i++) {
     now += milliseconds(step(random));
-    const std::string name(1, static_cast<char>('a' + who(random)));
+    const std::string name(1, static_cast<char>('a' + endpoint_index(random)));
     if (step(random) % 3 == 0) {
-      const Duration rest = milliseconds(ask(random));
-      backoffs.OnRequested(now, name, rest);
-      requested.emplace_back(name, now + rest);
+      const Duration backoff = milliseconds(backoff_ms(random));
+      backoffs.OnRequested(now, name, backoff);
+      requested.emplace_back(name, now + backoff);
     }
     Duration left{};
     for (const auto& [n, until] : requested) {
--- a/pinford/testing/pool_simulation_standin.cc
+++ b/pinford/testing/pool_simulation_standin.cc
@@ -40,7 +40,7 @@
   const int sink = layers + n;
   const double epsilon = t * 1e-6;
   std::vector<double> left(rates);
-  std::vector<std::map<int, double>> given(n);  // endpoint -> layer -> rate
+  std::vector<std::map<int, double>> flow(n);  // endpoint -> layer -> rate
   for (int layer = 0; layer < layers; layer++) {
     double lacking = t;
     while (lacking > epsilon) {
@@ -66,7 +66,7 @@
           from[sink] = v;
           break;
         }
-        for (const auto& [other, rate] : given[e]) {
+        for (const auto& [other, rate] : flow[e]) {
           if (rate > epsilon && from[other] < 0) {
             from[other] = v;
             queue.push(other);
@@ -76,14 +76,14 @@
       if (from[sink] < 0) return false;
       double push = std::min(lacking, left[from[sink] - layers]);
       for (int v = from[sink]; v != layer; v = from[v]) {
-        if (v < layers) push = std::min(push, given[from[v] - layers][v]);
+        if (v < layers) push = std::min(push, flow[from[v] - layers][v]);
       }
       left[from[sink] - layers] -= push;
       for (int v = from[sink]; v != layer; v = from[v]) {
         if (v >= layers) {
-          given[v - layers][from[v]] += push;
+          flow[v - layers][from[v]] += push;
         } else {
-          given[from[v] - layers][v] -= push;
+          flow[from[v] - layers][v] -= push;
         }
       }
       lacking -= push;
@@ -338,8 +338,8 @@
   }
 
   Duration LinkDelay(const Stream& s, const Runner& r) const {
-    const bool near = r.hall == s.box % options_.halls;
-    return FromSeconds((near ? 0.0005 : 0.001) * r.link);
+    const bool local = r.hall == s.box % options_.halls;
+    return FromSeconds((local ? 0.0005 : 0.001) * r.link);
   }
 
   void Step(const std::shared_ptr<Stream>& s, size_t stage) {
--- a/pinford/testing/slope_benchmark.cc
+++ b/pinford/testing/slope_benchmark.cc
@@ -32,11 +32,11 @@
   return row;
 }
 
-Membership Fleet(int near, int far) {
+Membership Fleet(int local, int remote) {
   Membership m(Row(0, "h0"), {}, Membership::Options(), Random(1));
   std::vector<MemberRow> rows;
-  for (int i = 1; i < near + far; i++) {
-    rows.push_back(Row(i, i < near ? "h0" : "h" + std::to_string(1 + i % 21)));
+  for (int i = 1; i < local + remote; i++) {
+    rows.push_back(Row(i, i < local ? "h0" : "h" + std::to_string(1 + i % 21)));
   }
   m.OnRows(Time{}, rows);
   std::vector<EndpointCount> counts;
