--- a/pinford/endpoint.h
+++ b/pinford/endpoint.h
@@ -62,9 +62,9 @@
   LayerRange holds;
   double layer_seconds = 0;  // without load, one layer of one position
   // Prefill of one token in one layer, in passes of full size; 0 if unknown.
-  double read_seconds = 0;
+  double prefill_seconds = 0;
   // Work that fits into its memory, in EndpointTable's units; 0 if unknown.
-  double room = 0;
+  double memory_capacity = 0;
 };
 
 std::optional<LoadReport> ParseLoadReport(std::string_view json);
--- a/pinford/endpoint_rests.h
+++ b/pinford/endpoint_backoffs.h
@@ -14,8 +14,8 @@
 // Backoffs are local to this box: an endpoint requests one from the box that it
 // refused.
 
-#ifndef PINFORD_ENDPOINT_RESTS_H_
-#define PINFORD_ENDPOINT_RESTS_H_
+#ifndef PINFORD_ENDPOINT_BACKOFFS_H_
+#define PINFORD_ENDPOINT_BACKOFFS_H_
 
 #include <string>
 #include <unordered_map>
@@ -46,4 +46,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_ENDPOINT_RESTS_H_
+#endif  // PINFORD_ENDPOINT_BACKOFFS_H_
--- a/pinford/endpoint_choice.cc
+++ b/pinford/endpoint_choice.cc
@@ -70,7 +70,7 @@
     Time now, const std::string& model, const std::string& wanted) const {
   auto version = CompleteVersion(
       model, wanted, [&](const Row& row) { return TakesNewWork(now, row); });
-  if (version || !enabled(Mechanism::kServeAtNeed)) return version;
+  if (version || !enabled(Mechanism::kLastResort)) return version;
   return CompleteVersion(model, wanted, [&](const Row& row) {
     return TakesWorkAsLastResort(now, row);
   });
@@ -99,20 +99,20 @@
     const std::string& hall = row->listed.hall;
     const int number =
         halls.emplace(hall, static_cast<int>(halls.size())).first->second;
-    const bool remote = hall != hall_ && !options_.hand_over_directly;
+    const bool remote = hall != hall_ && !options_.direct_handoff;
     const double handoff =
-        remote ? options_.other_hall_seconds : options_.handoff_seconds;
+        remote ? options_.cross_hall_seconds : options_.handoff_seconds;
     const double cost = CostOf(now, *row, means) *
                         std::pow(options_.cost.factor, jitter(random_));
-    const bool elsewhere = hall != hall_ && options_.hand_over_directly;
-    const double first = options_.hand_over_directly
+    const bool elsewhere = hall != hall_ && options_.direct_handoff;
+    const double first = options_.direct_handoff
                              ? FirstStageCost(now, *row) +
-                                   (elsewhere ? options_.other_hall_seconds : 0)
+                                   (elsewhere ? options_.cross_hall_seconds : 0)
                              : 0;
     candidates.push_back({row->listed.name, row->report->holds,
                           cost / hall_weight(hall), handoff, number, first});
   }
-  if (!options_.hand_over_directly) return PickChain(candidates, range);
+  if (!options_.direct_handoff) return PickChain(candidates, range);
   const double transfer = TransferCost(now, static_cast<int>(halls.size()));
   return PickSimpleChain(candidates, range, transfer);
 }
@@ -137,9 +137,9 @@
   return PickAmong(now, last_resort, range, hall_weight);
 }
 
-EndpointTable::Shortage EndpointTable::ShortestOf(
+EndpointTable::MemoryBottleneck EndpointTable::MemoryBottleneckOf(
     Time now, const std::string& model, const std::string& version) const {
-  std::vector<Shortage> at_layer(LayersOf(model, version));
+  std::vector<MemoryBottleneck> at_layer(LayersOf(model, version));
   for (size_t l = 0; l < at_layer.size(); l++) {
     at_layer[l].layer = static_cast<int>(l);
   }
@@ -148,16 +148,18 @@
       continue;
     const LayerRange& r = row.report->holds;
     for (int l = r.begin; l < r.end; l++) {
-      Shortage& s = at_layer[l];
-      s.taken = s.holders++ == 0 ? TakenOf(now, row)
-                                 : std::min(s.taken, TakenOf(now, row));
+      MemoryBottleneck& s = at_layer[l];
+      s.memory_used =
+          s.holders++ == 0
+              ? MemoryUtilizationOf(now, row)
+              : std::min(s.memory_used, MemoryUtilizationOf(now, row));
     }
   }
-  const auto less = [](const Shortage& a, const Shortage& b) {
-    return a.holders > 0 && (b.holders == 0 || a.taken < b.taken);
+  const auto less = [](const MemoryBottleneck& a, const MemoryBottleneck& b) {
+    return a.holders > 0 && (b.holders == 0 || a.memory_used < b.memory_used);
   };
   const auto worst = std::max_element(at_layer.begin(), at_layer.end(), less);
-  return worst == at_layer.end() ? Shortage() : *worst;
+  return worst == at_layer.end() ? MemoryBottleneck() : *worst;
 }
 
 std::optional<std::string> EndpointTable::PickService(
--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <cstring>
 
-#include "pinford/runner_price.h"
+#include "pinford/runner_cost.h"
 
 namespace pinford {
 
@@ -93,7 +93,7 @@
   return row != nullptr && OnLeaving(name, IncarnationOf(*row));
 }
 
-void EndpointTable::OnNewLife(Time now, const std::string& name) {
+void EndpointTable::OnRestart(Time now, const std::string& name) {
   Row* row = Find(name);
   if (row == nullptr) return;
   Row fresh;
@@ -109,7 +109,7 @@
   *row = std::move(fresh);
 }
 
-Time EndpointTable::LifeBegun(const std::string& name) const {
+Time EndpointTable::LastRestartOf(const std::string& name) const {
   const Row* row = Find(name);
   return row != nullptr ? row->restarted : Time{};
 }
@@ -124,7 +124,7 @@
   row->orphaned.work = 0;
 }
 
-void EndpointTable::OnReportWrong(const std::string& name) {
+void EndpointTable::InvalidateReport(const std::string& name) {
   if (Row* row = Find(name)) row->reported = Time::min();
 }
 
@@ -141,7 +141,7 @@
   Row* row = Find(name);
   if (row == nullptr) return;
   row->observed = now;
-  if (!enabled(Mechanism::kObservedRoom)) return;
+  if (!enabled(Mechanism::kObservedMemory)) return;
   row->unattributed_work = work - WorkOf(*row);
   row->unattributed_entries = entries - row->own_entries - row->peers.entries;
 }
@@ -177,29 +177,30 @@
   row->own_work = std::max(0, row->own_work - work);
 }
 
-void EndpointTable::OnPrompt(Time now, const std::string& name, double tokens) {
+void EndpointTable::OnPrefillSent(Time now, const std::string& name,
+                                  double tokens) {
   Row* row = Find(name);
   if (row == nullptr || !row->report) return;
-  if (!enabled(Mechanism::kReadingAccount)) return;
-  row->prefill_load.Add(now, tokens * row->report->read_seconds,
+  if (!enabled(Mechanism::kPrefillLoad)) return;
+  row->prefill_load.Add(now, tokens * row->report->prefill_seconds,
                         options_.load_window);
 }
 
-void EndpointTable::OnWaiting(const std::string& name, double tokens) {
+void EndpointTable::OnPrefillQueued(const std::string& name, double tokens) {
   if (Row* row = Find(name)) row->queued_tokens += tokens;
 }
 
-void EndpointTable::OnWaitingDone(const std::string& name, double tokens) {
+void EndpointTable::OnPrefillDone(const std::string& name, double tokens) {
   if (Row* row = Find(name))
     row->queued_tokens = std::max(0.0, row->queued_tokens - tokens);
 }
 
-void EndpointTable::OnCrossing(Time now, double tokens) {
-  if (!enabled(Mechanism::kCrossingAccount)) return;
+void EndpointTable::OnTransferSent(Time now, double tokens) {
+  if (!enabled(Mechanism::kTransferLoad)) return;
   transfer_load_.Add(now, tokens * crossing_seconds_, options_.load_window);
 }
 
-void EndpointTable::OnCrossingDone(double tokens) {
+void EndpointTable::OnTransferDone(double tokens) {
   queued_transfer_tokens_ = std::max(0.0, queued_transfer_tokens_ - tokens);
 }
 
@@ -213,10 +214,10 @@
   const double utilization =
       boxes_ * transfer_load_.At(now, span) / ToSeconds(span) / links;
   const double queue_seconds =
-      enabled(Mechanism::kWaitingPrompts)
+      enabled(Mechanism::kPrefillBacklog)
           ? boxes_ * queued_transfer_tokens_ * crossing_seconds_ / links
           : 0;
-  return options_.other_hall_seconds * QueueFactor(queue_seconds) /
+  return options_.cross_hall_seconds * QueueFactor(queue_seconds) /
          std::max(kMinIdle, 1 - utilization);
 }
 
@@ -256,13 +257,13 @@
   if (Row* row = Find(name)) row->down = down;
 }
 
-void EndpointTable::SetPace(const std::string& name, double pace) {
-  if (!enabled(Mechanism::kPacePrice)) return;
-  if (Row* row = Find(name)) row->pace = std::max(1.0, pace);
+void EndpointTable::SetSlowdown(const std::string& name, double slowdown) {
+  if (!enabled(Mechanism::kSlowdownCost)) return;
+  if (Row* row = Find(name)) row->slowdown = std::max(1.0, slowdown);
 }
 
 void EndpointTable::OnFull(Time now, const std::string& name) {
-  if (Row* row = Find(name)) row->full_until = now + options_.full_rest;
+  if (Row* row = Find(name)) row->full_until = now + options_.full_backoff;
 }
 
 // The backoff that the endpoint requested takes precedence over this box's own
@@ -285,7 +286,7 @@
 bool EndpointTable::TakesWorkAsLastResort(Time now, const Row& row) const {
   if (!MaySend(now, row)) return false;
   if (!row.report || row.reported + options_.report_valid < now) return false;
-  const bool last_resort = enabled(Mechanism::kServeAtNeed);
+  const bool last_resort = enabled(Mechanism::kLastResort);
   const Time last_heard =
       last_resort ? std::max(row.reported, row.observed) : row.reported;
   return now >= row.backoff_until || last_heard > row.failed;
@@ -358,19 +359,21 @@
                                          UnattributedFraction(now, row));
 }
 
-double EndpointTable::TakenOf(Time now, const Row& row) const {
-  const bool known = row.report && row.report->room > 0;
-  return known ? MemoryUsedOf(now, row) / row.report->room : 0;
+double EndpointTable::MemoryUtilizationOf(Time now, const Row& row) const {
+  const bool known = row.report && row.report->memory_capacity > 0;
+  return known ? MemoryUsedOf(now, row) / row.report->memory_capacity : 0;
 }
 
-double EndpointTable::TakenOf(Time now, const std::string& name) const {
+double EndpointTable::MemoryUtilizationOf(Time now,
+                                          const std::string& name) const {
   const Row* row = Find(name);
-  return row != nullptr ? TakenOf(now, *row) : 0;
+  return row != nullptr ? MemoryUtilizationOf(now, *row) : 0;
 }
 
 double EndpointTable::LayerWorkOf(Time now, const std::string& name) const {
   const Row* row = Find(name);
-  const bool known = row != nullptr && row->report && row->report->room > 0;
+  const bool known =
+      row != nullptr && row->report && row->report->memory_capacity > 0;
   if (!known || row->report->holds.empty()) return 0;
   return MemoryUsedOf(now, *row) / row->report->holds.size();
 }
@@ -379,17 +382,18 @@
                                     bool paced) const {
   const Row* row = Find(name);
   if (row == nullptr || !row->report) return 0;
-  return row->report->layer_seconds * layers * (paced ? row->pace : 1);
+  return row->report->layer_seconds * layers * (paced ? row->slowdown : 1);
 }
 
-double EndpointTable::ReadingOf(Time now, const Row& row) const {
+double EndpointTable::PrefillLoadOf(Time now, const Row& row) const {
   const Duration span = options_.load_window;
   return boxes_ * row.prefill_load.At(now, span) / ToSeconds(span);
 }
 
 double EndpointTable::PrefillQueueSecondsOf(const Row& row) const {
-  if (!enabled(Mechanism::kWaitingPrompts) || !row.report) return 0;
-  return boxes_ * row.queued_tokens * row.report->read_seconds * row.pace;
+  if (!enabled(Mechanism::kPrefillBacklog) || !row.report) return 0;
+  return boxes_ * row.queued_tokens * row.report->prefill_seconds *
+         row.slowdown;
 }
 
 double EndpointTable::PrefillQueueSecondsOf(const std::string& name) const {
@@ -397,34 +401,35 @@
   return row != nullptr ? PrefillQueueSecondsOf(*row) : 0;
 }
 
-double EndpointTable::ReadingOf(Time now, const std::string& name) const {
+double EndpointTable::PrefillLoadOf(Time now, const std::string& name) const {
   const Row* row = Find(name);
-  return row != nullptr ? ReadingOf(now, *row) : 0;
+  return row != nullptr ? PrefillLoadOf(now, *row) : 0;
 }
 
 bool EndpointTable::HasMemoryFor(Time now, const Row& row,
                                  double layer_work) const {
-  if (row.report->room <= 0 || !enabled(Mechanism::kRoomBound)) return true;
+  if (row.report->memory_capacity <= 0 || !enabled(Mechanism::kMemoryLimit))
+    return true;
   const double needed = layer_work * row.report->holds.size();
   return MemoryUsedOf(now, row) + needed <=
-         row.report->room * options_.max_memory_utilization;
+         row.report->memory_capacity * options_.max_memory_utilization;
 }
 
 double EndpointTable::CostOf(Time now, const Row& row,
                              const Means& means) const {
   const double idle = row.report->layer_seconds;
-  if (row.report->room <= 0) {
+  if (row.report->memory_capacity <= 0) {
     return LoadedLayerCost(idle, BacklogOf(row), means.backlog, options_.cost);
   }
   const double weight =
-      enabled(Mechanism::kSpreadPrice) ? SpeedWeight(gap_share_) : 1;
-  return LayerCost({idle, row.pace, ReadingOf(now, row), TakenOf(now, row),
-                    PrefillQueueSecondsOf(row)},
+      enabled(Mechanism::kSpeedWeight) ? SpeedWeight(gap_share_) : 1;
+  return LayerCost({idle, row.slowdown, PrefillLoadOf(now, row),
+                    MemoryUtilizationOf(now, row), PrefillQueueSecondsOf(row)},
                    means.layer_seconds, weight);
 }
 
 double EndpointTable::FirstStageCost(Time now, const Row& row) const {
-  if (!enabled(Mechanism::kEntrySlots)) return 0;
+  if (!enabled(Mechanism::kFirstStageSlots)) return 0;
   const double entries =
       row.own_entries + row.peers.entries +
       row.unattributed_entries * UnattributedFraction(now, row);
--- a/pinford/endpoint_table.h
+++ b/pinford/endpoint_table.h
@@ -8,7 +8,7 @@
 //   has not announced that it is leaving (by a refusal or in its report), and
 //   is not backing off after a failure.
 // - An endpoint that requested a backoff from this box gets nothing until the
-//   backoff ends, not even as a last resort (endpoint_rests.h).
+//   backoff ends, not even as a last resort (endpoint_backoffs.h).
 // - The first notice that an endpoint is leaving counts, whatever its source
 //   (list, report, refusal, peer), and holds for that incarnation permanently.
 //   Only a higher incarnation takes new work again.
@@ -20,7 +20,7 @@
 //   of the others'. Without this they all pick the endpoint that last looked
 //   idle (measured in docs/MEASUREMENTS.md).
 // - An endpoint whose memory capacity is known is costed by the fraction in use
-//   (runner_price.h) and is excluded when full.
+//   (runner_cost.h) and is excluded when full.
 // - A request occupies one of the engine's slots on its first stage until it
 //   ends. Requests beyond the slots queue there, however idle the engine is. So
 //   first stages have a cost that depends on the slots in use, and endpoints
@@ -48,7 +48,7 @@
 
 #include "pinford/chain_picker.h"
 #include "pinford/endpoint.h"
-#include "pinford/endpoint_rests.h"
+#include "pinford/endpoint_backoffs.h"
 #include "pinford/mechanisms.h"
 #include "pinford/peer_counts.h"
 #include "pinford/policy.h"
@@ -69,11 +69,11 @@
     Duration backoff = seconds(1);       // after a failure, doubled each time
     Duration max_backoff = seconds(30);
     double handoff_seconds = 0.0005;    // one handoff inside a hall
-    double other_hall_seconds = 0.002;  // between halls, until measured
+    double cross_hall_seconds = 0.002;  // between halls, until measured
     // Endpoints hand off to one another, so a handoff's cost depends on whether
     // the two stages share a hall. Otherwise each handoff goes through this
     // box.
-    bool hand_over_directly = false;
+    bool direct_handoff = false;
     // Fraction of an endpoint's memory beyond which it gets no more work. It is
     // 1 because a request counts with its whole answer from its start, and
     // runners' reports correct the estimate: with less, runners stood at 57% of
@@ -81,7 +81,7 @@
     double max_memory_utilization = 1.0;
     // Backoff after an endpoint refused work as full, unless it requests a
     // longer one. Its present requests end within seconds.
-    Duration full_rest = milliseconds(300);
+    Duration full_backoff = milliseconds(300);
     // Time constant over which prompts sent count as prefill load. Shorter than
     // the bursts that callers make, long enough for a box to have sent several
     // prompts.
@@ -96,7 +96,7 @@
     double jitter = 0.02;
     CostOptions cost;
     StepDeadline::Options deadline;
-    MechanismsOff off;
+    MechanismSwitches mechanisms;
   };
 
   EndpointTable(std::string hall, const Options& options, Random random);
@@ -115,19 +115,19 @@
   // The endpoint restarted under the same name. Drops what was known, counted
   // and reported of the earlier incarnation. Work sent to it is lost; later
   // OnDone and OnFailure calls for that work are ignored.
-  void OnNewLife(Time now, const std::string& name);
+  void OnRestart(Time now, const std::string& name);
   // Marks the endpoint as not responding, or as responding again.
   void SetDown(const std::string& name, bool down);
   // Sets how many times slower than nominal the endpoint runs.
-  void SetPace(const std::string& name, double pace);
+  void SetSlowdown(const std::string& name, double slowdown);
   // The endpoint refused work because its memory is full.
   void OnFull(Time now, const std::string& name);
   // The endpoint requested that this box send it nothing for `backoff`.
-  void OnRestAsked(Time now, const std::string& name, Duration backoff) {
+  void OnBackoffRequested(Time now, const std::string& name, Duration backoff) {
     backoffs_.OnRequested(now, name, backoff);
   }
   // The endpoint does not hold what its last report said; ignores that report.
-  void OnReportWrong(const std::string& name);
+  void InvalidateReport(const std::string& name);
   // Number of other boxes that place work as this one does.
   void set_peer_boxes(int n) { peer_boxes_ = n; }
   // Number of boxes, including this one, that send prompts as this one does.
@@ -152,18 +152,18 @@
   void OnEntry(const std::string& name);
   void OnEntryDone(const std::string& name);
   // Counts prefill work sent there: `tokens` of a prompt times the layers.
-  void OnPrompt(Time now, const std::string& name, double tokens);
+  void OnPrefillSent(Time now, const std::string& name, double tokens);
   // Prefill work is queued there; it has been run, or will not be.
-  void OnWaiting(const std::string& name, double tokens);
-  void OnWaitingDone(const std::string& name, double tokens);
+  void OnPrefillQueued(const std::string& name, double tokens);
+  void OnPrefillDone(const std::string& name, double tokens);
   // Link seconds for one token between two halls; 0 if unknown.
-  void set_crossing_seconds(double s) { crossing_seconds_ = s; }
+  void set_transfer_seconds_per_token(double s) { crossing_seconds_ = s; }
   // `tokens` are sent from one hall to another.
-  void OnCrossing(Time now, double tokens);
+  void OnTransferSent(Time now, double tokens);
   // Tokens are queued for a cross-hall link; they have been transferred, or
   // will not be.
-  void OnCrossingWaiting(double tokens) { queued_transfer_tokens_ += tokens; }
-  void OnCrossingDone(double tokens);
+  void OnTransferQueued(double tokens) { queued_transfer_tokens_ += tokens; }
+  void OnTransferDone(double tokens);
   // Results of single steps and calls.
   void OnSuccess(const std::string& name, double work, Duration took);
   // `sent` is when the failed step or call was sent.
@@ -175,17 +175,17 @@
   // connecting can take hundreds of milliseconds.
   bool MaySend(Time now, const std::string& name) const;
   // The remaining part of the backoff that the endpoint requested.
-  Duration RestLeft(Time now, const std::string& name) const {
+  Duration BackoffLeft(Time now, const std::string& name) const {
     return backoffs_.Remaining(now, name);
   }
   // Number of endpoints in a backoff that they requested.
-  size_t Resting(Time now) const { return backoffs_.Count(now); }
+  size_t BackingOff(Time now) const { return backoffs_.Count(now); }
   // Whether its present incarnation is known to be leaving.
   bool IsLeaving(const std::string& name) const;
   // Its present incarnation; 0 if unknown.
   uint64_t IncarnationOf(const std::string& name) const;
   // When its last restart was seen; Time{} if never.
-  Time LifeBegun(const std::string& name) const;
+  Time LastRestartOf(const std::string& name) const;
   Duration DeadlineFor(const std::string& name, double work) const;
   std::optional<Address> AddressOf(const std::string& name) const;
   // "" if unknown.
@@ -194,10 +194,10 @@
   double BacklogOf(const std::string& name) const;
   // Fraction of its time that goes to prefill, over all boxes; over 1 when more
   // is sent than it can run.
-  double ReadingOf(Time now, const std::string& name) const;
+  double PrefillLoadOf(Time now, const std::string& name) const;
   // Fraction of its memory in use, over all boxes; 0 if the capacity is
   // unknown.
-  double TakenOf(Time now, const std::string& name) const;
+  double MemoryUtilizationOf(Time now, const std::string& name) const;
   // Seconds that the prefill work queued there takes, over all boxes.
   double PrefillQueueSecondsOf(const std::string& name) const;
   // Thousands of tokens in each of its layers, over all boxes; 0 if the memory
@@ -205,8 +205,8 @@
   double LayerWorkOf(Time now, const std::string& name) const;
   // Seconds for a step of `layers` layers there, at its slowdown if `paced`.
   double StepSecondsOf(const std::string& name, int layers, bool paced) const;
-  double crossing_seconds() const { return crossing_seconds_; }
-  const MechanismsOff& off() const { return options_.off; }
+  double transfer_seconds_per_token() const { return crossing_seconds_; }
+  const MechanismSwitches& mechanisms() const { return options_.mechanisms; }
   // Streams or calls there, over all boxes.
   double LoadOf(const std::string& name) const;
 
@@ -236,13 +236,14 @@
                                     const std::set<std::string>& avoid = {});
   // Where a pool has the least free memory: the layer whose least loaded holder
   // has the highest fraction of its memory in use, or that has no holder.
-  struct Shortage {
+  struct MemoryBottleneck {
     int layer = 0;
-    int holders = 0;   // that take new work
-    double taken = 1;  // fraction of the memory of the least loaded of them
+    int holders = 0;  // that take new work
+    double memory_used =
+        1;  // fraction of the memory of the least loaded of them
   };
-  Shortage ShortestOf(Time now, const std::string& model,
-                      const std::string& version) const;
+  MemoryBottleneck MemoryBottleneckOf(Time now, const std::string& model,
+                                      const std::string& version) const;
   // The less loaded of two random endpoints of `service`, excluding `tried`.
   std::optional<std::string> PickService(Time now, const std::string& service,
                                          const std::set<std::string>& tried);
@@ -297,15 +298,15 @@
     OrphanedLoad orphaned;
     Time restarted{};  // when its last restart was seen
     bool is_listed = true;
-    bool down = false;  // does not respond, though it is listed
-    double pace = 1;    // times slower than nominal
+    bool down = false;    // does not respond, though it is listed
+    double slowdown = 1;  // times slower than nominal
   };
   const std::map<std::string, Row>& rows() const { return rows_; }
   // Marks to announce to peers.
   std::vector<LeavingMark> LeavingMarks() const;
 
  private:
-  bool enabled(Mechanism m) const { return options_.off.on(m); }
+  bool enabled(Mechanism m) const { return options_.mechanisms.enabled(m); }
   static void EndOrphaned(int work, Row* row);
   Row* Find(const std::string& name);
   const Row* Find(const std::string& name) const;
@@ -333,8 +334,8 @@
   // The part of the unattributed load that is estimated to remain.
   double UnattributedFraction(Time now, const Row& row) const;
   double MemoryUsedOf(Time now, const Row& row) const;
-  double TakenOf(Time now, const Row& row) const;
-  double ReadingOf(Time now, const Row& row) const;
+  double MemoryUtilizationOf(Time now, const Row& row) const;
+  double PrefillLoadOf(Time now, const Row& row) const;
   double PrefillQueueSecondsOf(const Row& row) const;
   bool HasMemoryFor(Time now, const Row& row, double layer_work) const;
   // Means over the candidates of a pick, to which their costs relate.
--- a/pinford/gossip.h
+++ b/pinford/gossip.h
@@ -47,9 +47,9 @@
   // Sends urgent state to the peers at once.
   void Announce();
   // Sends `note` to `peers` random live members.
-  void Tell(const DownNote& note, size_t peers);
+  void SendFailureNotice(const DownNote& note, size_t peers);
   // Sends each of `asks` to a different random live member.
-  void Ask(std::vector<RetryAsk> asks);
+  void SendRetryRequests(std::vector<RetryAsk> asks);
   // Detects lost members and fetches unknown ones. Call it often.
   void Tick();
 
--- a/pinford/lease_holder.h
+++ b/pinford/lease_holder.h
@@ -53,7 +53,7 @@
   }
   // Abandons the lease: another holder has acted under a higher token, or the
   // store has lost acknowledged writes. A renewal in progress is ignored.
-  void Forget() {
+  void Abandon() {
     abandon_count_++;
     SetToken(0);
   }
--- a/pinford/mechanisms.h
+++ b/pinford/mechanisms.h
@@ -15,28 +15,28 @@
 namespace pinford {
 
 enum class Mechanism {
-  kEntrySlots,       // first stages are costed and limited by their slots
+  kFirstStageSlots,  // first stages are costed and limited by their slots
   kPeerCounts,       // counts the peers' work on runners
-  kObservedRoom,     // corrects estimates by what runners report to hold
-  kRoomBound,        // excludes runners without free memory
-  kReadingAccount,   // costs runners by the prompts sent to them
-  kCrossingAccount,  // costs links between halls by the tokens sent over them
+  kObservedMemory,   // corrects estimates by what runners report to hold
+  kMemoryLimit,      // excludes runners without free memory
+  kPrefillLoad,      // costs runners by the prompts sent to them
+  kTransferLoad,     // costs links between halls by the tokens sent over them
   kLinkPairs,        // gives each pair of halls a link of its own
-  kPacePrice,        // costs slow runners by their slowdown
-  kServeAtNeed,   // uses runners that are backing off where no other can serve
-  kSilenceWatch,  // probes runners that become unresponsive
+  kSlowdownCost,     // costs slow runners by their slowdown
+  kLastResort,  // uses runners that are backing off where no other can serve
+  kIdleProbe,   // probes runners that become unresponsive
   kStageReplacement,  // replaces stages that are down or slow
   kResume,            // resumes streams that break or stall
-  kLostAtOnce,        // plans without runners that do not respond
-  kLoadSteps,         // loads large ranges in steps
-  kMoves,             // moves runners to layers that lack capacity
-  kFailureNews,       // boxes report runners that are down to each other
-  kSpreadPrice,       // weights a runner's speed by the time between events
+  kSkipUnresponsive,  // plans without runners that do not respond
+  kIncrementalLoad,   // loads large ranges in steps
+  kRunnerMoves,       // moves runners to layers that lack capacity
+  kFailureGossip,     // boxes report runners that are down to each other
+  kSpeedWeight,       // weights a runner's speed by the time between events
   kTimedRecovery,     // decides on broken streams by the time to recover
-  kWaitingPrompts,    // costs runners by the prompts queued there
+  kPrefillBacklog,    // costs runners by the prompts queued there
   kRetryLoans,        // boxes lend each other retries
-  kMoveAtRestart,     // reroutes the streams of a runner that restarts at once
-  kTakeOverAsk,       // a new planner queries empty runners first
+  kMoveOnRestart,     // reroutes the streams of a runner that restarts at once
+  kTakeoverProbe,     // a new planner queries empty runners first
 };
 inline constexpr int kMechanisms = 22;
 
@@ -44,10 +44,10 @@
 std::string_view MechanismName(Mechanism m);
 
 // The set of mechanisms that are disabled.
-class MechanismsOff {
+class MechanismSwitches {
  public:
   void Add(Mechanism m) { off_.set(static_cast<size_t>(m)); }
-  bool on(Mechanism m) const { return !off_.test(static_cast<size_t>(m)); }
+  bool enabled(Mechanism m) const { return !off_.test(static_cast<size_t>(m)); }
   // Their names separated by spaces, for the log; "" for none.
   std::string ToString() const;
 
--- a/pinford/membership.h
+++ b/pinford/membership.h
@@ -87,7 +87,7 @@
   void set_load(uint32_t running, uint32_t waiting);
   void set_leaving_endpoints(std::vector<LeavingMark> marks);
   // Age of the proof that this box's configuration is the newest.
-  void set_proof_age(Duration age) { proof_age_ = age; }
+  void set_freshness_age(Duration age) { proof_age_ = age; }
 
   // Returns the digests to send now and the time until the next call. `size`
   // returns a digest's size in bytes.
@@ -132,7 +132,7 @@
   // `role`, by rendezvous hashing over the live members that it sees. Boxes
   // that see different members may both be elected, so roles must tolerate
   // duplicates.
-  bool OnDuty(Time now, const std::string& role, int count) const;
+  bool IsElected(Time now, const std::string& role, int count) const;
   // Addresses of the seeds, without this box's own.
   const std::vector<std::string>& other_seeds() const { return other_seeds_; }
   // Addresses of up to `count` live members of any hall, drawn at random.
--- a/pinford/pool_capacity.cc
+++ b/pinford/pool_capacity.cc
@@ -10,18 +10,18 @@
   // A load over 1 means that prompts are queued, not that none is run.
   constexpr double kMinFree = 0.05;
   const LoadReport& report = *row.report;
-  const double token_seconds =
-      report.read_seconds * report.holds.size() * std::max(1.0, row.pace);
+  const double token_seconds = report.prefill_seconds * report.holds.size() *
+                               std::max(1.0, row.slowdown);
   if (token_seconds <= 0) return 0;
-  const double load = table.ReadingOf(now, row.listed.name);
+  const double load = table.PrefillLoadOf(now, row.listed.name);
   return std::max(kMinFree, 1 - load) / token_seconds;
 }
 
 static double FreeMemory(Time now, const EndpointTable& table,
                          const EndpointTable::Row& row) {
   const LoadReport& report = *row.report;
-  const double used = table.TakenOf(now, row.listed.name);
-  return std::max(0.0, 1 - used) * report.room / report.holds.size();
+  const double used = table.MemoryUtilizationOf(now, row.listed.name);
+  return std::max(0.0, 1 - used) * report.memory_capacity / report.holds.size();
 }
 
 PoolCapacity::PoolCapacity(Time now, const EndpointTable& table,
@@ -39,8 +39,8 @@
     const int end = std::min(report.holds.end, layers_);
     for (int l = report.holds.begin; l < end; l++) {
       hall[l].holders++;
-      hall[l].read_per_s += prefill;
-      hall[l].free_room += memory;
+      hall[l].prefill_per_s += prefill;
+      hall[l].free_memory += memory;
     }
   }
 }
@@ -51,8 +51,8 @@
   return names;
 }
 
-PoolCapacity::Layer PoolCapacity::LeastOf(const std::string& hall,
-                                          const LayerRange& range) const {
+PoolCapacity::Layer PoolCapacity::MinOverLayers(const std::string& hall,
+                                                const LayerRange& range) const {
   const auto it = halls_.find(hall);
   if (it == halls_.end() || range.empty()) return {};
   const int end = std::min(range.end, layers_);
@@ -61,23 +61,24 @@
   for (int l = range.begin + 1; l < end; l++) {
     const Layer& layer = it->second[l];
     minimum.holders = std::min(minimum.holders, layer.holders);
-    minimum.read_per_s = std::min(minimum.read_per_s, layer.read_per_s);
-    minimum.free_room = std::min(minimum.free_room, layer.free_room);
+    minimum.prefill_per_s =
+        std::min(minimum.prefill_per_s, layer.prefill_per_s);
+    minimum.free_memory = std::min(minimum.free_memory, layer.free_memory);
   }
   return minimum;
 }
 
-PoolCapacity::Layer PoolCapacity::LeastOf(const std::string& hall) const {
-  return LeastOf(hall, {0, layers_});
+PoolCapacity::Layer PoolCapacity::MinOverLayers(const std::string& hall) const {
+  return MinOverLayers(hall, {0, layers_});
 }
 
-int PoolCapacity::ShortestLayer(const std::string& hall) const {
+int PoolCapacity::BottleneckLayer(const std::string& hall) const {
   const auto it = halls_.find(hall);
   if (it == halls_.end()) return 0;
-  const auto minimum = std::min_element(it->second.begin(), it->second.end(),
-                                        [](const Layer& a, const Layer& b) {
-                                          return a.read_per_s < b.read_per_s;
-                                        });
+  const auto minimum = std::min_element(
+      it->second.begin(), it->second.end(), [](const Layer& a, const Layer& b) {
+        return a.prefill_per_s < b.prefill_per_s;
+      });
   return static_cast<int>(minimum - it->second.begin());
 }
 
--- a/pinford/retry_after.cc
+++ b/pinford/retry_after.cc
@@ -24,7 +24,8 @@
   return FromSeconds(std::min(value, kMaxSeconds));
 }
 
-std::optional<Duration> RestAsked(int status, std::string_view retry_after) {
+std::optional<Duration> RequestedBackoff(int status,
+                                         std::string_view retry_after) {
   constexpr int kTooManyRequests = 429;
   constexpr int kServiceUnavailable = 503;
   if (status != kTooManyRequests && status != kServiceUnavailable)
--- a/pinford/retry_after.h
+++ b/pinford/retry_after.h
@@ -17,7 +17,8 @@
 
 // The backoff that such an answer requests. Only 503 and 429 refuse the
 // request; with other statuses the header means something else.
-std::optional<Duration> RestAsked(int status, std::string_view retry_after);
+std::optional<Duration> RequestedBackoff(int status,
+                                         std::string_view retry_after);
 
 }  // namespace pinford
 
--- a/pinford/runner_price.cc
+++ b/pinford/runner_cost.cc
@@ -1,4 +1,4 @@
-#include "pinford/runner_price.h"
+#include "pinford/runner_cost.h"
 
 #include <algorithm>
 #include <cmath>
@@ -34,7 +34,8 @@
   // The slowdown is squared because a slow runner also delays all work queued
   // behind it.
   const double queue = QueueFactor(load.queue_seconds);
-  return idle * load.pace * load.pace * queue / (free_time * free_memory);
+  return idle * load.slowdown * load.slowdown * queue /
+         (free_time * free_memory);
 }
 
 double FirstStageSlotCost(double entries, int slots) {
--- a/pinford/runner_price.h
+++ b/pinford/runner_cost.h
@@ -13,8 +13,8 @@
 // allowed pause. Where it is a quarter of the pause or more, slower chains are
 // late by themselves, and hold memory for longer.
 
-#ifndef PINFORD_RUNNER_PRICE_H_
-#define PINFORD_RUNNER_PRICE_H_
+#ifndef PINFORD_RUNNER_COST_H_
+#define PINFORD_RUNNER_COST_H_
 
 namespace pinford {
 
@@ -28,7 +28,7 @@
 // What is known of a runner when its cost is computed.
 struct RunnerLoad {
   double idle_layer_seconds = 0;  // for a layer of one token, without load
-  double pace = 1;                // times slower than nominal
+  double slowdown = 1;            // times slower than nominal
   double prefill_load = 0;        // fraction of its time that goes to prefill
   double memory_used = 0;         // fraction of its memory in use
   double queue_seconds = 0;       // seconds that its queued prefill takes
@@ -48,4 +48,4 @@
 
 }  // namespace pinford
 
-#endif  // PINFORD_RUNNER_PRICE_H_
+#endif  // PINFORD_RUNNER_COST_H_
--- a/pinford/testing/decisions_test.cc
+++ b/pinford/testing/decisions_test.cc
@@ -185,7 +185,7 @@
 }
 
 TEST(RetryBudget, NeverMultipliesTheLoad) {
-  RetryBudget budget({.per_success = 0.1, .per_second = 5, .most = 50});
+  RetryBudget budget({.per_success = 0.1, .per_second = 5, .max_retries = 50});
   PausedClock clock;
   int taken = 0;
   // Everything fails for a minute, 1,000 times per second.
@@ -382,7 +382,7 @@
   EXPECT_EQ(table_.rows().at("x").peers.work, 6);
   EXPECT_EQ(table_.rows().at("x").peers.entries, 2);
   // A restart keeps the id by which peers count.
-  table_.OnNewLife(Time{}, "x");
+  table_.OnRestart(Time{}, "x");
   EXPECT_EQ(table_.rows().at("x").peers.work, 0);
   table_.OnPeerCounts({{NameId("x"), {3, 1}}});
   EXPECT_EQ(table_.rows().at("x").peers.work, 3);
--- a/pinford/testing/endpoint_rests_test.cc
+++ b/pinford/testing/endpoint_backoffs_test.cc
@@ -1,7 +1,7 @@
 // Backoffs that endpoints request: how answers are read, and how long a backoff
 // holds.
 
-#include "pinford/endpoint_rests.h"
+#include "pinford/endpoint_backoffs.h"
 
 #include <gtest/gtest.h>
 
@@ -48,7 +48,7 @@
       head.headers.emplace_back("retry-AFTER", c.retry_after);
     }
     const EndpointNotice notice = ReadNotice(head, ForwardHeaders());
-    const int64_t ms = notice.rest ? ToMillis(*notice.rest) : -1;
+    const int64_t ms = notice.backoff ? ToMillis(*notice.backoff) : -1;
     EXPECT_EQ(ms, c.expected_ms)
         << c.status << " " << (c.retry_after ? c.retry_after : "none");
   }
--- a/pinford/testing/hall_planner_test.cc
+++ b/pinford/testing/hall_planner_test.cc
@@ -142,7 +142,7 @@
           std::make_unique<FakeOrders>(box, &runners, &random, loss));
       HallPlannerEvents events;
       events.view = [this] { return View(); };
-      events.on_duty = [] { return true; };
+      events.is_candidate = [] { return true; };
       planners.push_back(std::make_unique<TestPlanner>(
           clients.back().get(), orders.back().get(), box, "h",
           "box-" + std::to_string(i), options, events));
@@ -264,7 +264,7 @@
   for (int seed = 0; seed < 60; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Simulation w(seed, 0);
-    w.store.faults.lease_length = 0.3;
+    w.store.faults.lease_factor = 0.3;
     for (int i = 0; i < 20; i++) {
       const int a = 1 + static_cast<int>(w.random() % 3);
       w.clock.After(seconds(10 * i), [&w, a] {
@@ -273,7 +273,7 @@
     }
     w.clock.Advance(seconds(200));
     CheckPlans(w);
-    w.store.faults.lease_length = 1;
+    w.store.faults.lease_factor = 1;
     w.clock.Advance(seconds(150));
     CheckPlans(w);
     EXPECT_TRUE(w.HoldsPlan());
--- a/pinford/testing/membership_test.cc
+++ b/pinford/testing/membership_test.cc
@@ -263,7 +263,7 @@
     int n = 0;
     for (int i = 0; i < 8; i++) {
       if (!net.at(i).up) continue;
-      n += net.at(i).membership->OnDuty(net.clock_.now(), role, 2);
+      n += net.at(i).membership->IsElected(net.clock_.now(), role, 2);
     }
     return n;
   };
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -7,7 +7,7 @@
 
 #include "pinford/endpoint_table.h"
 #include "pinford/membership.h"
-#include "pinford/runner_price.h"
+#include "pinford/runner_cost.h"
 
 namespace pinford {
 namespace {
@@ -30,7 +30,7 @@
   static EndpointTable::Options Options() {
     EndpointTable::Options options;
     options.report_valid = hours(1);
-    options.hand_over_directly = true;
+    options.direct_handoff = true;
     return options;
   }
 
@@ -52,7 +52,7 @@
       report.holds = r.holds;
       report.slots = kSlots;
       report.layer_seconds = r.step / kLayers;
-      report.room = kMemory;
+      report.memory_capacity = kMemory;
       table_.OnReport(now_, r.name, report);
     }
   }
@@ -116,14 +116,17 @@
     table_.OnSent("a", c.own);
     table_.OnPeerCounts({{NameId("a"), {c.peers, 0}}});
     const double estimate = (c.own + c.peers) / kMemory;
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), estimate, 1e-9);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), estimate, 1e-9);
     table_.OnObserved(now_, "a", c.reported, 0);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), c.reported / kMemory, 1e-9);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), c.reported / kMemory,
+                1e-9);
     // Work sent afterwards is added.
     table_.OnSent("a", 50);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), (c.reported + 50) / kMemory, 1e-9);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"),
+                (c.reported + 50) / kMemory, 1e-9);
     now_ += seconds(20);
-    EXPECT_NEAR(table_.TakenOf(now_, "a"), estimate + 50 / kMemory, 0.01);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), estimate + 50 / kMemory,
+                0.01);
   }
 }
 
@@ -163,12 +166,12 @@
   table_.OnSent("a", 300);
   table_.OnSent("b", 500);
   table_.OnSent("c", 400);
-  EndpointTable::Shortage s = table_.ShortestOf(now_, "m", "1");
+  EndpointTable::MemoryBottleneck s = table_.MemoryBottleneckOf(now_, "m", "1");
   EXPECT_EQ(s.layer, 8);  // held by b alone
   EXPECT_EQ(s.holders, 1);
-  EXPECT_NEAR(s.taken, 0.5, 1e-9);
+  EXPECT_NEAR(s.memory_used, 0.5, 1e-9);
   table_.SetDown("b", true);
-  s = table_.ShortestOf(now_, "m", "1");
+  s = table_.MemoryBottleneckOf(now_, "m", "1");
   EXPECT_EQ(s.layer, 8);
   EXPECT_EQ(s.holders, 0);
 }
@@ -184,14 +187,15 @@
     EndpointTable table("h1", Options(), Random(1));
     std::swap(table, table_);
     Add(runners);
-    table_.set_crossing_seconds(1 / 20000.0);  // a link carries 20 per second
+    table_.set_transfer_seconds_per_token(
+        1 / 20000.0);  // a link carries 20 per second
     constexpr int kSent = 600;
     int n = 0;
     for (int i = 0; i < kSent; i++) {
       now_ += milliseconds(10);
       const auto chain = Pick();
       if (table_.HallOf(chain->back().endpoint) == "h1") continue;
-      table_.OnCrossing(now_, 1000);
+      table_.OnTransferSent(now_, 1000);
       n++;
     }
     return n * 100.0 / kSent;  // per second
@@ -210,8 +214,8 @@
 double MaxShareOnOneRunner(bool by_speed_alone, double gap_share) {
   EndpointTable::Options options;
   options.report_valid = hours(1);
-  options.hand_over_directly = true;
-  if (by_speed_alone) options.off.Add(Mechanism::kSpreadPrice);
+  options.direct_handoff = true;
+  if (by_speed_alone) options.mechanisms.Add(Mechanism::kSpeedWeight);
   EndpointTable table("h", options, Random(1));
   table.set_gap_share(gap_share);
   const Time now = Time{} + seconds(100);
@@ -229,7 +233,7 @@
     report.holds = {0, kLayers};
     report.slots = 1000;
     report.layer_seconds = e.name == "0" ? 0.00003 : 0.00015;
-    report.room = kMemory;
+    report.memory_capacity = kMemory;
     table.OnReport(now, e.name, report);
   }
   std::map<std::string, int> streams;
@@ -289,20 +293,20 @@
 
 // Every mechanism has a name that parses back, and is enabled unless disabled.
 TEST(Mechanisms, HaveNamesAndAreEnabledByDefault) {
-  MechanismsOff all;
+  MechanismSwitches all;
   for (int i = 0; i < kMechanisms; i++) {
     const auto m = static_cast<Mechanism>(i);
     EXPECT_EQ(MechanismNamed(MechanismName(m)), m);
-    MechanismsOff one;
-    EXPECT_TRUE(one.on(m));
+    MechanismSwitches one;
+    EXPECT_TRUE(one.enabled(m));
     one.Add(m);
-    EXPECT_FALSE(one.on(m));
+    EXPECT_FALSE(one.enabled(m));
     EXPECT_EQ(one.ToString(), MechanismName(m));
     all.Add(m);
   }
   EXPECT_EQ(MechanismNamed("magic"), std::nullopt);
   for (int i = 0; i < kMechanisms; i++) {
-    EXPECT_FALSE(all.on(static_cast<Mechanism>(i)));
+    EXPECT_FALSE(all.enabled(static_cast<Mechanism>(i)));
   }
 }
 
@@ -312,7 +316,7 @@
     std::function<void(EndpointTable*, Time)> load;
   };
   const Case cases[] = {
-      {Mechanism::kEntrySlots,
+      {Mechanism::kFirstStageSlots,
        [](EndpointTable* t, Time) {
          t->OnPeerCounts({{NameId("a"), {0, kSlots}}});
        }},
@@ -320,11 +324,11 @@
        [](EndpointTable* t, Time) {
          t->OnPeerCounts({{NameId("a"), {2000, 0}}});
        }},
-      {Mechanism::kObservedRoom,
+      {Mechanism::kObservedMemory,
        [](EndpointTable* t, Time now) { t->OnObserved(now, "a", 2000, 0); }},
-      {Mechanism::kRoomBound,
+      {Mechanism::kMemoryLimit,
        [](EndpointTable* t, Time) { t->OnSent("a", 2000); }},
-      {Mechanism::kServeAtNeed,
+      {Mechanism::kLastResort,
        [](EndpointTable* t, Time now) {
          t->OnFailure(now, "a", now);
          t->OnObserved(now + milliseconds(1), "a", 0, 0);
@@ -332,11 +336,11 @@
   };
   const Time now = Time{} + seconds(100);
   for (const Case& c : cases) {
-    for (const bool off : {false, true}) {
+    for (const bool mechanisms : {false, true}) {
       EndpointTable::Options options;
       options.report_valid = hours(1);
-      options.hand_over_directly = true;
-      if (off) options.off.Add(c.mechanism);
+      options.direct_handoff = true;
+      if (mechanisms) options.mechanisms.Add(c.mechanism);
       EndpointTable table("h", options, Random(1));
       ListedEndpoint e;
       e.name = "a";
@@ -349,16 +353,16 @@
       report.holds = {0, 1};
       report.slots = kSlots;
       report.layer_seconds = 0.001;
-      report.room = kMemory;
+      report.memory_capacity = kMemory;
       table.OnReport(now - seconds(1), "a", report);
       c.load(&table, now);
       const auto chain =
           table.PickChainFor(now + milliseconds(2), "m", "1", {0, 1},
                              [](const std::string&) { return 1.0; });
       // The last resort adds candidates; the others exclude them.
-      const bool admits = c.mechanism == Mechanism::kServeAtNeed;
-      EXPECT_EQ(chain.has_value(), off != admits)
-          << MechanismName(c.mechanism) << " off: " << off;
+      const bool admits = c.mechanism == Mechanism::kLastResort;
+      EXPECT_EQ(chain.has_value(), mechanisms != admits)
+          << MechanismName(c.mechanism) << " off: " << mechanisms;
     }
   }
 }
