--- a/pinford/mechanisms.h
+++ b/pinford/mechanisms.h
@@ -43,12 +43,14 @@
 std::optional<Mechanism> MechanismNamed(std::string_view name);
 std::string_view MechanismName(Mechanism m);
 
-// The set of mechanisms that are disabled.
+// Which mechanisms are enabled: all except those that were disabled.
 class MechanismSwitches {
  public:
+  // Disables `m`.
   void Add(Mechanism m) { off_.set(static_cast<size_t>(m)); }
   bool enabled(Mechanism m) const { return !off_.test(static_cast<size_t>(m)); }
-  // Their names separated by spaces, for the log; "" for none.
+  // The names of the disabled ones separated by spaces, for the log; "" for
+  // none.
   std::string ToString() const;
 
  private:
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -336,11 +336,11 @@
   };
   const Time now = Time{} + seconds(100);
   for (const Case& c : cases) {
-    for (const bool mechanisms : {false, true}) {
+    for (const bool disabled : {false, true}) {
       EndpointTable::Options options;
       options.report_valid = hours(1);
       options.direct_handoff = true;
-      if (mechanisms) options.mechanisms.Add(c.mechanism);
+      if (disabled) options.mechanisms.Add(c.mechanism);
       EndpointTable table("h", options, Random(1));
       ListedEndpoint e;
       e.name = "a";
@@ -361,8 +361,8 @@
                              [](const std::string&) { return 1.0; });
       // The last resort adds candidates; the others exclude them.
       const bool admits = c.mechanism == Mechanism::kLastResort;
-      EXPECT_EQ(chain.has_value(), mechanisms != admits)
-          << MechanismName(c.mechanism) << " off: " << mechanisms;
+      EXPECT_EQ(chain.has_value(), disabled != admits)
+          << MechanismName(c.mechanism) << " off: " << disabled;
     }
   }
 }
