--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -33,7 +33,7 @@
 }
 
 bool EndpointTable::IsObsolete(const Row& row) {
-  return !row.is_listed && row.own == 0 && row.orphaned.streams == 0;
+  return !row.is_listed && row.own == 0 && row.lost.streams == 0;
 }
 
 void EndpointTable::OnListed(const ListedEndpoint& listed) {
@@ -103,9 +103,9 @@
   fresh.leaving = row->leaving;
   fresh.deadline = StepDeadline(options_.deadline);
   fresh.restarted = now;
-  fresh.orphaned.streams = row->orphaned.streams + row->own;
-  fresh.orphaned.work = row->orphaned.work + row->own_work;
-  fresh.orphaned.entries = row->orphaned.entries + row->own_entries;
+  fresh.lost.streams = row->lost.streams + row->own;
+  fresh.lost.work = row->lost.work + row->own_work;
+  fresh.lost.entries = row->lost.entries + row->own_entries;
   *row = std::move(fresh);
 }
 
@@ -118,10 +118,10 @@
 // incarnations break, so they are counted as the first to end; any error is
 // corrected with the last of them.
 void EndpointTable::EndOrphaned(int work, Row* row) {
-  row->orphaned.work -= work;
-  if (--row->orphaned.streams > 0) return;
-  row->own_work = std::max(0, row->own_work + row->orphaned.work);
-  row->orphaned.work = 0;
+  row->lost.work -= work;
+  if (--row->lost.streams > 0) return;
+  row->own_work = std::max(0, row->own_work + row->lost.work);
+  row->lost.work = 0;
 }
 
 void EndpointTable::InvalidateReport(const std::string& name) {
@@ -153,8 +153,7 @@
 void EndpointTable::OnEntryDone(const std::string& name) {
   Row* row = Find(name);
   if (row == nullptr) return;
-  int& entries =
-      row->orphaned.entries > 0 ? row->orphaned.entries : row->own_entries;
+  int& entries = row->lost.entries > 0 ? row->lost.entries : row->own_entries;
   if (entries > 0) entries--;
 }
 
@@ -168,7 +167,7 @@
 void EndpointTable::OnDone(const std::string& name, int work) {
   Row* row = Find(name);
   if (row == nullptr) return;
-  if (row->orphaned.streams > 0) {
+  if (row->lost.streams > 0) {
     EndOrphaned(work, row);
     return;
   }
--- a/pinford/endpoint_table.h
+++ b/pinford/endpoint_table.h
@@ -295,7 +295,7 @@
     Time full_until{};
     Time deadline_doubled{};  // when its deadline was last doubled
     StepDeadline deadline;
-    OrphanedLoad orphaned;
+    OrphanedLoad lost;
     Time restarted{};  // when its last restart was seen
     bool is_listed = true;
     bool down = false;    // does not respond, though it is listed
