--- a/pinford/gossip.h
+++ b/pinford/gossip.h
@@ -29,9 +29,10 @@
     std::function<void(const Digest&)> on_digest;
     // A peer reports that runners are down. Boxes that use no runners ignore
     // it.
-    std::function<void(const DownNote&)> on_down;
+    std::function<void(const FailureNotice&)> on_failure_notice;
     // A peer asks for retries; returns what it is lent, if anything.
-    std::function<std::optional<RetryLoan>(const RetryAsk&)> on_retry_ask;
+    std::function<std::optional<RetryLoan>(const RetryRequest&)>
+        on_retry_request;
     std::function<void(const RetryLoan&)> on_retry_loan;
     // Answers fetches other than for members, which Gossip answers itself.
     std::function<FetchReply(const FetchRequest&)> on_fetch;
@@ -47,9 +48,9 @@
   // Sends urgent state to the peers at once.
   void Announce();
   // Sends `note` to `peers` random live members.
-  void SendFailureNotice(const DownNote& note, size_t peers);
+  void SendFailureNotice(const FailureNotice& note, size_t peers);
   // Sends each of `asks` to a different random live member.
-  void SendRetryRequests(std::vector<RetryAsk> asks);
+  void SendRetryRequests(std::vector<RetryRequest> asks);
   // Detects lost members and fetches unknown ones. Call it often.
   void Tick();
 
@@ -60,7 +61,7 @@
   void SendAll(std::vector<Membership::Datagram> datagrams);
   void OnDigest(const Digest& digest);
   FetchReply OnFetch(const FetchRequest& request);
-  void OnRetryAsk(const RetryAsk& ask);
+  void OnRetryRequest(const RetryRequest& ask);
   void SyncMembers();
   void NotifyChanges(
       const std::vector<std::pair<std::string, MemberChange>>& changes);
--- a/pinford/membership.cc
+++ b/pinford/membership.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <iterator>
 
-#include "util/names.h"
+#include "util/enum_names.h"
 
 namespace pinford {
 
@@ -56,7 +56,7 @@
   d->counts = counts_;
   d->running = running_;
   d->waiting = waiting_;
-  d->proof_age_ms = static_cast<uint32_t>(
+  d->freshness_age_ms = static_cast<uint32_t>(
       std::clamp<int64_t>(ToMillis(proof_age_), 0, UINT32_MAX));
 }
 
@@ -93,17 +93,18 @@
 Digest Membership::FullDigest(Time now) {
   Digest d;
   d.sender = self_;
-  std::vector<MemberBeat> remote;
+  std::vector<MemberHeartbeat> remote;
   for (const auto& [name, m] : members_) {
     if (Suspected(now, m)) continue;
     if (now - m.first_seen < options_.joined_window) d.joined.push_back(m.row);
-    const MemberBeat beat{NameId(name), m.row.incarnation, m.row.heartbeat};
-    (m.row.hall == self_.hall ? d.beats : remote).push_back(beat);
+    const MemberHeartbeat beat{NameId(name), m.row.incarnation,
+                               m.row.heartbeat};
+    (m.row.hall == self_.hall ? d.heartbeats : remote).push_back(beat);
   }
   std::shuffle(remote.begin(), remote.end(), random_);
   if (remote.size() > options_.max_remote_beats)
     remote.resize(options_.max_remote_beats);
-  d.beats.insert(d.beats.end(), remote.begin(), remote.end());
+  d.heartbeats.insert(d.heartbeats.end(), remote.begin(), remote.end());
   FillOwnState(&d);
   return d;
 }
@@ -270,7 +271,7 @@
     m.waiting = digest.waiting;
   }
   for (const MemberRow& row : digest.joined) OnRow(now, row, &changes);
-  for (const MemberBeat& beat : digest.beats) {
+  for (const MemberHeartbeat& beat : digest.heartbeats) {
     auto name = names_.find(beat.id);
     if (name == names_.end()) {
       // A dropped member that is back is as unknown as a new one. Otherwise
