--- a/pinford/gossip.cc
+++ b/pinford/gossip.cc
@@ -41,25 +41,25 @@
   SendAll(membership_->Announce());
 }
 
-void Gossip::SendFailureNotice(const FailureNotice& note, size_t peers) {
+void Gossip::SendFailureNotice(const FailureNotice& notice, size_t peers) {
   for (const std::string& to : membership_->RandomLive(loop_->now(), peers)) {
-    link_.Send(to, note);
+    link_.Send(to, notice);
   }
 }
 
-void Gossip::SendRetryRequests(std::vector<RetryRequest> asks) {
+void Gossip::SendRetryRequests(std::vector<RetryRequest> requests) {
   const std::vector<std::string> peers =
-      membership_->RandomLive(loop_->now(), asks.size());
+      membership_->RandomLive(loop_->now(), requests.size());
   for (size_t i = 0; i < peers.size(); i++) {
-    asks[i].from = membership_->self().address;
-    link_.Send(peers[i], asks[i]);
+    requests[i].from = membership_->self().address;
+    link_.Send(peers[i], requests[i]);
   }
 }
 
-void Gossip::OnRetryRequest(const RetryRequest& ask) {
+void Gossip::OnRetryRequest(const RetryRequest& request) {
   if (!handlers_.on_retry_request) return;
-  const std::optional<RetryLoan> loan = handlers_.on_retry_request(ask);
-  if (loan) link_.Send(ask.from, *loan);
+  const std::optional<RetryLoan> loan = handlers_.on_retry_request(request);
+  if (loan) link_.Send(request.from, *loan);
 }
 
 void Gossip::Tick() {
--- a/pinford/gossip.h
+++ b/pinford/gossip.h
@@ -47,10 +47,10 @@
   void Start();
   // Sends urgent state to the peers at once.
   void Announce();
-  // Sends `note` to `peers` random live members.
-  void SendFailureNotice(const FailureNotice& note, size_t peers);
-  // Sends each of `asks` to a different random live member.
-  void SendRetryRequests(std::vector<RetryRequest> asks);
+  // Sends `notice` to `peers` random live members.
+  void SendFailureNotice(const FailureNotice& notice, size_t peers);
+  // Sends each of `requests` to a different random live member.
+  void SendRetryRequests(std::vector<RetryRequest> requests);
   // Detects lost members and fetches unknown ones. Call it often.
   void Tick();
 
@@ -61,7 +61,7 @@
   void SendAll(std::vector<Membership::Datagram> datagrams);
   void OnDigest(const Digest& digest);
   FetchReply OnFetch(const FetchRequest& request);
-  void OnRetryRequest(const RetryRequest& ask);
+  void OnRetryRequest(const RetryRequest& request);
   void SyncMembers();
   void NotifyChanges(
       const std::vector<std::pair<std::string, MemberChange>>& changes);
--- a/pinford/membership.cc
+++ b/pinford/membership.cc
@@ -57,7 +57,7 @@
   d->running = running_;
   d->waiting = waiting_;
   d->freshness_age_ms = static_cast<uint32_t>(
-      std::clamp<int64_t>(ToMillis(proof_age_), 0, UINT32_MAX));
+      std::clamp<int64_t>(ToMillis(freshness_age_), 0, UINT32_MAX));
 }
 
 Duration Membership::IntervalFor(size_t bytes) {
@@ -77,7 +77,7 @@
   double factor = 1;
   if (member.row.hall != self_.hall) {
     const double drawn = static_cast<double>(remote_members_) /
-                         static_cast<double>(options_.max_remote_beats);
+                         static_cast<double>(options_.max_remote_heartbeats);
     factor = options_.remote_factor * std::max(1.0, drawn);
   }
   const double micros = static_cast<double>(interval_.count()) * rounds;
@@ -102,8 +102,8 @@
     (m.row.hall == self_.hall ? d.heartbeats : remote).push_back(beat);
   }
   std::shuffle(remote.begin(), remote.end(), random_);
-  if (remote.size() > options_.max_remote_beats)
-    remote.resize(options_.max_remote_beats);
+  if (remote.size() > options_.max_remote_heartbeats)
+    remote.resize(options_.max_remote_heartbeats);
   d.heartbeats.insert(d.heartbeats.end(), remote.begin(), remote.end());
   FillOwnState(&d);
   return d;
--- a/pinford/membership.h
+++ b/pinford/membership.h
@@ -60,7 +60,7 @@
     size_t max_counts = 64;  // endpoint counts in a digest
     // One digest in this many goes to another hall.
     int other_hall_every = 8;
-    size_t max_remote_beats = 16;  // heartbeats of other halls in a digest
+    size_t max_remote_heartbeats = 16;  // heartbeats of other halls in a digest
     // Factor on the time to suspect for members of other halls.
     double remote_factor = 4;
     Duration sync_interval = seconds(1);  // between fetches of all rows
@@ -87,7 +87,7 @@
   void set_load(uint32_t running, uint32_t waiting);
   void set_leaving_endpoints(std::vector<LeavingMark> marks);
   // Age of the proof that this box's configuration is the newest.
-  void set_freshness_age(Duration age) { proof_age_ = age; }
+  void set_freshness_age(Duration age) { freshness_age_ = age; }
 
   // Returns the digests to send now and the time until the next call. `size`
   // returns a digest's size in bytes.
@@ -173,7 +173,7 @@
   std::vector<LeavingMark> leaving_;
   uint32_t running_ = 0;
   uint32_t waiting_ = 0;
-  Duration proof_age_ = Duration::max();
+  Duration freshness_age_ = Duration::max();
   Duration interval_ = milliseconds(300);
   uint64_t ticks_ = 0;
   std::string sync_from_;  // "" when there is no reason to fetch
