--- a/pinford/admission.cc
+++ b/pinford/admission.cc
@@ -1,7 +1,7 @@
-// Tags. A flow that becomes busy starts at max(virtual time, its last finish
-// tag); serving an item moves the virtual time to the item's start tag and
-// the flow's finish tag on by cost / weight. The same holds for each tier
-// among the tiers. The busy flow with the least start tag goes next.
+// Tags: a flow that becomes busy gets the start tag max(virtual time, its last
+// finish tag). Serving an item sets the virtual time to the item's start tag
+// and advances the flow's finish tag by cost / weight. The same holds for each
+// tier among the tiers. The busy flow with the lowest start tag is served next.
 
 #include "pinford/admission.h"
 
@@ -22,16 +22,16 @@
   return NameIn(kVerdictTexts, v);
 }
 
-static constexpr Duration kWindow = seconds(2);
+static constexpr Duration kRateWindow = seconds(2);
 
 AdmissionVerdict Admission::Offer(Time now, const AdmissionItem& item) {
   if (waiting_ >= options_.max_waiting) return AdmissionVerdict::kFull;
   Level& level = levels_[static_cast<int>(item.tier)];
   auto it = level.flows.find(item.share);
   const size_t own = it == level.flows.end() ? 0 : it->second.items.size();
-  const double most =
+  const double max_own =
       options_.max_share_waiting * static_cast<double>(options_.max_waiting);
-  if (static_cast<double>(own) >= most) return AdmissionVerdict::kFull;
+  if (static_cast<double>(own) >= max_own) return AdmissionVerdict::kFull;
   if (now + PredictedWait(now, item.tier) > item.deadline) {
     return AdmissionVerdict::kTooLate;
   }
@@ -62,12 +62,12 @@
   return best;
 }
 
-void Admission::Forget(Level* level, const AdmissionItem& item) {
+void Admission::OnRemoved(Level* level, const AdmissionItem& item) {
   level->cost -= item.cost;
   waiting_--;
   size_t left = 0;
   for (const auto& [share, flow] : level->flows) left += flow.items.size();
-  // Sums of doubles drift; an empty level is empty.
+  // Avoids the drift of floating-point sums.
   if (left == 0) level->cost = 0;
 }
 
@@ -92,8 +92,8 @@
   level.finish = level.start + item.cost / options_.tier_weight[tier];
   level.start = level.finish;
 
-  Forget(&level, item);
-  // An idle flow whose finish tag has passed holds nothing worth keeping.
+  OnRemoved(&level, item);
+  // An idle flow whose finish tag has passed has no state worth keeping.
   std::erase_if(level.flows, [&level](const auto& entry) {
     return entry.second.items.empty() &&
            entry.second.finish <= level.virtual_time;
@@ -102,13 +102,13 @@
 }
 
 std::vector<AdmissionItem> Admission::Take(int slots) {
-  std::vector<AdmissionItem> taken;
+  std::vector<AdmissionItem> started;
   while (slots-- > 0) {
     const int tier = NextTier();
     if (tier < 0) break;
-    taken.push_back(Serve(tier));
+    started.push_back(Serve(tier));
   }
-  return taken;
+  return started;
 }
 
 std::vector<AdmissionItem> Admission::Expire(Time now) {
@@ -133,7 +133,7 @@
       if (it == flow.items.end()) continue;
       const AdmissionItem item = *it;
       flow.items.erase(it);
-      Forget(&level, item);
+      OnRemoved(&level, item);
       return;
     }
   }
@@ -144,8 +144,8 @@
     measured_ = true;
     window_begin_ = now;
   }
-  if (now - window_begin_ >= kWindow) {
-    const bool adjacent = now - window_begin_ < 2 * kWindow;
+  if (now - window_begin_ >= kRateWindow) {
+    const bool adjacent = now - window_begin_ < 2 * kRateWindow;
     last_window_cost_ = adjacent ? window_cost_ : 0;
     window_cost_ = 0;
     window_begin_ = now;
@@ -156,9 +156,10 @@
 double Admission::drain_rate(Time now) const {
   if (!measured_) return 0;
   const Duration in_window = now - window_begin_;
-  if (in_window >= 4 * kWindow) return 0;
-  const Duration span = last_window_cost_ > 0 ? kWindow + in_window
-                                              : std::max(in_window, kWindow);
+  if (in_window >= 4 * kRateWindow) return 0;
+  const Duration span = last_window_cost_ > 0
+                            ? kRateWindow + in_window
+                            : std::max(in_window, kRateWindow);
   return (last_window_cost_ + window_cost_) / ToSeconds(span);
 }
 
@@ -168,8 +169,9 @@
   return cost;
 }
 
-// Work of the same or an upper tier goes before; of a lower tier next to
-// none does. Unknown rates predict no wait: the deadline still holds later.
+// Work of the same and of upper tiers is served first; work of lower tiers is
+// negligible. An unknown rate predicts no wait; the deadline still applies
+// later.
 Duration Admission::PredictedWait(Time now, Tier tier) const {
   const double rate = drain_rate(now);
   if (rate <= 0) return Duration(0);
@@ -179,11 +181,11 @@
 }
 
 Duration Admission::RetryAfter(Time now) const {
-  constexpr Duration kLeast = seconds(1);
-  constexpr Duration kMost = seconds(60);
+  constexpr Duration kMin = seconds(1);
+  constexpr Duration kMax = seconds(60);
   const double rate = drain_rate(now);
-  if (rate <= 0) return kLeast;
-  return std::clamp(FromSeconds(waiting_cost() / rate), kLeast, kMost);
+  if (rate <= 0) return kMin;
+  return std::clamp(FromSeconds(waiting_cost() / rate), kMin, kMax);
 }
 
 }  // namespace pinford
--- a/pinford/endpoint_choice.cc
+++ b/pinford/endpoint_choice.cc
@@ -1,6 +1,6 @@
-// EndpointTable's part in choosing: which rows together hold a model, which are
-// better for a request, what is free of a model. What each row tells of itself
-// is in endpoint_table.cc.
+// The part of EndpointTable that chooses: which rows together hold a model,
+// which suit a request best, and what capacity a model has left. The estimates
+// for single rows are in endpoint_table.cc.
 
 #include <algorithm>
 #include <cmath>
@@ -48,7 +48,7 @@
   return layers > 0 && covered >= layers;
 }
 
-std::optional<std::string> EndpointTable::WholeVersion(
+std::optional<std::string> EndpointTable::CompleteVersion(
     const std::string& model, const std::string& wanted,
     const std::function<bool(const Row&)>& takes) const {
   const auto below = [](const std::string& a, const std::string& b) {
@@ -68,11 +68,12 @@
 
 std::optional<std::string> EndpointTable::VersionFor(
     Time now, const std::string& model, const std::string& wanted) const {
-  auto version = WholeVersion(
+  auto version = CompleteVersion(
       model, wanted, [&](const Row& row) { return TakesNewWork(now, row); });
   if (version || !enabled(Mechanism::kLastResort)) return version;
-  return WholeVersion(
-      model, wanted, [&](const Row& row) { return TakesWorkAtNeed(now, row); });
+  return CompleteVersion(model, wanted, [&](const Row& row) {
+    return TakesWorkAsLastResort(now, row);
+  });
 }
 
 EndpointTable::Means EndpointTable::MeansOf(
@@ -98,40 +99,42 @@
     const std::string& hall = row->listed.hall;
     const int number =
         halls.emplace(hall, static_cast<int>(halls.size())).first->second;
-    const bool far = hall != hall_ && !options_.direct_handoff;
-    const double hop = far ? options_.cross_hall_seconds : options_.hop_seconds;
-    const double price = PriceOf(now, *row, means) *
-                         std::pow(options_.price.factor, jitter(random_));
+    const bool remote = hall != hall_ && !options_.direct_handoff;
+    const double handoff =
+        remote ? options_.cross_hall_seconds : options_.handoff_seconds;
+    const double cost = CostOf(now, *row, means) *
+                        std::pow(options_.cost.factor, jitter(random_));
     const bool elsewhere = hall != hall_ && options_.direct_handoff;
     const double first = options_.direct_handoff
-                             ? EntryPrice(now, *row) +
+                             ? FirstStageCost(now, *row) +
                                    (elsewhere ? options_.cross_hall_seconds : 0)
                              : 0;
     candidates.push_back({row->listed.name, row->report->holds,
-                          price / hall_weight(hall), hop, number, first});
+                          cost / hall_weight(hall), handoff, number, first});
   }
   if (!options_.direct_handoff) return PickChain(candidates, range);
-  const double crossing = CrossingPrice(now, static_cast<int>(halls.size()));
-  return PickSimpleChain(candidates, range, crossing);
+  const double transfer = TransferCost(now, static_cast<int>(halls.size()));
+  return PickSimpleChain(candidates, range, transfer);
 }
 
 std::optional<Chain> EndpointTable::PickChainFor(
     Time now, const std::string& model, const std::string& version,
     const LayerRange& range, const HallWeight& hall_weight, double layer_work,
     const std::set<std::string>& avoid) {
-  std::vector<const Row*> able;
-  std::vector<const Row*> at_need;
+  std::vector<const Row*> available;
+  std::vector<const Row*> last_resort;
   for (const auto& [name, row] : rows_) {
     if (!Holds(row, model, version)) continue;
     if (hall_weight(row.listed.hall) <= 0) continue;
-    if (!TakesWorkAtNeed(now, row) || !HasRoom(now, row, layer_work)) continue;
+    if (!TakesWorkAsLastResort(now, row) || !HasMemoryFor(now, row, layer_work))
+      continue;
     if (avoid.contains(name)) continue;
-    at_need.push_back(&row);
-    if (TakesNewWork(now, row)) able.push_back(&row);
+    last_resort.push_back(&row);
+    if (TakesNewWork(now, row)) available.push_back(&row);
   }
-  std::optional<Chain> chain = PickAmong(now, able, range, hall_weight);
-  if (chain || able.size() == at_need.size()) return chain;
-  return PickAmong(now, at_need, range, hall_weight);
+  std::optional<Chain> chain = PickAmong(now, available, range, hall_weight);
+  if (chain || available.size() == last_resort.size()) return chain;
+  return PickAmong(now, last_resort, range, hall_weight);
 }
 
 EndpointTable::MemoryBottleneck EndpointTable::MemoryBottleneckOf(
@@ -141,7 +144,8 @@
     at_layer[l].layer = static_cast<int>(l);
   }
   for (const auto& [name, row] : rows_) {
-    if (!Holds(row, model, version) || !TakesWorkAtNeed(now, row)) continue;
+    if (!Holds(row, model, version) || !TakesWorkAsLastResort(now, row))
+      continue;
     const LayerRange& r = row.report->holds;
     for (int l = r.begin; l < r.end; l++) {
       MemoryBottleneck& s = at_layer[l];
@@ -154,25 +158,26 @@
   const auto less = [](const MemoryBottleneck& a, const MemoryBottleneck& b) {
     return a.holders > 0 && (b.holders == 0 || a.memory_used < b.memory_used);
   };
-  const auto most = std::max_element(at_layer.begin(), at_layer.end(), less);
-  return most == at_layer.end() ? MemoryBottleneck() : *most;
+  const auto worst = std::max_element(at_layer.begin(), at_layer.end(), less);
+  return worst == at_layer.end() ? MemoryBottleneck() : *worst;
 }
 
 std::optional<std::string> EndpointTable::PickService(
     Time now, const std::string& service, const std::set<std::string>& tried) {
   std::vector<const Row*> usable;
-  std::vector<const Row*> resting;
+  std::vector<const Row*> backing_off;
   for (const auto& [name, row] : rows_) {
     if (row.listed.role != EndpointRole::kService) continue;
     if (row.listed.service != service || tried.contains(name)) continue;
     if (TakesNewWork(now, row)) {
       usable.push_back(&row);
     } else if (MaySend(now, row)) {
-      resting.push_back(&row);
+      backing_off.push_back(&row);
     }
   }
-  // One that failed of late may do; nobody at all does not.
-  if (usable.empty()) usable = std::move(resting);
+  // An endpoint that failed recently may work; with none the call fails for
+  // certain.
+  if (usable.empty()) usable = std::move(backing_off);
   if (usable.empty()) return std::nullopt;
   std::uniform_int_distribution<size_t> any(0, usable.size() - 1);
   const Row* a = usable[any(random_)];
@@ -181,7 +186,7 @@
   return least->listed.name;
 }
 
-// The least, over the layers of `model`, of the sum of slots_of(row) over the
+// The minimum, over the layers of `model`, of the sum of slots_of(row) over the
 // runners that hold the layer.
 template <typename SlotsOf>
 double EndpointTable::LeastOverLayers(Time now, const std::string& model,
@@ -234,8 +239,8 @@
   for (const auto& [name, row] : rows_) {
     if (!row.report || row.report->layers == 0) continue;
     if (!IsRunnerOf(now, row, model, row.report->version)) continue;
-    // An endpoint that holds a part of the layers carries as much of each
-    // stream.
+    // An endpoint that holds a fraction of the layers carries that fraction of
+    // each stream.
     const double part =
         static_cast<double>(row.report->holds.size()) / row.report->layers;
     halls[row.listed.hall].capacity += part * row.report->slots;
--- a/pinford/hall_planner.h
+++ b/pinford/hall_planner.h
@@ -1,22 +1,22 @@
-// Plans one hall's placement and gives the orders for it.
+// Plans one hall's placement and issues the orders for it.
 //
 // One box of a hall plans at a time: the holder of a lease in the platform's
-// service, whose token grows with every new holder. What the holder decides
-// is written first, by compare-and-swap, as the hall's plan; orders come from
+// service, whose token grows with every new holder. The holder first writes its
+// decision, by compare-and-swap, as the hall's plan. Orders are derived from
 // the written plan only, and carry its token and number.
 //
-// A holder may be paused and wake up believing that it still holds the lease.
-// Then:
-//   - its plan cannot be written: the stored one bears a higher token;
-//   - its orders are refused by runners that check the token;
-//   - before an order to a runner that does not check, the lease is renewed,
-//     and its remaining time, counted from before the renewal was sent, must
-//     exceed the order's time limit. An order that slips through all the same
-//     (held up on its way for longer than its limit) is put right by the next
-//     round, since orders tell a state and are given until reports agree.
+// A holder may be paused and resume in the belief that it still holds the
+// lease. Then:
+// - its plan cannot be written, as the stored one has a higher token;
+// - its orders are refused by runners that check the token;
+// - before an order to a runner that does not check, the lease is renewed, and
+//   its remaining time, counted from before the renewal was sent, must exceed
+//   the order's time limit. An order that still arrives late (delayed in
+//   transit for longer than its limit) is corrected in the next round, since
+//   orders state the desired holding and are repeated until reports agree.
 //
-// Loads are spaced so that weights are never asked for faster than the weight
-// store gives them, over a change of holders too: a new holder waits for one
+// Loads are spaced so that weights are never requested faster than the weight
+// store serves them, across a change of holders too: a new holder waits for one
 // spacing before its first load.
 
 #ifndef PINFORD_HALL_PLANNER_H_
@@ -41,11 +41,11 @@
   Duration lease = seconds(6);
   Duration round = seconds(1);
   Duration order_limit = seconds(2);
-  Duration load_spacing = seconds(10);  // from the weight store's rate
-  Duration rest = seconds(60);          // of a runner that was moved
+  Duration load_spacing = seconds(10);   // from the weight store's rate
+  Duration move_cooldown = seconds(60);  // of a runner after a move
 };
 
-// What the planner asks of its box.
+// The planner's inputs from its box.
 struct HallView {
   std::vector<PlannedRunner> runners;
   std::map<std::string, bool> checks_fence;  // by runner
@@ -55,7 +55,7 @@
 struct HallPlannerEvents {
   std::function<HallView()> view;
   std::function<bool()> is_candidate;            // whether to try for the lease
-  std::function<void(uint64_t token)> on_lease;  // 0: lost
+  std::function<void(uint64_t token)> on_lease;  // 0 if lost
   std::function<void(const std::string& runner, const Order&)> on_order;
 };
 
@@ -81,7 +81,7 @@
   bool holds_lease() const { return lease_.held(); }
 
  private:
-  void Again() { Start(); }
+  void ScheduleRound() { Start(); }
 
   void OnToken(uint64_t token) {
     if (token != 0) next_load_ = clock_->now() + options_.load_spacing;
@@ -90,10 +90,10 @@
 
   void Round() {
     if (!holds_lease() && !events_.is_candidate()) {
-      Again();
+      ScheduleRound();
       return;
     }
-    // A renewal is a write, of which the store has few.
+    // A renewal is a write, and the store supports few writes.
     if (lease_.left() > options_.lease / 2) {
       ReadPlan();
       return;
@@ -102,7 +102,7 @@
       if (held) {
         ReadPlan();
       } else {
-        Again();
+        ScheduleRound();
       }
     });
   }
@@ -112,7 +112,7 @@
   void ReadPlan() {
     store_->Get(plan_key_, [this](const StoreResult& r) {
       if (r.status != StoreStatus::kOk && r.status != StoreStatus::kMissing) {
-        Again();
+        ScheduleRound();
         return;
       }
       PlacementPlan plan;
@@ -121,9 +121,9 @@
         if (parsed) plan = std::move(*parsed);
       }
       if (plan.token > lease_.token()) {
-        // Another has planned since: this lease is of the past.
+        // Another box has planned since; this lease is no longer valid.
         lease_.Abandon();
-        Again();
+        ScheduleRound();
         return;
       }
       Decide(std::move(plan), r.now.revision);
@@ -133,42 +133,43 @@
   void Decide(PlacementPlan plan, StoreRevision revision) {
     const HallView view = events_.view();
     PlacementPlan next = plan;
-    Revise(view, &next);
+    UpdatePlan(view, &next);
     if (next.holdings == plan.holdings && plan.token == lease_.token()) {
-      Carry(view, plan);
+      IssueNextOrder(view, plan);
       return;
     }
     next.token = lease_.token();
     next.number = plan.number + 1;
     store_->CompareAndSwap(plan_key_, revision, WritePlan(next),
                            [this, view, next](const StoreResult& r) {
-                             // Only what is known to be written is carried out;
-                             // the next round reads whatever is there.
+                             // Only a plan that is known to be written is
+                             // carried out. The next round reads the stored
+                             // plan in any case.
                              if (r.status == StoreStatus::kOk) {
-                               Carry(view, next);
+                               IssueNextOrder(view, next);
                              } else {
-                               Again();
+                               ScheduleRound();
                              }
                            });
   }
 
-  // Adds the next move, and forgets runners that are gone.
-  void Revise(const HallView& view, PlacementPlan* plan) const {
+  // Adds the next move, and erases runners that were removed.
+  void UpdatePlan(const HallView& view, PlacementPlan* plan) const {
     std::vector<PlannedRunner> runners = view.runners;
     std::map<std::string, Holding> kept;
-    bool under_way = false;
+    bool in_progress = false;
     for (PlannedRunner& r : runners) {
       auto planned = plan->holdings.find(r.name);
       if (planned == plan->holdings.end()) continue;
       kept[r.name] = planned->second;
-      under_way = under_way || r.holds != planned->second;
+      in_progress = in_progress || r.holds != planned->second;
       r.holds = planned->second;
-      auto moved = moved_.find(r.name);
-      r.resting = moved != moved_.end() &&
-                  clock_->now() - moved->second < options_.rest;
+      auto moved = last_move_.find(r.name);
+      r.cooling_down = moved != last_move_.end() &&
+                       clock_->now() - moved->second < options_.move_cooldown;
     }
     plan->holdings = std::move(kept);
-    if (under_way) return;
+    if (in_progress) return;
     if (std::optional<Move> move = NextMove(runners, view.wanted)) {
       plan->holdings[move->runner] = move->to;
     }
@@ -176,46 +177,47 @@
 
   // --- the orders ----------------------------------------------------------
 
-  // Gives the next order that the plan asks for, if one is due.
-  void Carry(const HallView& view, const PlacementPlan& plan) {
+  // Issues the next order that the plan requires, if one is due.
+  void IssueNextOrder(const HallView& view, const PlacementPlan& plan) {
     for (const PlannedRunner& r : view.runners) {
       auto planned = plan.holdings.find(r.name);
       if (planned == plan.holdings.end() || planned->second == r.holds)
         continue;
       if (clock_->now() < next_load_) continue;
       auto checks = view.checks_fence.find(r.name);
-      const bool fenced = checks != view.checks_fence.end() && checks->second;
+      const bool checks_token =
+          checks != view.checks_fence.end() && checks->second;
       const Order order{plan.token, plan.number, planned->second};
-      if (fenced) {
-        Give(r.name, order);
+      if (checks_token) {
+        IssueOrder(r.name, order);
       } else {
-        GiveUnfenced(r.name, order);
+        IssueUnfencedOrder(r.name, order);
       }
       return;
     }
-    Again();
+    ScheduleRound();
   }
 
-  void GiveUnfenced(const std::string& runner, const Order& order) {
+  void IssueUnfencedOrder(const std::string& runner, const Order& order) {
     lease_.Renew([this, runner, order](bool held) {
-      const bool same = held && lease_.token() == order.token;
-      const bool time = lease_.left() > options_.order_limit;
-      if (same && time) {
-        Give(runner, order);
+      const bool same_token = held && lease_.token() == order.token;
+      const bool enough_time = lease_.left() > options_.order_limit;
+      if (same_token && enough_time) {
+        IssueOrder(runner, order);
       } else {
-        Again();
+        ScheduleRound();
       }
     });
   }
 
-  void Give(const std::string& runner, const Order& order) {
+  void IssueOrder(const std::string& runner, const Order& order) {
     next_load_ = clock_->now() + options_.load_spacing;
-    moved_[runner] = clock_->now();
+    last_move_[runner] = clock_->now();
     if (events_.on_order) events_.on_order(runner, order);
     client_->SendOrder(runner, order, options_.order_limit,
                        [this](OrderStatus status) {
                          if (status == OrderStatus::kFenced) lease_.Abandon();
-                         Again();
+                         ScheduleRound();
                        });
   }
 
@@ -228,7 +230,7 @@
 
   LeaseHolder<S, Clk> lease_;
   Time next_load_{};
-  std::map<std::string, Time> moved_;
+  std::map<std::string, Time> last_move_;
 };
 
 }  // namespace pinford
--- a/pinford/testing/decisions_test.cc
+++ b/pinford/testing/decisions_test.cc
@@ -1,4 +1,4 @@
-// The small decision modules, each by a table of cases or against a simple
+// Small decision modules, each tested with a table of cases or against a simple
 // oracle.
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 TEST(Pipeline, Partitions) {
   const struct {
     Chain chain;
-    bool good;
+    bool valid;
   } cases[] = {
       {{{"a", {0, 8}}}, true},
       {{{"a", {0, 3}}, {"b", {3, 8}}}, true},
@@ -34,12 +34,12 @@
       {{{"a", {0, 3}}, {"b", {3, 3}}, {"c", {3, 8}}}, false},
       {{{"b", {3, 8}}, {"a", {0, 3}}}, false},
   };
-  for (const auto& c : cases) EXPECT_EQ(Partitions(c.chain, {0, 8}), c.good);
+  for (const auto& c : cases) EXPECT_EQ(Partitions(c.chain, {0, 8}), c.valid);
 }
 
-// Every chain there is, by trying all: the cheapest cost, or infinity.
-double CheapestByTryingAll(const std::vector<Candidate>& all, LayerRange range,
-                           int last) {
+// Tries every chain; returns the lowest cost, or infinity.
+double CheapestByBruteForce(const std::vector<Candidate>& all, LayerRange range,
+                            int last) {
   if (range.empty()) return 0;
   double best = INFINITY;
   for (size_t e = 0; e < all.size(); e++) {
@@ -47,9 +47,9 @@
     for (int end = range.begin + 1; end <= range.end; end++) {
       if (!all[e].holds.Contains({range.begin, end})) break;
       const double cost =
-          all[e].entry_cost + all[e].layer_cost * (end - range.begin);
-      best = std::min(best, cost + CheapestByTryingAll(all, {end, range.end},
-                                                       static_cast<int>(e)));
+          all[e].handoff_cost + all[e].layer_cost * (end - range.begin);
+      best = std::min(best, cost + CheapestByBruteForce(all, {end, range.end},
+                                                        static_cast<int>(e)));
     }
   }
   return best;
@@ -67,7 +67,7 @@
       const int b = a + 1 + static_cast<int>(random() % (layers - a));
       all.push_back({"e" + std::to_string(e), {a, b}, unit(), unit()});
     }
-    const double best = CheapestByTryingAll(all, {0, layers}, -1);
+    const double best = CheapestByBruteForce(all, {0, layers}, -1);
     const std::optional<Chain> chain = PickChain(all, {0, layers});
     ASSERT_EQ(chain.has_value(), best < INFINITY) << seed;
     if (!chain) continue;
@@ -78,10 +78,10 @@
   EXPECT_GT(covered, 100);
 }
 
-// The same of the chains in which no endpoint stands twice.
-double CheapestSimpleByTryingAll(const std::vector<Candidate>& all,
-                                 LayerRange range, double cross_cost,
-                                 std::vector<int> used) {
+// The same over chains in which no endpoint occurs twice.
+double CheapestSimpleByBruteForce(const std::vector<Candidate>& all,
+                                  LayerRange range, double cross_hall_cost,
+                                  std::vector<int> used) {
   if (range.empty()) return 0;
   double best = INFINITY;
   for (size_t e = 0; e < all.size(); e++) {
@@ -89,16 +89,17 @@
     if (std::find(used.begin(), used.end(), id) != used.end()) continue;
     for (int end = range.begin + 1; end <= range.end; end++) {
       if (!all[e].holds.Contains({range.begin, end})) break;
-      double cost = all[e].entry_cost + all[e].layer_cost * (end - range.begin);
-      if (used.empty()) cost += all[e].first_cost;
+      double cost =
+          all[e].handoff_cost + all[e].layer_cost * (end - range.begin);
+      if (used.empty()) cost += all[e].first_stage_cost;
       if (!used.empty() && all[used.back()].hall != all[e].hall) {
-        cost += cross_cost;
+        cost += cross_hall_cost;
       }
       std::vector<int> next = used;
       next.push_back(id);
-      best = std::min(
-          best, cost + CheapestSimpleByTryingAll(all, {end, range.end},
-                                                 cross_cost, std::move(next)));
+      best = std::min(best, cost + CheapestSimpleByBruteForce(
+                                       all, {end, range.end}, cross_hall_cost,
+                                       std::move(next)));
     }
   }
   return best;
@@ -111,7 +112,7 @@
     Random random(seed);
     auto unit = [&random] { return (random() % 1000 + 1) / 1000.0; };
     const int layers = 3 + static_cast<int>(random() % 5);
-    const double cross = unit();
+    const double cross_hall = unit();
     std::vector<Candidate> all;
     for (int e = 0; e < 5; e++) {
       const int a = static_cast<int>(random() % layers);
@@ -123,8 +124,10 @@
                      static_cast<int>(random() % 2),
                      unit()});
     }
-    const double best = CheapestSimpleByTryingAll(all, {0, layers}, cross, {});
-    const std::optional<Chain> chain = PickSimpleChain(all, {0, layers}, cross);
+    const double best =
+        CheapestSimpleByBruteForce(all, {0, layers}, cross_hall, {});
+    const std::optional<Chain> chain =
+        PickSimpleChain(all, {0, layers}, cross_hall);
     ASSERT_EQ(chain.has_value(), best < INFINITY) << seed;
     if (!chain) continue;
     covered++;
@@ -133,21 +136,21 @@
     for (const Stage& s : *chain) {
       EXPECT_TRUE(names.insert(s.endpoint).second) << seed;
     }
-    EXPECT_NEAR(ChainCost(all, *chain, cross), best, 1e-9) << seed;
-    const std::optional<Chain> any = PickChain(all, {0, layers}, cross);
-    if (ChainCost(all, *any, cross) < best - 1e-9) repeats++;
+    EXPECT_NEAR(ChainCost(all, *chain, cross_hall), best, 1e-9) << seed;
+    const std::optional<Chain> any = PickChain(all, {0, layers}, cross_hall);
+    if (ChainCost(all, *any, cross_hall) < best - 1e-9) repeats++;
   }
   EXPECT_GT(covered, 150);
-  // The cheapest path alone would not have done.
+  // PickChain alone would have returned cheaper chains with repeats.
   EXPECT_GT(repeats, 5);
 }
 
-TEST(StepDeadline, FollowsWhatStepsTake) {
+TEST(StepDeadline, FollowsMeasuredSteps) {
   const struct {
     const char* name;
     std::vector<std::pair<double, int>> steps;  // work, ms
     double work;
-    int least_ms, most_ms;
+    int min_ms, max_ms;
   } cases[] = {
       {"nothing measured", {}, 3, 1000, 1000},
       {"fast steps have the floor", {{3, 5}, {3, 5}, {3, 6}}, 3, 150, 150},
@@ -165,9 +168,9 @@
     for (const auto& [work, ms] : c.steps) {
       deadline.Measure(work, milliseconds(ms));
     }
-    EXPECT_GE(deadline.For(c.work), milliseconds(c.least_ms));
-    EXPECT_LE(deadline.For(c.work), milliseconds(c.most_ms));
-    // Twice as long after each one that passed, until a reply comes.
+    EXPECT_GE(deadline.For(c.work), milliseconds(c.min_ms));
+    EXPECT_LE(deadline.For(c.work), milliseconds(c.max_ms));
+    // Doubled by each missed deadline until a reply is measured.
     const Duration before = deadline.For(c.work);
     deadline.BackOff();
     deadline.BackOff();
@@ -185,14 +188,14 @@
   RetryBudget budget({.per_success = 0.1, .per_second = 5, .max_retries = 50});
   PausedClock clock;
   int taken = 0;
-  // Everything fails for a minute, a thousand times a second.
+  // Everything fails for a minute, 1,000 times per second.
   for (int i = 0; i < 60000; i++) {
     clock.Advance(milliseconds(1));
     if (budget.Take(clock.now())) taken++;
   }
   EXPECT_LE(taken, 50 + 60 * 5);
   EXPECT_GE(taken, 60 * 5);
-  // With successes, a tenth of them at most.
+  // Successes allow retries for at most a tenth of them.
   for (int i = 0; i < 1000; i++) budget.OnSuccess();
   taken = 0;
   while (budget.Take(clock.now())) taken++;
@@ -217,10 +220,10 @@
   EXPECT_EQ(a.dropped(), 21u);
 }
 
-TEST(Address, TakesNumbersOnly) {
+TEST(Address, AcceptsNumericAddressesOnly) {
   const struct {
     const char* text;
-    bool good;
+    bool valid;
   } cases[] = {
       {"127.0.0.1:80", true},   {"[::1]:80", true},
       {"127.0.0.1", false},     {"127.0.0.1:", false},
@@ -231,7 +234,7 @@
   };
   for (const auto& c : cases) {
     std::optional<Address> a = Address::Parse(c.text);
-    EXPECT_EQ(a.has_value(), c.good) << c.text;
+    EXPECT_EQ(a.has_value(), c.valid) << c.text;
     if (!a) continue;
     EXPECT_EQ(a->ToString(), c.text);
   }
@@ -239,9 +242,9 @@
 
 // --- the table of endpoints ------------------------------------------------
 
-class Table : public ::testing::Test {
+class EndpointTableTest : public ::testing::Test {
  public:
-  Table() : table_("a", EndpointTable::Options(), Random(1)) {}
+  EndpointTableTest() : table_("a", EndpointTable::Options(), Random(1)) {}
 
   void List(ListedState state, uint64_t incarnation) {
     ListedEndpoint e;
@@ -270,18 +273,18 @@
   EndpointTable table_;
 };
 
-TEST_F(Table, WhoeverSaysFirstThatItLeavesIsBelieved) {
+TEST_F(EndpointTableTest, FirstNoticeOfLeavingCounts) {
   const struct {
     const char* name;
-    void (*say)(Table*, EndpointTable*, PausedClock*);
+    void (*report)(EndpointTableTest*, EndpointTable*, PausedClock*);
   } cases[] = {
-      {"list", [](Table* t, EndpointTable*,
+      {"list", [](EndpointTableTest* t, EndpointTable*,
                   PausedClock*) { t->List(ListedState::kLeaving, 5); }},
-      {"report",
-       [](Table* t, EndpointTable*, PausedClock*) { t->Report(5, true); }},
-      {"refusal", [](Table*, EndpointTable* e,
+      {"report", [](EndpointTableTest* t, EndpointTable*,
+                    PausedClock*) { t->Report(5, true); }},
+      {"refusal", [](EndpointTableTest*, EndpointTable* e,
                      PausedClock*) { EXPECT_TRUE(e->OnLeaving("x")); }},
-      {"peer", [](Table*, EndpointTable* e,
+      {"peer", [](EndpointTableTest*, EndpointTable* e,
                   PausedClock*) { EXPECT_TRUE(e->OnLeaving("x", 5)); }},
   };
   for (const auto& c : cases) {
@@ -290,14 +293,14 @@
     List(ListedState::kLive, 5);
     Report(5, false);
     EXPECT_TRUE(Takes());
-    c.say(this, &table_, &clock_);
+    c.report(this, &table_, &clock_);
     EXPECT_FALSE(Takes());
-    // Sources that lag do not bring it back.
+    // Stale sources do not revert it.
     List(ListedState::kLive, 5);
     Report(5, false);
     EXPECT_FALSE(Takes());
-    EXPECT_FALSE(table_.OnLeaving("x", 5)) << "not news any more";
-    // A new life does, and an old mark does not touch it.
+    EXPECT_FALSE(table_.OnLeaving("x", 5)) << "already known";
+    // A new incarnation takes work, and an old mark does not affect it.
     List(ListedState::kLive, 6);
     Report(6, false);
     EXPECT_TRUE(Takes());
@@ -306,7 +309,7 @@
   }
 }
 
-TEST_F(Table, TakesNothingWithoutAFreshReportOrWhileResting) {
+TEST_F(EndpointTableTest, TakesNoWorkWithoutAFreshReportOrDuringBackoff) {
   List(ListedState::kLive, 1);
   EXPECT_FALSE(Takes());
   Report(1, false);
@@ -320,13 +323,13 @@
   EXPECT_TRUE(Takes());
 }
 
-TEST(EndpointTable, TheGreatestWholeVersion) {
-  struct Held {
+TEST(EndpointTable, PicksTheHighestCompleteVersion) {
+  struct HeldRange {
     const char* version;
     LayerRange range;
   };
   const struct {
-    std::vector<Held> held;
+    std::vector<HeldRange> held;
     const char* wanted;
     const char* version;  // "" for none
   } cases[] = {
@@ -359,26 +362,26 @@
   }
 }
 
-TEST_F(Table, CountsWhatItSentSinceTheReport) {
+TEST_F(EndpointTableTest, CountsWorkSentSinceTheReport) {
   List(ListedState::kLive, 1);
   for (int i = 0; i < 3; i++) table_.OnSent("x");
-  Report(1, false, 5);  // three of ours, two of others
+  Report(1, false, 5);  // three of this box, two of others
   EXPECT_EQ(table_.LoadOf("x"), 5);
   for (int i = 0; i < 4; i++) table_.OnSent("x");
   EXPECT_EQ(table_.LoadOf("x"), 9);
-  // Peers know better than the late report.
+  // Peer counts take precedence over the older report.
   table_.OnPeerCounts({{NameId("x"), {6, 0}}});
   EXPECT_EQ(table_.LoadOf("x"), 13);
   for (int i = 0; i < 9; i++) table_.OnDone("x");
   EXPECT_EQ(table_.LoadOf("x"), 6);
 }
 
-TEST_F(Table, WhatPeersDoNotNameTheyDoNotHave) {
+TEST_F(EndpointTableTest, EndpointsMissingFromPeerCountsHaveNone) {
   List(ListedState::kLive, 1);
   table_.OnPeerCounts({{NameId("x"), {6, 2}}, {NameId("unknown"), {9, 9}}});
   EXPECT_EQ(table_.rows().at("x").peers.work, 6);
   EXPECT_EQ(table_.rows().at("x").peers.entries, 2);
-  // A new life does not take the name from it by which peers count.
+  // A restart keeps the id by which peers count.
   table_.OnRestart(Time{}, "x");
   EXPECT_EQ(table_.rows().at("x").peers.work, 0);
   table_.OnPeerCounts({{NameId("x"), {3, 1}}});
@@ -408,7 +411,8 @@
   const std::map<std::string, double> weights = {{"a", 1}, {"b", 2}, {"c", 5}};
   for (int i = 0; i < 300; i++) {
     for (const auto& [share, weight] : weights) {
-      // Customers of long answers get no more tokens than those of short.
+      // Customers with long answers get no more tokens than those with short
+      // ones.
       const double cost = share == "a" ? 40 : 10;
       admission.Offer(Time{}, Item(id++, Tier::kStandard, share, weight, cost));
     }
@@ -438,7 +442,7 @@
 TEST(Admission, RefusesAtOnceWhatCannotStartInTime) {
   Admission admission({.max_waiting = 10, .max_share_waiting = 0.5});
   PausedClock clock;
-  // 100 tokens a second drain.
+  // 100 tokens per second drain.
   for (int i = 0; i < 40; i++) {
     clock.Advance(milliseconds(100));
     admission.OnFinished(clock.now(), 10);
@@ -447,7 +451,8 @@
   AdmissionItem first = Item(1, Tier::kStandard, "a", 1, 1000);
   EXPECT_EQ(admission.Offer(clock.now(), first), AdmissionVerdict::kQueued);
   AdmissionItem late = Item(2, Tier::kStandard, "b");
-  late.deadline = clock.now() + seconds(5);  // ten seconds are ahead of it
+  // ten seconds of work are ahead of it
+  late.deadline = clock.now() + seconds(5);
   EXPECT_EQ(admission.Offer(clock.now(), late), AdmissionVerdict::kTooLate);
   EXPECT_GE(admission.RetryAfter(clock.now()), seconds(8));
   AdmissionItem urgent = late;
@@ -464,7 +469,7 @@
             AdmissionVerdict::kQueued);
 }
 
-TEST(Admission, TheEarliestDeadlineOfTheBackgroundFirst) {
+TEST(Admission, BackgroundTierStartsTheEarliestDeadlineFirst) {
   Admission admission({});
   for (int i = 0; i < 10; i++) {
     AdmissionItem item = Item(i, Tier::kBackground, "night");
--- a/pinford/testing/directory_benchmark.cc
+++ b/pinford/testing/directory_benchmark.cc
@@ -1,5 +1,5 @@
-// What the list of endpoints costs a box, by its length: made for a peer, taken
-// from one, and changed by one entry.
+// The cost of the list of endpoints for a box, by its length: encoding it for a
+// peer, applying one from a peer, and changing one entry.
 
 #include <benchmark/benchmark.h>
 
@@ -10,7 +10,7 @@
 namespace pinford {
 namespace {
 
-constexpr size_t kMostBytes = 64 << 20;
+constexpr size_t kMaxBytes = 64 << 20;
 
 std::shared_ptr<const ServiceConfiguration> Pool() {
   auto c = std::make_shared<ServiceConfiguration>();
@@ -25,7 +25,7 @@
   return c;
 }
 
-// Ids and addresses of runners have nothing in common that packs well.
+// Ids and addresses of runners are random, so they compress badly.
 std::vector<DirectoryEntry> Entries(int n) {
   Random random(1);
   std::vector<DirectoryEntry> list;
@@ -83,7 +83,7 @@
       Deflate(WriteDirectory(source.directory.Snapshot(Time{})));
   Box box;
   for (auto _ : state) {
-    box.directory.OnList(Time{}, *ParseDirectory(*Inflate(body, kMostBytes)));
+    box.directory.OnList(Time{}, *ParseDirectory(*Inflate(body, kMaxBytes)));
   }
 }
 BENCHMARK(BM_ListFromAPeer)->Arg(99)->Arg(1000)->Arg(2999)->Arg(6100);
@@ -100,7 +100,7 @@
 }
 BENCHMARK(BM_ListChange)->Arg(99)->Arg(1000)->Arg(2999)->Arg(6100);
 
-// One entry changes, and a peer that has all others is told.
+// One entry changes, and a peer that has all others receives the change.
 void BM_ChangeToAPeer(benchmark::State& state) {
   const auto entries = Entries(static_cast<int>(state.range(0)));
   Box source;
@@ -116,13 +116,13 @@
     const std::string body =
         Deflate(WriteChanges(*source.directory.ChangesSince(Time{}, at)));
     bytes = body.size();
-    peer.directory.OnChanges(Time{}, *ParseChanges(*Inflate(body, kMostBytes)));
+    peer.directory.OnChanges(Time{}, *ParseChanges(*Inflate(body, kMaxBytes)));
   }
   state.counters["bytes"] = static_cast<double>(bytes);
 }
 BENCHMARK(BM_ChangeToAPeer)->Arg(99)->Arg(1000)->Arg(2999)->Arg(6100);
 
-// A chain over runners that hand over to one another.
+// Picks a chain over runners that hand off to one another.
 void BM_PickAmongRunners(benchmark::State& state) {
   EndpointTable::Options options;
   options.direct_handoff = true;
--- a/pinford/testing/endpoint_backoffs_test.cc
+++ b/pinford/testing/endpoint_backoffs_test.cc
@@ -1,4 +1,5 @@
-// Rests that endpoints ask for: what is read of them, and how long they hold.
+// Backoffs that endpoints request: how answers are read, and how long a backoff
+// holds.
 
 #include "pinford/endpoint_backoffs.h"
 
@@ -15,11 +16,11 @@
 
 Time At(int64_t ms) { return Time{} + hours(1) + milliseconds(ms); }
 
-TEST(EndpointNotice, ReadsSecondsOfWhoTurnsAway) {
+TEST(EndpointNotice, ReadsRetryAfterOfRefusals) {
   const struct {
     int status;
     const char* retry_after;  // nullptr for none
-    int64_t rest_ms;          // -1 for none
+    int64_t expected_ms;      // -1 for none
   } cases[] = {
       {503, "3", 3000},
       {503, "0.25", 250},
@@ -48,12 +49,12 @@
     }
     const EndpointNotice notice = ReadNotice(head, ForwardHeaders());
     const int64_t ms = notice.backoff ? ToMillis(*notice.backoff) : -1;
-    EXPECT_EQ(ms, c.rest_ms)
+    EXPECT_EQ(ms, c.expected_ms)
         << c.status << " " << (c.retry_after ? c.retry_after : "none");
   }
 }
 
-TEST(EndpointNotice, ReadsWhoLeaves) {
+TEST(EndpointNotice, ReadsTheLeavingHeader) {
   const struct {
     int status;
     const char* value;  // nullptr for no such header
@@ -67,7 +68,8 @@
       {200, "", false},
       {200, "no", false},
       {200, nullptr, false},
-      // Perhaps another endpoint's answer, at an address that was given anew.
+      // The address may have been reassigned, so another endpoint may have
+      // answered.
       {421, "1", false},
   };
   for (const auto& c : cases) {
@@ -79,10 +81,10 @@
   }
 }
 
-TEST(EndpointRests, HoldUntilTheLastOfThemEnds) {
+TEST(EndpointBackoffs, HoldUntilTheLastOfThemEnds) {
   const struct {
     const char* name;
-    std::vector<std::pair<int64_t, Duration>> asked;  // when, for how long
+    std::vector<std::pair<int64_t, Duration>> requested;  // when, for how long
     int64_t now_ms;
     Duration left;
   } cases[] = {
@@ -93,39 +95,39 @@
       {"a shorter one", {{0, seconds(3)}, {100, seconds(1)}}, 1000, seconds(2)},
       {"a longer one", {{0, seconds(3)}, {100, seconds(9)}}, 1100, seconds(8)},
       {"no more", {{0, seconds(3)}, {100, Duration(0)}}, 1000, seconds(2)},
-      {"a damaged one", {{0, hours(9000)}}, 0, EndpointRests::kLongest},
+      {"a damaged one", {{0, hours(9000)}}, 0, EndpointBackoffs::kMaxBackoff},
   };
   for (const auto& c : cases) {
-    EndpointRests rests;
-    for (const auto& [at, backoff] : c.asked)
-      rests.OnAsked(At(at), "a", backoff);
-    EXPECT_EQ(rests.Left(At(c.now_ms), "a"), c.left) << c.name;
-    EXPECT_EQ(rests.Left(At(c.now_ms), "b"), Duration(0)) << c.name;
-    EXPECT_EQ(rests.Count(At(c.now_ms)), c.left > Duration(0) ? 1 : 0);
+    EndpointBackoffs backoffs;
+    for (const auto& [at, backoff] : c.requested)
+      backoffs.OnRequested(At(at), "a", backoff);
+    EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "a"), c.left) << c.name;
+    EXPECT_EQ(backoffs.Remaining(At(c.now_ms), "b"), Duration(0)) << c.name;
+    EXPECT_EQ(backoffs.Count(At(c.now_ms)), c.left > Duration(0) ? 1 : 0);
   }
 }
 
-TEST(EndpointRests, AsTheListOfAllThatWasAsked) {
+TEST(EndpointBackoffs, MatchesAListOfAllRequests) {
   Random random(7);
   std::uniform_int_distribution<int> step(0, 400);
-  std::uniform_int_distribution<int> who(0, 4);
-  std::uniform_int_distribution<int> ask(0, 3000);
-  EndpointRests rests;
-  std::vector<std::pair<std::string, Time>> asked;
+  std::uniform_int_distribution<int> endpoint_index(0, 4);
+  std::uniform_int_distribution<int> backoff_ms(0, 3000);
+  EndpointBackoffs backoffs;
+  std::vector<std::pair<std::string, Time>> requested;
   Time now = At(0);
   for (int i = 0; i < 5000; i++) {
     now += milliseconds(step(random));
-    const std::string name(1, static_cast<char>('a' + who(random)));
+    const std::string name(1, static_cast<char>('a' + endpoint_index(random)));
     if (step(random) % 3 == 0) {
-      const Duration backoff = milliseconds(ask(random));
-      rests.OnAsked(now, name, backoff);
-      asked.emplace_back(name, now + backoff);
+      const Duration backoff = milliseconds(backoff_ms(random));
+      backoffs.OnRequested(now, name, backoff);
+      requested.emplace_back(name, now + backoff);
     }
     Duration left{};
-    for (const auto& [n, until] : asked) {
+    for (const auto& [n, until] : requested) {
       if (n == name) left = std::max(left, until - now);
     }
-    ASSERT_EQ(rests.Left(now, name), left) << i;
+    ASSERT_EQ(backoffs.Remaining(now, name), left) << i;
   }
 }
 
--- a/pinford/testing/hall_planner_test.cc
+++ b/pinford/testing/hall_planner_test.cc
@@ -1,5 +1,6 @@
-// The planner's orders: leases that lapse while their holder is paused, two
-// planners, runners with and without a fence check, the weight store's rate.
+// The planner's orders with leases that expire while their holder is paused,
+// several planners, runners with and without a fencing check, and the weight
+// store's rate limit.
 
 #include "pinford/hall_planner.h"
 
@@ -22,7 +23,7 @@
   return r;
 }
 
-TEST(Placement, MovesOneSpareRunnerToWhatLacks) {
+TEST(Placement, MovesOneSpareRunnerToMissingLayers) {
   const std::vector<PlannedRunner> runners = {
       Runner("a0", "a", {0, 4}),    Runner("a1", "a", {4, 8}),
       Runner("b0", "b", {0, 4}, 5), Runner("b1", "b", {4, 8}),
@@ -34,11 +35,11 @@
   } cases[] = {
       {{}, "", {}},
       {{{"a", 1}, {"b", 2}}, "", {}},
-      {{{"a", 2}, {"b", 2}}, "", {}},        // nobody can be spared
-      {{{"a", 2}, {"b", 1}}, "b1", {0, 4}},  // the least loaded goes
-      {{{"a", 2}}, "", {}},                  // b is not the policy's to take
+      {{{"a", 2}, {"b", 2}}, "", {}},        // no runner can be spared
+      {{{"a", 2}, {"b", 1}}, "b1", {0, 4}},  // the least loaded is moved
+      {{{"a", 2}}, "", {}},                  // the policy does not name b
       {{{"a", 3}, {"b", 0}}, "b1", {0, 4}},
-      {{{"c", 1}, {"b", 0}}, "", {}},  // nobody knows c's version
+      {{{"c", 1}, {"b", 0}}, "", {}},  // c's version is unknown
   };
   for (const auto& c : cases) {
     const std::optional<Move> move = NextMove(runners, c.wanted);
@@ -50,7 +51,7 @@
   }
 }
 
-// A model whose runners crowd on some layers is mended from within.
+// A model with too many holders of some layers is rebalanced internally.
 TEST(Placement, MovesWithinAModel) {
   const std::vector<PlannedRunner> runners = {
       Runner("a0", "a", {0, 4}), Runner("a1", "a", {0, 4}),
@@ -61,7 +62,7 @@
   EXPECT_EQ(move->to.range, LayerRange({4, 8}));
 }
 
-// Runners that do as they are told, some after checking the token.
+// Runners that follow orders, some after checking the token.
 struct FakeRunners {
   struct Row {
     PlannedRunner runner;
@@ -70,13 +71,14 @@
   };
   std::map<std::string, Row> rows;
   std::vector<Time> loads;
-  Duration held_up{};   // every order on its way
-  int stale_taken = 0;  // orders taken with a token lower than one before
+  Duration order_delay{};  // of every order in transit
+  // orders accepted with a token lower than an earlier one
+  int stale_accepted = 0;
 
-  bool Take(Time now, const std::string& name, const Order& order) {
+  bool Accept(Time now, const std::string& name, const Order& order) {
     Row& row = rows.at(name);
     if (row.checks && order.token < row.highest) return false;
-    if (order.token < row.highest) stale_taken++;
+    if (order.token < row.highest) stale_accepted++;
     row.highest = std::max(row.highest, order.token);
     if (row.runner.holds != order.hold) loads.push_back(now);
     row.runner.holds = order.hold;
@@ -92,16 +94,17 @@
   void SendOrder(const std::string& runner, const Order& order, Duration limit,
                  std::function<void(OrderStatus)> fn) {
     const bool lost = (*random_)() % 100 < loss_ * 100;
-    const Duration there =
-        runners_->held_up + milliseconds(1 + (*random_)() % 200);
-    box_->clock()->After(there, [this, runner, order, fn, lost, limit] {
+    const Duration delay =
+        runners_->order_delay + milliseconds(1 + (*random_)() % 200);
+    box_->clock()->After(delay, [this, runner, order, fn, lost, limit] {
       if (lost) {
         Reply(limit, fn, OrderStatus::kLost);
         return;
       }
-      const bool taken = runners_->Take(box_->clock()->now(), runner, order);
+      const bool accepted =
+          runners_->Accept(box_->clock()->now(), runner, order);
       Reply(milliseconds(5), fn,
-            taken ? OrderStatus::kDone : OrderStatus::kFenced);
+            accepted ? OrderStatus::kDone : OrderStatus::kFenced);
     });
   }
 
@@ -120,8 +123,8 @@
 
 using TestPlanner = HallPlanner<FakeStoreClient, FakeOrders, FakeBox>;
 
-struct World {
-  World(uint64_t seed, double loss) : random(seed), store(&clock, seed) {
+struct Simulation {
+  Simulation(uint64_t seed, double loss) : random(seed), store(&clock, seed) {
     for (int i = 0; i < 8; i++) {
       const std::string name = "r" + std::to_string(i);
       FakeRunners::Row row;
@@ -130,7 +133,7 @@
       row.checks = i % 4 < 2;
       runners.rows[name] = row;
     }
-    options.rest = seconds(5);
+    options.move_cooldown = seconds(5);
     for (int i = 0; i < 3; i++) {
       boxes.push_back(std::make_unique<FakeBox>(&clock));
       FakeBox* box = boxes.back().get();
@@ -157,8 +160,8 @@
     return view;
   }
 
-  // The runners hold what the last written plan says.
-  bool AsPlanned() {
+  // Whether the runners hold what the last written plan says.
+  bool HoldsPlan() {
     const auto& value = store.values["pinford/plan/h"].value;
     std::optional<PlacementPlan> plan = ParsePlan(value);
     if (!plan) return true;
@@ -168,16 +171,17 @@
     return true;
   }
 
-  // Loads over any stretch of time stay within the weight store's rate.
-  int MostLoadsWithin(Duration d) {
-    int most = 0;
+  // The largest number of loads in any window of length `d`; the weight store's
+  // rate limits it.
+  int MaxLoadsWithin(Duration d) {
+    int max_loads = 0;
     for (Time begin : runners.loads) {
-      most = std::max<int>(
-          most,
+      max_loads = std::max<int>(
+          max_loads,
           std::count_if(runners.loads.begin(), runners.loads.end(),
                         [&](Time t) { return t >= begin && t < begin + d; }));
     }
-    return most;
+    return max_loads;
   }
 
   PausedClock clock;
@@ -192,8 +196,8 @@
   std::vector<std::unique_ptr<TestPlanner>> planners;
 };
 
-// Plans that were written: their tokens never fall, their numbers grow.
-void CheckPlans(const World& w) {
+// Checks the written plans: tokens never decrease, and numbers increase.
+void CheckPlans(const Simulation& w) {
   auto it = w.store.history.find("pinford/plan/h");
   if (it == w.store.history.end()) return;
   PlacementPlan last;
@@ -206,32 +210,32 @@
   }
 }
 
-int ReplicasNow(World* w, const std::string& model) {
+int ReplicasNow(Simulation* w, const std::string& model) {
   return ReplicasOf(w->View().runners, model);
 }
 
-TEST(HallPlanner, ReachesWhatIsWanted) {
-  World w(1, 0);
+TEST(HallPlanner, ReachesWantedReplicas) {
+  Simulation w(1, 0);
   w.wanted = {{"a", 3}, {"b", 1}};
   w.clock.Advance(seconds(120));
   EXPECT_EQ(ReplicasNow(&w, "a"), 3);
   EXPECT_EQ(ReplicasNow(&w, "b"), 1);
-  EXPECT_EQ(w.runners.loads.size(), 4u) << "each weight travels once";
+  EXPECT_EQ(w.runners.loads.size(), 4u) << "each weight is loaded once";
   int holders = 0;
   for (const auto& planner : w.planners) holders += planner->holds_lease();
   EXPECT_EQ(holders, 1);
 }
 
-// An order is held up on its way, its sender paused, and the next holder of
-// the lease plans otherwise: runners that check the token refuse the old
-// order, and those that do not are put right.
-TEST(HallPlanner, AStaleOrderIsRefusedOrPutRight) {
+// An order is delayed in transit and its sender paused while the next holder of
+// the lease plans differently. Runners that check the token refuse the old
+// order; those that do not are corrected later.
+TEST(HallPlanner, StaleOrderIsRefusedOrCorrected) {
   int stale = 0;
   for (int seed = 0; seed < 30; seed++) {
-    World w(seed, 0);
+    Simulation w(seed, 0);
     w.wanted = {{"a", 3}, {"b", 1}};
     w.clock.Advance(seconds(10));
-    w.runners.held_up = seconds(40);
+    w.runners.order_delay = seconds(40);
     // Until some holder has sent an order.
     w.clock.Advance(seconds(3));
     FakeBox* sender = nullptr;
@@ -240,26 +244,26 @@
     }
     ASSERT_NE(sender, nullptr);
     sender->Pause();
-    w.runners.held_up = Duration(0);
+    w.runners.order_delay = Duration(0);
     w.clock.Advance(seconds(7));
     w.wanted = {{"a", 1}, {"b", 3}};
     w.clock.Advance(seconds(60));
     sender->Resume();
     w.clock.Advance(seconds(90));
-    EXPECT_TRUE(w.AsPlanned()) << seed;
+    EXPECT_TRUE(w.HoldsPlan()) << seed;
     EXPECT_EQ(ReplicasNow(&w, "b"), 3) << seed;
-    stale += w.runners.stale_taken;
+    stale += w.runners.stale_accepted;
   }
   EXPECT_GT(stale, 0) << "the case was never reached";
-  printf("%d stale orders were taken and put right\n", stale);
+  printf("%d stale orders were accepted and corrected\n", stale);
 }
 
-// Clocks differ: the store's leases end long before their holders think, so
-// two hold one at a time. What is written still follows the higher token.
-TEST(HallPlanner, HoldersWhoseClocksRunSlow) {
+// The store's leases end long before their holders expect it, so two boxes hold
+// one at the same time. The written plans still follow the higher token.
+TEST(HallPlanner, LeaseHoldersWithSlowClocks) {
   for (int seed = 0; seed < 60; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World w(seed, 0);
+    Simulation w(seed, 0);
     w.store.faults.lease_factor = 0.3;
     for (int i = 0; i < 20; i++) {
       const int a = 1 + static_cast<int>(w.random() % 3);
@@ -272,7 +276,7 @@
     w.store.faults.lease_factor = 1;
     w.clock.Advance(seconds(150));
     CheckPlans(w);
-    EXPECT_TRUE(w.AsPlanned());
+    EXPECT_TRUE(w.HoldsPlan());
     EXPECT_EQ(ReplicasNow(&w, "a"), w.wanted["a"]);
     if (HasFailure()) return;
   }
@@ -283,7 +287,7 @@
   int changes = 0;
   for (int seed = 0; seed < 300; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World w(seed, seed % 3 * 0.2);
+    Simulation w(seed, seed % 3 * 0.2);
     w.store.faults = {seed % 4 * 0.1, seed % 5 * 0.1, seed % 2 * 0.1, false};
     for (int i = 0; i < 10; i++) {
       const Duration at = milliseconds(w.random() % 150000);
@@ -297,16 +301,16 @@
     w.clock.Advance(seconds(170));
     w.store.faults = {};
     w.clock.Advance(seconds(150));
-    EXPECT_TRUE(w.AsPlanned());
+    EXPECT_TRUE(w.HoldsPlan());
     CheckPlans(w);
     EXPECT_EQ(ReplicasNow(&w, "a"), w.wanted["a"]);
-    // Two orders may lie closer than the spacing by what they took to arrive.
-    EXPECT_LE(w.MostLoadsWithin(w.options.load_spacing - milliseconds(400)), 1);
-    stale += w.runners.stale_taken;
+    // Loads may be closer than the spacing by the orders' time in transit.
+    EXPECT_LE(w.MaxLoadsWithin(w.options.load_spacing - milliseconds(400)), 1);
+    stale += w.runners.stale_accepted;
     changes += static_cast<int>(w.runners.loads.size());
     if (HasFailure()) return;
   }
-  printf("%d loads, %d of them by a stale order and put right\n", changes,
+  printf("%d loads, %d of them by a stale order and corrected\n", changes,
          stale);
 }
 
--- a/pinford/testing/membership_test.cc
+++ b/pinford/testing/membership_test.cc
@@ -1,5 +1,5 @@
-// Membership and the spread of documents on a paused clock: many boxes, a
-// network that loses datagrams, deaths, restarts and cuts.
+// Membership and the spread of documents among many boxes on a paused clock,
+// with lost datagrams, crashes, restarts and partitions.
 
 #include "pinford/membership.h"
 
@@ -20,7 +20,7 @@
     std::unique_ptr<ReplicatedDocument> configuration;
     std::vector<uint64_t> adopted;
     bool up = true;
-    int side = 0;  // boxes reach only those on their own side
+    int side = 0;  // of a partition; boxes reach only those on their side
     int64_t bytes = 0;
   };
 
@@ -50,7 +50,7 @@
         });
     box.adopted.clear();
     box.up = true;
-    Tick(i, ++life_);
+    Tick(i, ++epoch_);
   }
 
   void Stop(int i) { boxes_[i].up = false; }
@@ -63,7 +63,7 @@
     for (auto& d : box.membership->Announce()) Send(i, d);
   }
 
-  // Whether all boxes that are up see just those that are up.
+  // Whether all running boxes see exactly the running boxes.
   bool AllSeeAll() {
     for (Box& box : boxes_) {
       if (!box.up) continue;
@@ -81,11 +81,11 @@
   }
   // Time until `done`, at most `limit`.
   Duration TimeUntil(Duration limit, const std::function<bool()>& done) {
-    const Time begun = clock_.now();
-    while (!done() && clock_.now() - begun < limit) {
+    const Time started = clock_.now();
+    while (!done() && clock_.now() - started < limit) {
       clock_.Advance(milliseconds(10));
     }
-    return clock_.now() - begun;
+    return clock_.now() - started;
   }
 
   PausedClock clock_;
@@ -95,17 +95,17 @@
     return "127.0.0.1:" + std::to_string(1000 + i);
   }
 
-  void Tick(int i, int life) {
-    lives_[i] = life;
-    clock_.After(milliseconds(1 + i * 7 % 300), [this, i, life] {
-      Run(i, life);
-      Look(i, life);
+  void Tick(int i, int epoch) {
+    epochs_[i] = epoch;
+    clock_.After(milliseconds(1 + i * 7 % 300), [this, i, epoch] {
+      Run(i, epoch);
+      PollSync(i, epoch);
     });
   }
 
-  void Run(int i, int life) {
+  void Run(int i, int epoch) {
     Box& box = boxes_[i];
-    if (!box.up || lives_[i] != life) return;
+    if (!box.up || epochs_[i] != epoch) return;
     box.membership->Expire(clock_.now());
     const PeerCodec codec("key");
     auto [datagrams, next] = box.membership->Tick(
@@ -115,14 +115,14 @@
       box.bytes += static_cast<int64_t>(codec.Encode(d.digest).size());
       Send(i, d);
     }
-    clock_.After(next, [this, i, life] { Run(i, life); });
+    clock_.After(next, [this, i, epoch] { Run(i, epoch); });
   }
 
-  void Look(int i, int life) {
+  void PollSync(int i, int epoch) {
     Box& box = boxes_[i];
-    if (!box.up || lives_[i] != life) return;
+    if (!box.up || epochs_[i] != epoch) return;
     if (auto source = box.membership->SyncFrom(clock_.now())) Sync(i, *source);
-    clock_.After(milliseconds(20), [this, i, life] { Look(i, life); });
+    clock_.After(milliseconds(20), [this, i, epoch] { PollSync(i, epoch); });
   }
 
   void Send(int from, const Membership::Datagram& d) {
@@ -144,7 +144,7 @@
                                  other.membership->AllRows(clock_.now()));
   }
 
-  // Takes the configuration from a peer that has a higher one, a moment later
+  // Fetches the configuration from a peer that has a newer one, after a delay
   // and possibly out of order.
   void Fetch(int i) {
     Box& box = boxes_[i];
@@ -162,11 +162,11 @@
   double loss_;
   Random random_;
   std::vector<Box> boxes_;
-  std::map<int, int> lives_;
-  int life_ = 0;
+  std::map<int, int> epochs_;
+  int epoch_ = 0;
 };
 
-TEST(Membership, AllMeetAndTheLostAreDropped) {
+TEST(Membership, DiscoversAllMembersAndDropsLostOnes) {
   const struct {
     int boxes, halls;
     double loss;
@@ -179,7 +179,7 @@
     auto all = [&net] { return net.AllSeeAll(); };
     const Duration meet = net.TimeUntil(seconds(60), all);
     EXPECT_LT(meet, seconds(30));
-    // None is suspected without cause.
+    // No member is suspected without cause.
     for (int i = 0; i < 100; i++) {
       net.clock_.Advance(milliseconds(600));
       EXPECT_TRUE(net.AllSeeAll()) << "after " << i;
@@ -199,9 +199,9 @@
   }
 }
 
-// Its digests reach one member at a time; the others hear of its new life by
-// its heartbeat in the digests of those.
-TEST(Membership, AMemberThatWasDroppedIsBackSoon) {
+// Its digests reach one member at a time. The others learn of its new
+// incarnation from its heartbeat in the digests of those.
+TEST(Membership, ADroppedMemberThatRestartsIsBackSoon) {
   for (uint64_t seed = 1; seed <= 8; seed++) {
     SCOPED_TRACE(seed);
     Net net(33, 1, 0.1, seed);
@@ -215,19 +215,19 @@
   }
 }
 
-// Duties fall on the right boxes once a box sees its hall. All start together,
-// as after a power loss; then a box starts alone.
+// Roles are assigned correctly only once a box sees its whole hall. First all
+// boxes start together, as after a power loss; then one starts alone.
 TEST(Membership, ANewBoxSeesItsHallWithinTheJoinTime) {
   const struct { int boxes, halls; } cases[] = {{8, 3}, {66, 4}, {99, 3}};
   for (const auto& c : cases) {
     SCOPED_TRACE(std::to_string(c.boxes) + " boxes");
     Net net(c.boxes, c.halls, 0);
     const auto sees_its_hall = [&net, &c](int i) {
-      int near = 0;
+      int local = 0;
       for (const auto& [name, m] : net.at(i).membership->members()) {
-        near += m.row.hall == net.at(i).membership->self().hall;
+        local += m.row.hall == net.at(i).membership->self().hall;
       }
-      return near == (c.boxes - i % c.halls + c.halls - 1) / c.halls - 1;
+      return local == (c.boxes - i % c.halls + c.halls - 1) / c.halls - 1;
     };
     const auto all = [&] {
       for (int i = 0; i < c.boxes; i++) {
@@ -256,29 +256,29 @@
   }
 }
 
-TEST(Membership, DutiesFallToTwo) {
+TEST(Membership, TwoMembersAreElectedForEachRole) {
   Net net(8, 1, 0);
   net.clock_.Advance(seconds(30));
-  auto is_candidate = [&net](const std::string& duty) {
+  auto elected = [&net](const std::string& role) {
     int n = 0;
     for (int i = 0; i < 8; i++) {
       if (!net.at(i).up) continue;
-      n += net.at(i).membership->IsElected(net.clock_.now(), duty, 2);
+      n += net.at(i).membership->IsElected(net.clock_.now(), role, 2);
     }
     return n;
   };
   for (int d = 0; d < 50; d++) {
-    EXPECT_EQ(is_candidate("duty " + std::to_string(d)), 2);
+    EXPECT_EQ(elected("duty " + std::to_string(d)), 2);
   }
   net.Stop(2);
   net.Stop(5);
   net.clock_.Advance(seconds(60));
   for (int d = 0; d < 50; d++) {
-    EXPECT_EQ(is_candidate("duty " + std::to_string(d)), 2);
+    EXPECT_EQ(elected("duty " + std::to_string(d)), 2);
   }
 }
 
-TEST(Membership, LeavingIsNotForgottenToLateWords) {
+TEST(Membership, LateDatagramsDoNotRevertLeaving) {
   Net net(2, 1, 0);
   net.clock_.Advance(seconds(10));
   Membership& a = *net.at(0).membership;
@@ -291,7 +291,7 @@
   Digest leaving;
   leaving.sender = row;
   a.OnDigest(net.clock_.now(), late);
-  // The same heartbeat, with news in it.
+  // The same heartbeat with new state.
   const auto changes = a.OnDigest(net.clock_.now(), leaving);
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_EQ(changes[0].second, MemberChange::kLeaving);
@@ -332,7 +332,7 @@
   net.clock_.Advance(seconds(30));
   for (int i = 5; i < 8; i++) net.at(i).side = 1;
   net.Adopt(0, 1);
-  // Long enough for the sides to forget each other.
+  // Long enough for the sides to drop each other.
   net.clock_.Advance(seconds(300));
   EXPECT_FALSE(net.AllHave(1));
   for (int i = 5; i < 8; i++) net.at(i).side = 0;
--- a/pinford/testing/pool_capacity_test.cc
+++ b/pinford/testing/pool_capacity_test.cc
@@ -1,4 +1,4 @@
-// What the runners of a pool can still read, and how it prices them.
+// A pool's free prefill capacity, and how queued prefill affects costs.
 
 #include "pinford/pool_capacity.h"
 
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr int kLayers = 4;
-constexpr double kRoom = 100;
-constexpr double kReadSeconds = 0.001;  // a token in a layer
+constexpr double kMemory = 100;
+constexpr double kReadSeconds = 0.001;  // one token in one layer
 
 class PoolCapacityTest : public testing::Test {
  protected:
@@ -53,7 +53,7 @@
       report.slots = 10;
       report.layer_seconds = 0.001;
       report.prefill_seconds = kReadSeconds;
-      report.memory_capacity = kRoom;
+      report.memory_capacity = kMemory;
       table_.OnReport(now_, r.name, report);
     }
   }
@@ -64,7 +64,7 @@
   EndpointTable table_;
 };
 
-TEST_F(PoolCapacityTest, IsThatOfTheShortestLayer) {
+TEST_F(PoolCapacityTest, IsTheMinimumOverLayers) {
   const PoolCapacity c = Capacity();
   EXPECT_EQ(c.halls(), (std::vector<std::string>{"h1", "h2"}));
   EXPECT_EQ(c.MinOverLayers("h1", {0, 2}).holders, 2);
@@ -78,7 +78,7 @@
   EXPECT_EQ(c.MinOverLayers("h1", {2, 2}).holders, 0);
 }
 
-TEST_F(PoolCapacityTest, FollowsWhatIsKnownOfARunner) {
+TEST_F(PoolCapacityTest, FollowsRunnerState) {
   table_.SetSlowdown("a", 10);
   EXPECT_DOUBLE_EQ(Capacity().MinOverLayers("h1", {0, 2}).prefill_per_s, 550);
   table_.SetDown("a", true);
@@ -86,29 +86,31 @@
   table_.SetDown("c", true);
   EXPECT_EQ(Capacity().MinOverLayers("h1").holders, 0);
   EXPECT_DOUBLE_EQ(Capacity().MinOverLayers("h1").prefill_per_s, 0);
-  // A prompt of 500 tokens: half of its time for a second, over two.
+  // 500 tokens take half of its time for a second, averaged over two seconds.
   table_.OnPrefillSent(now_, "d", 500 * kLayers);
   EXPECT_NEAR(Capacity().MinOverLayers("h2").prefill_per_s, 12.5, 1);
 }
 
-TEST_F(PoolCapacityTest, WhatWaitsMakesARunnerDear) {
+TEST_F(PoolCapacityTest, QueuedPrefillRaisesTheCost) {
   table_.set_boxes(10);
-  EXPECT_EQ(table_.WaitingOf("a"), 0);
+  EXPECT_EQ(table_.PrefillQueueSecondsOf("a"), 0);
   table_.OnPrefillQueued("a", 200);
-  EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 10 * 200 * kReadSeconds);
+  EXPECT_DOUBLE_EQ(table_.PrefillQueueSecondsOf("a"), 10 * 200 * kReadSeconds);
   table_.SetSlowdown("a", 3);
-  EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 3 * 10 * 200 * kReadSeconds);
+  EXPECT_DOUBLE_EQ(table_.PrefillQueueSecondsOf("a"),
+                   3 * 10 * 200 * kReadSeconds);
   table_.OnPrefillDone("a", 150);
-  EXPECT_DOUBLE_EQ(table_.WaitingOf("a"), 3 * 10 * 50 * kReadSeconds);
+  EXPECT_DOUBLE_EQ(table_.PrefillQueueSecondsOf("a"),
+                   3 * 10 * 50 * kReadSeconds);
   table_.OnPrefillDone("a", 1000);
-  EXPECT_EQ(table_.WaitingOf("a"), 0);
+  EXPECT_EQ(table_.PrefillQueueSecondsOf("a"), 0);
   EXPECT_EQ(QueueFactor(0), 1);
   EXPECT_LT(QueueFactor(0.05), QueueFactor(0.1));
 }
 
-// Prompts that are read at once leave no trace; the same number that wait send
-// the next one elsewhere.
-TEST_F(PoolCapacityTest, TheNextPromptGoesWhereNoneWaits) {
+// Prompts that have been run leave no trace; the same number of queued prompts
+// sends the next one elsewhere.
+TEST_F(PoolCapacityTest, NextPromptAvoidsQueuedPrefill) {
   const auto first = [this] {
     const auto chain = table_.PickChainFor(
         now_, "m", "1", {0, 2},
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -1,5 +1,5 @@
-// What decides which runners of a pool a new request gets: the slots of first
-// stages, what runners say they hold, and the links between halls.
+// How a pool's runners are chosen for new requests: first-stage slots, the
+// runners' own figures, and the links between halls.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 
 constexpr int kLayers = 10;
 constexpr int kSlots = 20;
-constexpr double kRoom = 1000;
+constexpr double kMemory = 1000;
 
 struct Runner {
   const char* name;
@@ -23,9 +23,9 @@
   double step;  // seconds for a token in all its layers
 };
 
-class Pool : public testing::Test {
+class PoolChoice : public testing::Test {
  protected:
-  Pool() : table_("h1", Options(), Random(1)) {}
+  PoolChoice() : table_("h1", Options(), Random(1)) {}
 
   static EndpointTable::Options Options() {
     EndpointTable::Options options;
@@ -52,7 +52,7 @@
       report.holds = r.holds;
       report.slots = kSlots;
       report.layer_seconds = r.step / kLayers;
-      report.memory_capacity = kRoom;
+      report.memory_capacity = kMemory;
       table_.OnReport(now_, r.name, report);
     }
   }
@@ -72,9 +72,9 @@
   EndpointTable table_;
 };
 
-TEST_F(Pool, FirstStagesKeepToTheirSlots) {
+TEST_F(PoolChoice, FirstStagesKeepToTheirSlots) {
   Add({{"fast", "h1", {0, kLayers}, 0.001}, {"slow", "h1", {0, kLayers}, 0.1}});
-  // By this box, by its peers, and by both.
+  // Used by this box, by its peers, and by both.
   for (const auto& [own, peers] : {std::pair(20, 0), {0, 20}, {12, 8}}) {
     EXPECT_EQ(First(), "fast");
     for (int i = 0; i < own; i++) table_.OnEntry("fast");
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_F(Pool, WithoutAFreeSlotItMayStillBeALaterStage) {
+TEST_F(PoolChoice, EndpointWithoutAFreeSlotMayBeALaterStage) {
   Add({{"full", "h1", {0, kLayers}, 0.001}, {"entry", "h1", {0, 3}, 0.01}});
   table_.OnPeerCounts({{NameId("full"), {0, kSlots}}});
   const auto chain = Pick();
@@ -93,7 +93,7 @@
   EXPECT_EQ(ChainText(*chain), "entry:0-1 full:1-10");
 }
 
-TEST_F(Pool, NobodyIsPickedWhereAllSlotsAreTaken) {
+TEST_F(PoolChoice, NoChainWhenAllFirstStageSlotsAreUsed) {
   Add({{"a", "h1", {0, kLayers}, 0.001}, {"b", "h2", {0, kLayers}, 0.001}});
   table_.OnPeerCounts({{NameId("a"), {0, kSlots}}});
   EXPECT_EQ(First(), "b");
@@ -101,13 +101,13 @@
   EXPECT_FALSE(Pick());
 }
 
-// What a runner says corrects the account both ways, and fades as the account
-// is what is newer.
-TEST_F(Pool, WhatARunnerSaysCorrectsTheAccount) {
+// A runner's report corrects the estimate up or down, and decays as the
+// estimate becomes the more recent of the two.
+TEST_F(PoolChoice, RunnerReportCorrectsTheEstimate) {
   struct Case {
     int own;
     int peers;
-    double said;
+    double reported;
   };
   for (const Case& c : {Case{300, 0, 900}, {0, 800, 100}, {200, 200, 400}}) {
     EndpointTable table("h1", Options(), Random(1));
@@ -115,21 +115,22 @@
     Add({{"a", "h1", {0, kLayers}, 0.001}});
     table_.OnSent("a", c.own);
     table_.OnPeerCounts({{NameId("a"), {c.peers, 0}}});
-    const double account = (c.own + c.peers) / kRoom;
-    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), account, 1e-9);
-    table_.OnObserved(now_, "a", c.said, 0);
-    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), c.said / kRoom, 1e-9);
-    // What is sent afterwards counts beside it.
-    table_.OnSent("a", 50);
-    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), (c.said + 50) / kRoom,
+    const double estimate = (c.own + c.peers) / kMemory;
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), estimate, 1e-9);
+    table_.OnObserved(now_, "a", c.reported, 0);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), c.reported / kMemory,
                 1e-9);
+    // Work sent afterwards is added.
+    table_.OnSent("a", 50);
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"),
+                (c.reported + 50) / kMemory, 1e-9);
     now_ += seconds(20);
-    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), account + 50 / kRoom,
+    EXPECT_NEAR(table_.MemoryUtilizationOf(now_, "a"), estimate + 50 / kMemory,
                 0.01);
   }
 }
 
-TEST_F(Pool, RequestsOfBoxesThatAreGoneTakeSlots) {
+TEST_F(PoolChoice, RequestsOfRemovedBoxesUseSlots) {
   Add({{"a", "h1", {0, kLayers}, 0.001}, {"b", "h1", {0, kLayers}, 0.1}});
   table_.OnObserved(now_, "a", 0, kSlots);
   EXPECT_EQ(First(), "b");
@@ -137,9 +138,9 @@
   EXPECT_EQ(First(), "a");
 }
 
-// A stage that failed rests, but one that has answered since serves where no
-// other can. One that has not answered does not.
-TEST_F(Pool, WhatAnsweredSinceItFailedServesAtNeed) {
+// A stage that failed backs off, but serves as a last resort if it has answered
+// since.
+TEST_F(PoolChoice, EndpointThatAnsweredSinceItFailedServesAsLastResort) {
   Add({{"a", "h1", {0, 6}, 0.001}, {"b", "h1", {6, kLayers}, 0.001}});
   now_ += seconds(1);
   table_.OnFailure(now_, "b", now_);
@@ -149,7 +150,7 @@
   table_.OnObserved(now_, "b", 0, 0);
   EXPECT_EQ(table_.VersionFor(now_, "m", "").value_or(""), "1");
   EXPECT_TRUE(Pick());
-  // It is no first choice while it rests.
+  // It is not the first choice while it backs off.
   Add({{"a", "h1", {0, 6}, 0.001},
        {"b", "h1", {6, kLayers}, 0.001},
        {"c", "h1", {6, kLayers}, 0.1}});
@@ -158,7 +159,7 @@
   EXPECT_EQ(Pick()->back().endpoint, "c");
 }
 
-TEST_F(Pool, TheShortestLayerIsTold) {
+TEST_F(PoolChoice, ReportsTheMemoryBottleneck) {
   Add({{"a", "h1", {0, 6}, 0.001},
        {"b", "h1", {4, kLayers}, 0.001},
        {"c", "h1", {4, 8}, 0.001}});
@@ -176,7 +177,7 @@
 }
 
 // With three halls there are three links; with two there is one.
-TEST_F(Pool, EachPairOfHallsHasALink) {
+TEST_F(PoolChoice, EachPairOfHallsHasALink) {
   const std::vector<Runner> two = {{"slow", "h1", {0, kLayers}, 0.016},
                                    {"first", "h1", {0, 5}, 0.002},
                                    {"second", "h2", {5, kLayers}, 0.002}};
@@ -187,7 +188,7 @@
     std::swap(table, table_);
     Add(runners);
     table_.set_transfer_seconds_per_token(
-        1 / 20000.0);  // a link carries 20 a second
+        1 / 20000.0);  // a link carries 20 per second
     constexpr int kSent = 600;
     int n = 0;
     for (int i = 0; i < kSent; i++) {
@@ -197,7 +198,7 @@
       table_.OnTransferSent(now_, 1000);
       n++;
     }
-    return n * 100.0 / kSent;  // a second
+    return n * 100.0 / kSent;  // per second
   };
   const double one_link = crossed(two);
   const double three_links = crossed(three);
@@ -207,9 +208,10 @@
   EXPECT_LT(three_links, 3 * 20);
 }
 
-// Streams on four equal holders of all layers and one that is five times as
-// fast, at a fifth of the room: what the loss of one runner interrupts at most.
-double MostOnOne(bool by_speed_alone, double gap_share) {
+// Distributes streams over four equal holders of all layers and one that is
+// five times as fast, until a fifth of their memory is in use. Returns the
+// largest fraction on one runner, which its loss would interrupt.
+double MaxShareOnOneRunner(bool by_speed_alone, double gap_share) {
   EndpointTable::Options options;
   options.report_valid = hours(1);
   options.direct_handoff = true;
@@ -231,7 +233,7 @@
     report.holds = {0, kLayers};
     report.slots = 1000;
     report.layer_seconds = e.name == "0" ? 0.00003 : 0.00015;
-    report.memory_capacity = kRoom;
+    report.memory_capacity = kMemory;
     table.OnReport(now, e.name, report);
   }
   std::map<std::string, int> streams;
@@ -244,19 +246,19 @@
       streams[stage.endpoint]++;
     }
   }
-  int most = 0;
-  for (const auto& [name, n] : streams) most = std::max(most, n);
-  return static_cast<double>(most) / kStreams;
+  int max_streams = 0;
+  for (const auto& [name, n] : streams) max_streams = std::max(max_streams, n);
+  return static_cast<double>(max_streams) / kStreams;
 }
 
-TEST(SpreadPrice, AFastRunnerDoesNotCarryMostStreams) {
-  EXPECT_GE(MostOnOne(true, 0.1), 0.75);
-  EXPECT_LE(MostOnOne(false, 0.1), 0.62);
-  // Where events take much of the pause, speed counts in full.
-  EXPECT_EQ(MostOnOne(false, 0.3), MostOnOne(true, 0.3));
+TEST(SpeedWeightTest, AFastRunnerDoesNotCarryMostStreams) {
+  EXPECT_GE(MaxShareOnOneRunner(true, 0.1), 0.75);
+  EXPECT_LE(MaxShareOnOneRunner(false, 0.1), 0.62);
+  // Where events take much of the pause, speed counts fully.
+  EXPECT_EQ(MaxShareOnOneRunner(false, 0.3), MaxShareOnOneRunner(true, 0.3));
 }
 
-TEST(SpreadPrice, SpeedCountsByWhatEventsTake) {
+TEST(SpeedWeightTest, WeightDependsOnTheGapShare) {
   const struct {
     double gap_share;
     double weight;
@@ -266,13 +268,13 @@
   }
 }
 
-TEST(RunnerPrice, RisesWithEachPartOfTheLoad) {
+TEST(RunnerCost, RisesWithEachPartOfTheLoad) {
   const RunnerLoad idle{0.001, 1, 0, 0};
-  const double base = LayerPrice(idle, 0.001, 1);
+  const double base = LayerCost(idle, 0.001, 1);
   EXPECT_DOUBLE_EQ(base, 0.001);
   const struct {
     RunnerLoad load;
-    double times;  // the idle one's price
+    double factor;  // on the idle runner's cost
   } cases[] = {
       {{0.004, 1, 0, 0}, 4},     {{0.001, 2, 0, 0}, 4},
       {{0.001, 1, 0.5, 0}, 2},   {{0.001, 1, 0, 0.75}, 4},
@@ -280,17 +282,17 @@
       {{0.001, 1, 0.5, 0.5}, 4},
   };
   for (const auto& c : cases) {
-    EXPECT_NEAR(LayerPrice(c.load, 0.001, 1) / base, c.times, 1e-9);
+    EXPECT_NEAR(LayerCost(c.load, 0.001, 1) / base, c.factor, 1e-9);
   }
-  // With half of its weight, four times the time is twice the price.
-  EXPECT_NEAR(LayerPrice(cases[0].load, 0.001, 0.5) / base, 2, 1e-9);
-  EXPECT_EQ(EntrySlotPrice(0, 20), 0);
-  EXPECT_DOUBLE_EQ(EntrySlotPrice(10, 20), 0.001);
-  EXPECT_TRUE(std::isinf(EntrySlotPrice(19, 20)));
+  // With half the weight, four times the time doubles the cost.
+  EXPECT_NEAR(LayerCost(cases[0].load, 0.001, 0.5) / base, 2, 1e-9);
+  EXPECT_EQ(FirstStageSlotCost(0, 20), 0);
+  EXPECT_DOUBLE_EQ(FirstStageSlotCost(10, 20), 0.001);
+  EXPECT_TRUE(std::isinf(FirstStageSlotCost(19, 20)));
 }
 
-// Every mechanism has a name that reads back, and is on unless it is named.
-TEST(Mechanisms, HaveNamesAndAreOnByDefault) {
+// Every mechanism has a name that parses back, and is enabled unless disabled.
+TEST(Mechanisms, HaveNamesAndAreEnabledByDefault) {
   MechanismSwitches all;
   for (int i = 0; i < kMechanisms; i++) {
     const auto m = static_cast<Mechanism>(i);
@@ -308,10 +310,9 @@
   }
 }
 
-// What is switched off decides nothing.
-TEST(Mechanisms, SwitchedOffTheyDecideNothing) {
+TEST(Mechanisms, DisabledTheyHaveNoEffect) {
   struct Case {
-    Mechanism mechanisms;
+    Mechanism mechanism;
     std::function<void(EndpointTable*, Time)> load;
   };
   const Case cases[] = {
@@ -335,11 +336,11 @@
   };
   const Time now = Time{} + seconds(100);
   for (const Case& c : cases) {
-    for (const bool mechanisms : {false, true}) {
+    for (const bool disabled : {false, true}) {
       EndpointTable::Options options;
       options.report_valid = hours(1);
       options.direct_handoff = true;
-      if (mechanisms) options.mechanisms.Add(c.mechanisms);
+      if (disabled) options.mechanisms.Add(c.mechanism);
       EndpointTable table("h", options, Random(1));
       ListedEndpoint e;
       e.name = "a";
@@ -352,21 +353,21 @@
       report.holds = {0, 1};
       report.slots = kSlots;
       report.layer_seconds = 0.001;
-      report.memory_capacity = kRoom;
+      report.memory_capacity = kMemory;
       table.OnReport(now - seconds(1), "a", report);
       c.load(&table, now);
       const auto chain =
           table.PickChainFor(now + milliseconds(2), "m", "1", {0, 1},
                              [](const std::string&) { return 1.0; });
-      // Serving at need is the one that lets in, the others keep out.
-      const bool lets_in = c.mechanisms == Mechanism::kLastResort;
-      EXPECT_EQ(chain.has_value(), mechanisms != lets_in)
-          << MechanismName(c.mechanisms) << " off: " << mechanisms;
+      // The last resort adds candidates; the others exclude them.
+      const bool admits = c.mechanism == Mechanism::kLastResort;
+      EXPECT_EQ(chain.has_value(), disabled != admits)
+          << MechanismName(c.mechanism) << " off: " << disabled;
     }
   }
 }
 
-TEST(PeerCounts, SumWhatBoxesHaveAsFirstStage) {
+TEST(PeerCounts, SumFirstStageRequestsOfAllBoxes) {
   const auto row = [](const std::string& name) {
     MemberRow r;
     r.name = name;
