--- a/pinford/chain_run.cc
+++ b/pinford/chain_run.cc
@@ -15,7 +15,7 @@
 ChainRun::ChainRun(std::string request, int layers, std::vector<int> prompt,
                    const Options& options)
     : request_(std::move(request)),
-      whole_{0, layers},
+      all_layers_{0, layers},
       options_(options),
       tokens_(std::move(prompt)),
       prompt_size_(tokens_.size()) {
@@ -24,12 +24,12 @@
 
 std::vector<LayerRange> ChainRun::Gaps() const {
   std::vector<LayerRange> gaps;
-  int at = whole_.begin;
+  int at = all_layers_.begin;
   for (const OwnedStage& stage : stages_) {
     if (at < stage.range.begin) gaps.push_back({at, stage.range.begin});
     at = stage.range.end;
   }
-  if (at < whole_.end) gaps.push_back({at, whole_.end});
+  if (at < all_layers_.end) gaps.push_back({at, all_layers_.end});
   return gaps;
 }
 
@@ -40,60 +40,63 @@
   auto at = std::find_if(
       stages_.begin(), stages_.end(),
       [&gap](const OwnedStage& s) { return s.range.begin >= gap.end; });
-  std::vector<OwnedStage> fresh;
+  std::vector<OwnedStage> new_stages;
   for (const Stage& s : part) {
-    fresh.push_back({s.endpoint, s.range, ++attempt_, 0});
+    new_stages.push_back({s.endpoint, s.range, ++last_attempt_, 0});
   }
-  stages_.insert(at, fresh.begin(), fresh.end());
+  stages_.insert(at, new_stages.begin(), new_stages.end());
   return true;
 }
 
 StepRequest ChainRun::NextStep() {
-  assert(!stepping_ && !ended_ && Gaps().empty());
-  size_t lacking = 0;
-  while (stages_[lacking].cached >= goal()) {
-    lacking++;
-    assert(lacking < stages_.size());
+  assert(!step_in_flight_ && !ended_ && Gaps().empty());
+  size_t first_behind = 0;
+  while (stages_[first_behind].cached >= target_positions()) {
+    first_behind++;
+    assert(first_behind < stages_.size());
   }
-  const int from = stages_[lacking].cached;
-  at_ = lacking;
-  while (at_ > 0 && !journal_[stages_[at_].range.begin].Covers(from, goal())) {
-    at_--;
+  const int from = stages_[first_behind].cached;
+  current_stage_ = first_behind;
+  while (current_stage_ > 0 &&
+         !journal_[stages_[current_stage_].range.begin].Covers(
+             from, target_positions())) {
+    current_stage_--;
   }
-  const OwnedStage& stage = stages_[at_];
-  attempt_++;
-  stepping_ = true;
-  step_ = {request_, attempt_, stage.session, from, stage.range};
-  step_inputs_ = goal() - from;
-  step_last_ = stage.range.end == whole_.end;
+  const OwnedStage& stage = stages_[current_stage_];
+  last_attempt_++;
+  step_in_flight_ = true;
+  step_ = {request_, last_attempt_, stage.session, from, stage.range};
+  step_input_count_ = target_positions() - from;
+  at_last_stage_ = stage.range.end == all_layers_.end;
   recomputed_ += std::max(0, stage.cached - from);
 
   StepRequest step;
   step.id = step_;
   step.cached = stage.cached;
-  step.last = step_last_;
+  step.last = at_last_stage_;
   step.priority = options_.priority;
-  if (at_ == 0) {
+  if (current_stage_ == 0) {
     step.tokens.assign(tokens_.begin() + from, tokens_.end());
   } else {
     const Inputs& in = journal_[stage.range.begin];
     step.activations.assign(in.values.begin() + (from - in.first),
                             in.values.end());
   }
-  assert(step.inputs() == step_inputs_);
+  assert(step.inputs() == step_input_count_);
   return step;
 }
 
 ReplyVerdict ChainRun::OnReply(StepReply reply) {
-  if (!stepping_ || reply.id != step_) return ReplyVerdict::kStale;
-  const size_t want = step_last_ ? 0 : step_inputs_;
-  if (reply.activations.size() != want) return ReplyVerdict::kMalformed;
+  if (!step_in_flight_ || reply.id != step_) return ReplyVerdict::kStale;
+  const size_t expected_outputs = at_last_stage_ ? 0 : step_input_count_;
+  if (reply.activations.size() != expected_outputs)
+    return ReplyVerdict::kMalformed;
 
-  stepping_ = false;
-  OwnedStage& stage = stages_[at_];
-  stage.cached = std::max(stage.cached, goal());
-  if (!step_last_) {
-    KeepInputs(stage.range.end, step_.position, std::move(reply.activations));
+  step_in_flight_ = false;
+  OwnedStage& stage = stages_[current_stage_];
+  stage.cached = std::max(stage.cached, target_positions());
+  if (!at_last_stage_) {
+    RecordInputs(stage.range.end, step_.position, std::move(reply.activations));
     return ReplyVerdict::kStep;
   }
   tokens_.push_back(reply.token);
@@ -103,8 +106,8 @@
   return ReplyVerdict::kToken;
 }
 
-void ChainRun::KeepInputs(int layer, int from,
-                          std::vector<std::string> values) {
+void ChainRun::RecordInputs(int layer, int from,
+                            std::vector<std::string> values) {
   Inputs& in = journal_[layer];
   // Appending keeps the journal whole; anything else replaces it.
   if (from != in.first + static_cast<int>(in.values.size())) {
@@ -128,11 +131,11 @@
   journal_bytes_ = 0;
 }
 
-ChainRun::OwnedStage ChainRun::LoseStep() {
-  assert(stepping_);
-  stepping_ = false;
-  OwnedStage lost = std::move(stages_[at_]);
-  stages_.erase(stages_.begin() + static_cast<long>(at_));
+ChainRun::OwnedStage ChainRun::RemoveCurrentStage() {
+  assert(step_in_flight_);
+  step_in_flight_ = false;
+  OwnedStage lost = std::move(stages_[current_stage_]);
+  stages_.erase(stages_.begin() + static_cast<long>(current_stage_));
   return lost;
 }
 
--- a/pinford/chain_run.h
+++ b/pinford/chain_run.h
@@ -70,10 +70,12 @@
 
   // The step under way was refused, will not be answered, or is not believed:
   // its stage goes and leaves a gap. Gives that stage.
-  OwnedStage LoseStep();
-  bool stepping() const { return stepping_; }
+  OwnedStage RemoveCurrentStage();
+  bool step_in_flight() const { return step_in_flight_; }
   // The endpoint and id of the step under way.
-  const std::string& step_endpoint() const { return stages_[at_].endpoint; }
+  const std::string& step_endpoint() const {
+    return stages_[current_stage_].endpoint;
+  }
   const StepId& step_id() const { return step_; }
 
   const std::string& request() const { return request_; }
@@ -101,24 +103,24 @@
     }
   };
 
-  int goal() const { return static_cast<int>(tokens_.size()); }
-  void KeepInputs(int layer, int from, std::vector<std::string> values);
+  int target_positions() const { return static_cast<int>(tokens_.size()); }
+  void RecordInputs(int layer, int from, std::vector<std::string> values);
   void TrimJournal();
 
   std::string request_;
-  LayerRange whole_;
+  LayerRange all_layers_;
   Options options_;
   std::vector<int> tokens_;
   size_t prompt_size_;
   std::vector<OwnedStage> stages_;  // by range; gaps where some are missing
   std::map<int, Inputs> journal_;   // by the layer that was entered
   size_t journal_bytes_ = 0;
-  uint32_t attempt_ = 0;
-  bool stepping_ = false;
-  size_t at_ = 0;  // the stage under way
+  uint32_t last_attempt_ = 0;
+  bool step_in_flight_ = false;
+  size_t current_stage_ = 0;  // the stage under way
   StepId step_;
-  int step_inputs_ = 0;
-  bool step_last_ = false;
+  int step_input_count_ = 0;
+  bool at_last_stage_ = false;
   std::string last_text_;
   bool ended_ = false;
   int recomputed_ = 0;
--- a/pinford/claim.cc
+++ b/pinford/claim.cc
@@ -40,7 +40,7 @@
       ValueIn(kClaimStateNames, JsonField<std::string>(v, "state", ""));
   if (c.attempt.empty() || !state) return std::nullopt;
   c.state = *state;
-  c.outcome = OutcomeNamed(JsonField<std::string>(v, "outcome", "unknown"))
+  c.outcome = ParseOutcome(JsonField<std::string>(v, "outcome", "unknown"))
                   .value_or(Outcome::kUnknown);
   c.status = JsonField(v, "status", 0);
   c.type = JsonField<std::string>(v, "type", "");
--- a/pinford/completion_driver.h
+++ b/pinford/completion_driver.h
@@ -105,7 +105,7 @@
         spec_(std::move(spec)),
         events_(std::move(events)) {
     options_.run.priority = spec_.priority;
-    pause_ = options_.retry_pause;
+    retry_pause_ = options_.retry_pause;
   }
 
   ~CompletionDriver() { Cancel(); }
@@ -162,14 +162,14 @@
       return;
     }
     if (result.status != StepStatus::kOk) {
-      NoteTrouble(endpoint, result);
+      RecordFailure(endpoint, result);
       Retry([this] { Tokenize(); });
       return;
     }
     run_.emplace(spec_.request, layers_, std::move(result.tokens),
                  options_.run);
     run_->Fill({0, layers_}, first_chain_);
-    NoteSent(first_chain_);
+    RecordSent(first_chain_);
     Advance();
   }
 
@@ -204,7 +204,7 @@
       std::optional<Chain> part = Pick(gap);
       if (!part) return false;
       run_->Fill(gap, *part);
-      NoteSent(*part);
+      RecordSent(*part);
     }
     return true;
   }
@@ -214,9 +214,9 @@
       const ReplyVerdict verdict = run_->OnReply(std::move(result.reply));
       if (verdict == ReplyVerdict::kStep || verdict == ReplyVerdict::kToken) {
         StopWaiting();
-        ran_ = true;
+        may_have_run_ = true;
         last_reply_ = clock_->now();
-        pause_ = options_.retry_pause;
+        retry_pause_ = options_.retry_pause;
         table_->OnSuccess(endpoint, work, clock_->now() - sent_at_);
         budget_->OnSuccess();
         if (verdict == ReplyVerdict::kToken) {
@@ -232,7 +232,7 @@
     }
     StopWaiting();
     if (result.status == StepStatus::kRejected) {
-      End(ran_ ? Outcome::kFailed : Outcome::kNotRun,
+      End(may_have_run_ ? Outcome::kFailed : Outcome::kNotRun,
           CompletionError::kRejected, result.error);
       return;
     }
@@ -240,17 +240,17 @@
   }
 
   void LoseStage(const std::string& endpoint, const StepResult& result) {
-    if (result.status == StepStatus::kLost) ran_ = true;
-    NoteTrouble(endpoint, result);
-    Release(run_->LoseStep());
+    if (result.status == StepStatus::kLost) may_have_run_ = true;
+    RecordFailure(endpoint, result);
+    Release(run_->RemoveCurrentStage());
     if (!repair_) {
       repair_ = Repair{endpoint, result.status, Duration(0)};
-      silent_since_ = last_reply_;
+      interrupted_since_ = last_reply_;
     }
     Retry([this] { Advance(); });
   }
 
-  void NoteSent(const Chain& part) {
+  void RecordSent(const Chain& part) {
     for (const Stage& stage : part) {
       table_->OnSent(stage.endpoint, stage.range.size());
     }
@@ -264,13 +264,13 @@
   void OnToken() {
     const Time now = clock_->now();
     if (repair_) {
-      repair_->silence = now - silent_since_;
+      repair_->silence = now - interrupted_since_;
       if (events_.on_repair) events_.on_repair(*repair_);
       repair_.reset();
     }
     answer_tokens_++;
-    const bool limit = answer_tokens_ >= spec_.max_tokens;
-    const bool last = run_->ended() || limit;
+    const bool at_limit = answer_tokens_ >= spec_.max_tokens;
+    const bool last = run_->ended() || at_limit;
     if (!run_->ended() || !run_->last_text().empty()) {
       events_.on_token(run_->last_text());
       if (ended_) return;
@@ -287,9 +287,9 @@
 
   // `result`: of a step, or of a tokenize call.
   template <typename Result>
-  void NoteTrouble(const std::string& endpoint, const Result& result) {
+  void RecordFailure(const std::string& endpoint, const Result& result) {
     const Time now = clock_->now();
-    last_trouble_ = result.status;
+    last_failure_ = result.status;
     if (result.rest) table_->OnRestAsked(now, endpoint, *result.rest);
     switch (result.status) {
       case StepStatus::kRefusedLeaving:
@@ -311,43 +311,44 @@
 
   // Tries again: at once after a loss, after a pause while endpoints are
   // busy. Ends when the deadline, the repairs or the budget run out.
-  void Retry(std::function<void()> again) {
-    const bool busy = last_trouble_ == StepStatus::kRefusedBusy;
-    if (clock_->now() >= GiveUpAt()) {
-      GiveUp(busy ? CompletionError::kBusy : CompletionError::kNoEndpoints);
+  void Retry(std::function<void()> retry) {
+    const bool busy = last_failure_ == StepStatus::kRefusedBusy;
+    if (clock_->now() >= RetryDeadline()) {
+      Fail(busy ? CompletionError::kBusy : CompletionError::kNoEndpoints);
       return;
     }
     // A refusal for one of these cannot come again from the same endpoint.
-    const bool waits = busy || last_trouble_ == StepStatus::kRefusedLeaving ||
-                       last_trouble_ == StepStatus::kRefusedRange;
-    if (!waits &&
+    const bool free_retry = busy ||
+                            last_failure_ == StepStatus::kRefusedLeaving ||
+                            last_failure_ == StepStatus::kRefusedRange;
+    if (!free_retry &&
         (++repairs_ > options_.max_repairs || !budget_->Take(clock_->now()))) {
-      GiveUp(CompletionError::kRetries);
+      Fail(CompletionError::kRetries);
       return;
     }
-    Schedule(busy ? NextPause() : Duration(0), std::move(again));
+    Schedule(busy ? NextPause() : Duration(0), std::move(retry));
   }
 
-  void WaitForEndpoints(CompletionError error, std::function<void()> again) {
+  void WaitForEndpoints(CompletionError error, std::function<void()> retry) {
     if (!waiting_since_) waiting_since_ = clock_->now();
-    if (clock_->now() >= GiveUpAt()) {
-      const bool busy = last_trouble_ == StepStatus::kRefusedBusy;
-      GiveUp(busy ? CompletionError::kBusy : error);
+    if (clock_->now() >= RetryDeadline()) {
+      const bool busy = last_failure_ == StepStatus::kRefusedBusy;
+      Fail(busy ? CompletionError::kBusy : error);
       return;
     }
-    Schedule(NextPause(), std::move(again));
+    Schedule(NextPause(), std::move(retry));
   }
 
   // Until the first token the caller's deadline rules. A running answer waits
   // for a while, since what it has would be lost.
-  Time GiveUpAt() const {
+  Time RetryDeadline() const {
     if (answer_tokens_ == 0) return spec_.deadline;
     const Time since = waiting_since_ ? *waiting_since_ : last_reply_;
     return since + options_.gap_wait;
   }
 
-  void GiveUp(CompletionError error) {
-    End(ran_ ? Outcome::kFailed : Outcome::kNotRun, error, "");
+  void Fail(CompletionError error) {
+    End(may_have_run_ ? Outcome::kFailed : Outcome::kNotRun, error, "");
   }
 
   void End(Outcome outcome, CompletionError error, std::string detail) {
@@ -375,8 +376,8 @@
   }
 
   Duration NextPause() {
-    const Duration pause = pause_;
-    pause_ = std::min(pause_ * 2, options_.max_retry_pause);
+    const Duration pause = retry_pause_;
+    retry_pause_ = std::min(retry_pause_ * 2, options_.max_retry_pause);
     return pause;
   }
 
@@ -388,8 +389,8 @@
   }
 
   void ArmDeadline(const std::string& endpoint, double work,
-                   std::function<void()> lost) {
-    Schedule(table_->DeadlineFor(endpoint, work), std::move(lost));
+                   std::function<void()> on_timeout) {
+    Schedule(table_->DeadlineFor(endpoint, work), std::move(on_timeout));
   }
 
   // Stops the call and the timer that may be under way.
@@ -413,15 +414,15 @@
   TimerId timer_ = 0;
   Time sent_at_{};
   Time last_reply_{};
-  Time silent_since_{};  // while there is a repair to be told of
+  Time interrupted_since_{};  // while there is a repair to be told of
   std::optional<Time> waiting_since_;
-  Duration pause_{};
+  Duration retry_pause_{};
   std::optional<Repair> repair_;
-  StepStatus last_trouble_ = StepStatus::kOk;
+  StepStatus last_failure_ = StepStatus::kOk;
   int repairs_ = 0;
   int answer_tokens_ = 0;
   bool reached_limit_ = false;
-  bool ran_ = false;
+  bool may_have_run_ = false;
   bool ended_ = false;
 };
 
--- a/pinford/configuration.cc
+++ b/pinford/configuration.cc
@@ -8,8 +8,8 @@
 
 std::optional<uint64_t> Configuration::GenerationOf(std::string_view id) const {
   if (generation > 0 && submission == id) return generation;
-  for (const Past& past : history) {
-    if (past.submission == id) return past.generation;
+  for (const HistoryEntry& entry : history) {
+    if (entry.submission == id) return entry.generation;
   }
   return std::nullopt;
 }
@@ -20,7 +20,7 @@
     files.push_back({{"name", f.name}, {"source", f.source}});
   }
   Json history = Json::array();
-  for (const Configuration::Past& p : c.history) {
+  for (const Configuration::HistoryEntry& p : c.history) {
     history.push_back(
         {{"generation", p.generation}, {"submission", p.submission}});
   }
@@ -59,10 +59,10 @@
   if (base.generation > 0) {
     next.history.push_back({base.generation, base.submission});
   }
-  const size_t room = kHistoryLength - next.history.size();
-  const size_t kept = std::min(room, base.history.size());
+  const size_t free_entries = kMaxHistoryLength - next.history.size();
+  const size_t kept_entries = std::min(free_entries, base.history.size());
   next.history.insert(next.history.end(), base.history.begin(),
-                      base.history.begin() + static_cast<long>(kept));
+                      base.history.begin() + static_cast<long>(kept_entries));
   return next;
 }
 
--- a/pinford/configuration.h
+++ b/pinford/configuration.h
@@ -28,12 +28,12 @@
   std::string author;
   std::vector<PolicyFile> policy;
 
-  struct Past {
+  struct HistoryEntry {
     uint64_t generation = 0;
     std::string submission;
-    friend bool operator==(const Past&, const Past&) = default;
+    friend bool operator==(const HistoryEntry&, const HistoryEntry&) = default;
   };
-  std::vector<Past> history;  // newest first
+  std::vector<HistoryEntry> history;  // newest first
 
   // The generation that `submission` got, if it is this one or in history.
   std::optional<uint64_t> GenerationOf(std::string_view submission) const;
@@ -42,7 +42,7 @@
 };
 
 // At the letter's 8,300 changes a day this covers about 40 minutes.
-inline constexpr size_t kHistoryLength = 256;
+inline constexpr size_t kMaxHistoryLength = 256;
 
 std::string WriteConfiguration(const Configuration& c);
 std::optional<Configuration> ParseConfiguration(std::string_view json);
--- a/pinford/documents.cc
+++ b/pinford/documents.cc
@@ -4,8 +4,8 @@
 
 namespace pinford {
 
-static constexpr Duration kWatchFor = seconds(20);
-static constexpr Duration kReadAgain = milliseconds(500);
+static constexpr Duration kWatchTimeout = seconds(20);
+static constexpr Duration kRetryInterval = milliseconds(500);
 
 static const char* KeyOf(DocumentKind kind) {
   return kind == DocumentKind::kConfiguration ? kConfigurationKey
@@ -104,7 +104,7 @@
     reading_[IndexOf(kind)] = false;
     OnStoreValue(kind, r);
     if (known_[IndexOf(kind)]) return;
-    parts_->loop->After(kReadAgain, [this, kind] { Read(kind); });
+    parts_->loop->After(kRetryInterval, [this, kind] { Read(kind); });
   });
 }
 
@@ -129,15 +129,16 @@
 void Documents::Watch(DocumentKind kind) {
   watching_[IndexOf(kind)] = true;
   parts_->store.Watch(
-      KeyOf(kind), store_revision_[IndexOf(kind)], kWatchFor,
+      KeyOf(kind), store_revision_[IndexOf(kind)], kWatchTimeout,
       [this, kind](const StoreResult& r) {
         OnStoreValue(kind, r);
         const bool answered =
             r.status == StoreStatus::kOk || r.status == StoreStatus::kTimeout;
-        parts_->loop->After(answered ? Duration(0) : kReadAgain, [this, kind] {
-          watching_[IndexOf(kind)] = false;
-          Tick();
-        });
+        parts_->loop->After(answered ? Duration(0) : kRetryInterval,
+                            [this, kind] {
+                              watching_[IndexOf(kind)] = false;
+                              Tick();
+                            });
       });
 }
 
@@ -146,9 +147,9 @@
   const uint64_t own = documents_[IndexOf(kind)].version();
   const Membership::Member* best = nullptr;
   for (const auto& [name, m] : parts_->membership.members()) {
-    const uint64_t theirs = m.row.versions[IndexOf(kind)];
-    if (theirs <= own) continue;
-    if (best == nullptr || theirs > best->row.versions[IndexOf(kind)])
+    const uint64_t peer_version = m.row.versions[IndexOf(kind)];
+    if (peer_version <= own) continue;
+    if (best == nullptr || peer_version > best->row.versions[IndexOf(kind)])
       best = &m;
   }
   if (best == nullptr) return;
@@ -157,13 +158,13 @@
   request.kind = static_cast<FetchKind>(kind);
   request.above_version = own;
   // What came out of the own hall was announced there by who had it first.
-  const bool pass_on = best->row.hall != parts_->settings.hall;
+  const bool from_other_hall = best->row.hall != parts_->settings.hall;
   link_->Fetch(best->row.address, request,
-               [this, kind, pass_on](std::optional<FetchReply> reply) {
+               [this, kind, from_other_hall](std::optional<FetchReply> reply) {
                  fetching_[IndexOf(kind)] = false;
                  if (!reply) return;
-                 const bool fresh = Offer(kind, reply->version, reply->body);
-                 if (fresh && pass_on) announce_();
+                 const bool adopted = Offer(kind, reply->version, reply->body);
+                 if (adopted && from_other_hall) announce_();
                });
 }
 
@@ -172,7 +173,8 @@
   for (DocumentKind kind : kAllKinds) {
     FetchFromPeers(kind);
     if (watching_[IndexOf(kind)]) continue;
-    if (parts_->membership.OnDuty(now, KeyOf(kind), kWatchers)) Watch(kind);
+    if (parts_->membership.OnDuty(now, KeyOf(kind), kWatchersPerHall))
+      Watch(kind);
   }
 }
 
--- a/pinford/documents.h
+++ b/pinford/documents.h
@@ -47,7 +47,7 @@
   void set_announce(std::function<void()> fn) { announce_ = std::move(fn); }
 
  private:
-  static constexpr int kWatchers = 2;  // a hall
+  static constexpr int kWatchersPerHall = 2;  // a hall
 
   bool AdoptConfiguration(uint64_t version, const std::string& body);
   bool AdoptEndpoints(uint64_t version, const std::string& body);
--- a/pinford/once_call.h
+++ b/pinford/once_call.h
@@ -57,9 +57,9 @@
 };
 
 struct CallOptions {
-  Duration claim_limit = seconds(2);  // to settle a claim
-  Duration claim_pause = milliseconds(50);
-  Duration cleanup_limit = seconds(60);  // to abandon or record, afterwards
+  Duration claim_timeout = seconds(2);  // to settle a claim
+  Duration claim_retry_interval = milliseconds(50);
+  Duration cleanup_timeout = seconds(60);  // to abandon or record, afterwards
   int max_tries = 4;
 };
 
@@ -90,7 +90,7 @@
   // repeated and was sent runs on, so that its result can be recorded. on_end
   // comes all the same.
   void Abandon() {
-    gone_ = true;
+    caller_gone_ = true;
     if (call_id_ == 0 || !repeatable_) return;
     client_->CancelCall(std::exchange(call_id_, 0));
     table_->OnDone(endpoint_);
@@ -118,7 +118,7 @@
   auto Self() { return this->shared_from_this(); }
 
   void Begin() {
-    claim_deadline_ = clock_->now() + options_.claim_limit;
+    claim_deadline_ = clock_->now() + options_.claim_timeout;
     if (repeatable_ || call_.key.empty()) {
       After(Duration(0), [this] { Send(); });
     } else {
@@ -132,7 +132,7 @@
 
   // --- claiming ------------------------------------------------------------
 
-  Claim Mine(ClaimState state) const {
+  Claim MakeClaim(ClaimState state) const {
     Claim claim;
     claim.attempt = attempt_;
     claim.state = state;
@@ -140,9 +140,9 @@
   }
 
   void CreateClaim(StoreRevision revision) {
-    claim_replaces_ = revision;
+    replaced_revision_ = revision;
     store_->CompareAndSwap(
-        key_, revision, WriteClaim(Mine(ClaimState::kClaimed)),
+        key_, revision, WriteClaim(MakeClaim(ClaimState::kClaimed)),
         [self = Self()](const StoreResult& r) { self->OnClaimWritten(r); });
   }
 
@@ -152,10 +152,10 @@
         OnClaimed(r.now.revision);
         return;
       case StoreStatus::kNotSent:
-        OnStoreDown();
+        OnStoreUnreachable();
         return;
       default:
-        may_be_claimed_ = true;
+        claim_may_exist_ = true;
         ReadClaim();
     }
   }
@@ -169,14 +169,14 @@
     if (r.status == StoreStatus::kMissing) {
       // Our write may yet land; the same write again can only win once.
       if (clock_->now() >= claim_deadline_) {
-        GiveUpUnsent(CallError::kNoStore);
+        FailUnsent(CallError::kNoStore);
       } else {
         CreateClaim(StoreRevision());
       }
       return;
     }
     if (r.status != StoreStatus::kOk) {
-      ClaimTrouble();
+      RetryClaim();
       return;
     }
     const std::optional<Claim> claim = ParseClaim(r.now.value);
@@ -188,21 +188,21 @@
     if (claim->attempt == attempt_) {
       OnClaimed(r.now.revision);
     } else if (claim->state == ClaimState::kAbandoned) {
-      TakeOver(r.now.revision);
+      ReplaceAbandonedClaim(r.now.revision);
     } else {
-      OnOthersClaim(*claim);
+      OnOtherAttemptsClaim(*claim);
     }
   }
 
-  void TakeOver(StoreRevision revision) {
+  void ReplaceAbandonedClaim(StoreRevision revision) {
     if (clock_->now() >= claim_deadline_) {
-      GiveUpUnsent(CallError::kNoStore);
+      FailUnsent(CallError::kNoStore);
     } else {
       CreateClaim(revision);
     }
   }
 
-  void OnOthersClaim(const Claim& claim) {
+  void OnOtherAttemptsClaim(const Claim& claim) {
     if (claim.state != ClaimState::kDone) {
       End(Outcome::kUnknown, CallError::kInProgress);
       return;
@@ -219,24 +219,24 @@
 
   // The store cannot be reached. One more try covers a broken connection; an
   // outage is told to the caller at once.
-  void OnStoreDown() {
-    if (std::exchange(store_was_down_, true)) {
-      GiveUpUnsent(CallError::kNoStore);
+  void OnStoreUnreachable() {
+    if (std::exchange(store_was_unreachable_, true)) {
+      FailUnsent(CallError::kNoStore);
     } else {
-      ClaimTrouble();
+      RetryClaim();
     }
   }
 
-  void ClaimTrouble() {
-    if (clock_->now() >= claim_deadline_ || gone_) {
-      GiveUpUnsent(CallError::kNoStore);
+  void RetryClaim() {
+    if (clock_->now() >= claim_deadline_ || caller_gone_) {
+      FailUnsent(CallError::kNoStore);
       return;
     }
-    After(options_.claim_pause, [this] {
-      if (may_be_claimed_) {
+    After(options_.claim_retry_interval, [this] {
+      if (claim_may_exist_) {
         ReadClaim();
       } else {
-        CreateClaim(claim_replaces_);
+        CreateClaim(replaced_revision_);
       }
     });
   }
@@ -246,8 +246,8 @@
     claim_revision_ = revision;
     // The box may have been paused while the claim was on its way. Nobody
     // waits for the call any more then, so it is better not run at all.
-    if (gone_ || clock_->now() >= claim_deadline_) {
-      GiveUpUnsent(CallError::kNoStore);
+    if (caller_gone_ || clock_->now() >= claim_deadline_) {
+      FailUnsent(CallError::kNoStore);
       return;
     }
     Send();
@@ -256,18 +256,18 @@
   // --- sending -------------------------------------------------------------
 
   void Send() {
-    if (gone_) {
-      GiveUpUnsent(CallError::kNone);
+    if (caller_gone_) {
+      FailUnsent(CallError::kNone);
       return;
     }
     std::optional<std::string> endpoint =
-        table_->PickService(clock_->now(), call_.service, tried_);
+        table_->PickService(clock_->now(), call_.service, tried_endpoints_);
     if (!endpoint) {
-      GiveUpUnsent(CallError::kNoEndpoints);
+      FailUnsent(CallError::kNoEndpoints);
       return;
     }
     endpoint_ = *endpoint;
-    tried_.insert(endpoint_);
+    tried_endpoints_.insert(endpoint_);
     tries_++;
     table_->OnSent(endpoint_);
     sent_at_ = clock_->now();
@@ -290,14 +290,14 @@
         if (table_->OnLeaving(endpoint_) && events_.on_leaving) {
           events_.on_leaving(endpoint_);
         }
-        SendElsewhere();
+        RetryElsewhere();
         return;
       case CallStatus::kRefusedBusy:
-        SendElsewhere();
+        RetryElsewhere();
         return;
       case CallStatus::kNotSent:
         table_->OnFailure(clock_->now(), endpoint_, sent_at_);
-        SendElsewhere();
+        RetryElsewhere();
         return;
       case CallStatus::kLost:
         table_->OnFailure(clock_->now(), endpoint_, sent_at_);
@@ -306,9 +306,9 @@
     }
   }
 
-  void SendElsewhere() {
+  void RetryElsewhere() {
     if (tries_ >= options_.max_tries || !budget_->Take(clock_->now())) {
-      GiveUpUnsent(CallError::kRetries);
+      FailUnsent(CallError::kRetries);
     } else {
       Send();
     }
@@ -316,8 +316,8 @@
 
   void OnLost() {
     may_have_run_ = true;
-    if (repeatable_ && !gone_) {
-      SendElsewhere();
+    if (repeatable_ && !caller_gone_) {
+      RetryElsewhere();
       return;
     }
     // The claim, if there is one, stays as it is: claimed, without a result.
@@ -326,16 +326,16 @@
 
   void OnAnswer(CallResult r) {
     CallEnd end;
-    const bool good = r.http_status < 500;
-    end.outcome = good ? Outcome::kComplete : Outcome::kFailed;
+    const bool succeeded = r.http_status < 500;
+    end.outcome = succeeded ? Outcome::kComplete : Outcome::kFailed;
     end.result = std::move(r);
     if (claimed_) {
-      record_.attempt = attempt_;
-      record_.state = ClaimState::kDone;
-      record_.outcome = end.outcome;
-      record_.status = end.result.http_status;
-      record_.type = end.result.type;
-      record_.body = end.result.body;
+      final_claim_.attempt = attempt_;
+      final_claim_.state = ClaimState::kDone;
+      final_claim_.outcome = end.outcome;
+      final_claim_.status = end.result.http_status;
+      final_claim_.type = end.result.type;
+      final_claim_.body = end.result.body;
       StartCleanup(Cleanup::kRecord);
     }
     Finish(end);
@@ -345,7 +345,7 @@
 
   // Nothing of this attempt ran, or with repeatable calls, nothing is known
   // to have; nothing more will be sent.
-  void GiveUpUnsent(CallError error) {
+  void FailUnsent(CallError error) {
     if (!repeatable_ && !call_.key.empty()) StartCleanup(Cleanup::kAbandon);
     End(may_have_run_ ? Outcome::kUnknown : Outcome::kNotRun, error);
   }
@@ -367,56 +367,58 @@
 
   // --- putting the claim in order, afterwards ------------------------------
 
-  void StartCleanup(Cleanup what) {
-    if (what == Cleanup::kAbandon && !claimed_ && !may_be_claimed_) return;
-    record_.attempt = attempt_;
-    if (what == Cleanup::kAbandon) record_.state = ClaimState::kAbandoned;
-    cleanup_deadline_ = clock_->now() + options_.cleanup_limit;
+  void StartCleanup(Cleanup kind) {
+    if (kind == Cleanup::kAbandon && !claimed_ && !claim_may_exist_) return;
+    final_claim_.attempt = attempt_;
+    if (kind == Cleanup::kAbandon) final_claim_.state = ClaimState::kAbandoned;
+    cleanup_deadline_ = clock_->now() + options_.cleanup_timeout;
     // Without a known claim, writing where our claim would have been written
     // shuts it out, should it be on its way.
-    WriteRecord(claimed_ ? claim_revision_ : claim_replaces_);
+    WriteFinalClaim(claimed_ ? claim_revision_ : replaced_revision_);
   }
 
-  void WriteRecord(StoreRevision revision) {
-    store_->CompareAndSwap(
-        key_, revision, WriteClaim(record_),
-        [self = Self()](const StoreResult& r) { self->OnRecordWritten(r); });
+  void WriteFinalClaim(StoreRevision revision) {
+    store_->CompareAndSwap(key_, revision, WriteClaim(final_claim_),
+                           [self = Self()](const StoreResult& r) {
+                             self->OnFinalClaimWritten(r);
+                           });
   }
 
-  void OnRecordWritten(const StoreResult& r) {
+  void OnFinalClaimWritten(const StoreResult& r) {
     if (r.status == StoreStatus::kOk) return;
     if (r.status == StoreStatus::kConflict) {
-      ReadForRecord();
+      RereadClaim();
     } else {
-      CleanupLater();
+      RetryCleanup();
     }
   }
 
-  void CleanupLater() {
+  void RetryCleanup() {
     if (clock_->now() >= cleanup_deadline_) return;
-    After(options_.claim_pause * 10, [this] { ReadForRecord(); });
+    After(options_.claim_retry_interval * 10, [this] { RereadClaim(); });
   }
 
-  void ReadForRecord() {
+  void RereadClaim() {
     store_->Get(key_, [self = Self()](const StoreResult& r) {
-      self->OnReadForRecord(r);
+      self->OnClaimReread(r);
     });
   }
 
-  void OnReadForRecord(const StoreResult& r) {
+  void OnClaimReread(const StoreResult& r) {
     if (r.status == StoreStatus::kMissing) {
-      WriteRecord(StoreRevision());
+      WriteFinalClaim(StoreRevision());
       return;
     }
     if (r.status != StoreStatus::kOk) {
-      CleanupLater();
+      RetryCleanup();
       return;
     }
     const std::optional<Claim> claim = ParseClaim(r.now.value);
-    const bool mine = claim && claim->attempt == attempt_ &&
-                      claim->state == ClaimState::kClaimed;
-    const bool still_ahead = !claimed_ && r.now.revision == claim_replaces_;
-    if (mine || still_ahead) WriteRecord(r.now.revision);
+    const bool is_own_claim = claim && claim->attempt == attempt_ &&
+                              claim->state == ClaimState::kClaimed;
+    const bool own_claim_pending =
+        !claimed_ && r.now.revision == replaced_revision_;
+    if (is_own_claim || own_claim_pending) WriteFinalClaim(r.now.revision);
   }
 
   S* store_;
@@ -432,19 +434,19 @@
   std::string key_;
 
   Time claim_deadline_{};
-  bool may_be_claimed_ = false;   // a claim of ours may be or come to be there
-  StoreRevision claim_replaces_;  // the revision that our claim names
+  bool claim_may_exist_ = false;  // a claim of ours may be or come to be there
+  StoreRevision replaced_revision_;  // the revision that our claim names
   bool claimed_ = false;
   StoreRevision claim_revision_;
-  bool store_was_down_ = false;
-  std::set<std::string> tried_;
+  bool store_was_unreachable_ = false;
+  std::set<std::string> tried_endpoints_;
   std::string endpoint_;
   int tries_ = 0;
   uint64_t call_id_ = 0;
   Time sent_at_{};
   bool may_have_run_ = false;
-  bool gone_ = false;
-  Claim record_;
+  bool caller_gone_ = false;
+  Claim final_claim_;
   Time cleanup_deadline_{};
 };
 
--- a/pinford/outcome.cc
+++ b/pinford/outcome.cc
@@ -13,7 +13,7 @@
 
 std::string_view OutcomeName(Outcome o) { return NameIn(kOutcomeNames, o); }
 
-std::optional<Outcome> OutcomeNamed(std::string_view name) {
+std::optional<Outcome> ParseOutcome(std::string_view name) {
   return ValueIn(kOutcomeNames, name);
 }
 
--- a/pinford/outcome.h
+++ b/pinford/outcome.h
@@ -21,7 +21,7 @@
 };
 
 std::string_view OutcomeName(Outcome o);
-std::optional<Outcome> OutcomeNamed(std::string_view name);
+std::optional<Outcome> ParseOutcome(std::string_view name);
 
 }  // namespace pinford
 
--- a/pinford/replicated_document.h
+++ b/pinford/replicated_document.h
@@ -28,15 +28,15 @@
  public:
   // Called after each adoption. Returns false to refuse a body it cannot use;
   // the old copy then stays in force.
-  using Adopter =
+  using AdoptCallback =
       std::function<bool(uint64_t version, const std::string& body)>;
 
-  explicit ReplicatedDocument(Adopter adopter) : adopter_(std::move(adopter)) {}
+  explicit ReplicatedDocument(AdoptCallback adopt) : adopt_(std::move(adopt)) {}
 
   // Adopts `body` if `version` is higher than the present one. True if so.
   bool Offer(uint64_t version, const std::string& body) {
     if (version <= version_) return false;
-    if (!adopter_(version, body)) {
+    if (!adopt_(version, body)) {
       refused_++;
       return false;
     }
@@ -50,7 +50,7 @@
   int64_t refused() const { return refused_; }
 
  private:
-  Adopter adopter_;
+  AdoptCallback adopt_;
   uint64_t version_ = 0;
   std::string body_;
   int64_t refused_ = 0;
--- a/pinford/retry_budget.cc
+++ b/pinford/retry_budget.cc
@@ -5,18 +5,19 @@
 namespace pinford {
 
 void RetryBudget::OnSuccess() {
-  held_ = std::min(options_.most, held_ + options_.per_success);
+  available_ = std::min(options_.most, available_ + options_.per_success);
 }
 
 bool RetryBudget::Take(Time now) {
-  const double elapsed = ToSeconds(now - last_);
-  last_ = now;
-  held_ = std::min(options_.most, held_ + elapsed * options_.per_second);
-  if (held_ < 1) {
+  const double elapsed = ToSeconds(now - last_refill_);
+  last_refill_ = now;
+  available_ =
+      std::min(options_.most, available_ + elapsed * options_.per_second);
+  if (available_ < 1) {
     refused_++;
     return false;
   }
-  held_ -= 1;
+  available_ -= 1;
   return true;
 }
 
--- a/pinford/retry_budget.h
+++ b/pinford/retry_budget.h
@@ -24,7 +24,7 @@
 
   RetryBudget() : RetryBudget(Options()) {}
   explicit RetryBudget(const Options& options)
-      : options_(options), held_(options.most) {}
+      : options_(options), available_(options.most) {}
 
   void OnSuccess();
   // Takes one retry if there is one.
@@ -34,8 +34,8 @@
 
  private:
   Options options_;
-  double held_;
-  Time last_{};
+  double available_;
+  Time last_refill_{};
   int64_t refused_ = 0;
 };
 
--- a/pinford/store_era.h
+++ b/pinford/store_era.h
@@ -19,15 +19,16 @@
 class StoreEra {
  public:
   // Called before the answer that shows the rise is handed on.
-  using OnRise = std::function<void(uint64_t before, uint64_t now)>;
-  void set_on_rise(OnRise fn) { on_rise_ = std::move(fn); }
+  using OnIncrease = std::function<void(uint64_t previous, uint64_t now)>;
+  void set_on_rise(OnIncrease fn) { on_increase_ = std::move(fn); }
 
   // Something of `era` has come. False if a later one is known. The first is
   // no rise: nothing goes by an earlier one yet.
   bool Saw(uint64_t era) {
     if (era < now()) return false;
-    const std::optional<uint64_t> before = std::exchange(era_, era);
-    if (before && *before < era && on_rise_) on_rise_(*before, era);
+    const std::optional<uint64_t> previous = std::exchange(era_, era);
+    if (previous && *previous < era && on_increase_)
+      on_increase_(*previous, era);
     return true;
   }
 
@@ -36,7 +37,7 @@
 
  private:
   std::optional<uint64_t> era_;
-  OnRise on_rise_;
+  OnIncrease on_increase_;
 };
 
 }  // namespace pinford
--- a/pinford/store_revision.h
+++ b/pinford/store_revision.h
@@ -24,14 +24,14 @@
   // Ten years at 3,200 changes a second.
   static constexpr int kNumberBits = 40;
   static constexpr uint64_t kMostNumber = (uint64_t{1} << kNumberBits) - 1;
-  static constexpr uint64_t kMostEra = (uint64_t{1} << (64 - kNumberBits)) - 1;
+  static constexpr uint64_t kMaxEra = (uint64_t{1} << (64 - kNumberBits)) - 1;
 
   // Before everything: stands for "no such key", too.
   constexpr StoreRevision() = default;
   // Nothing for what does not fit.
   static constexpr std::optional<StoreRevision> Make(uint64_t era,
                                                      uint64_t number) {
-    if (era > kMostEra || number > kMostNumber) return std::nullopt;
+    if (era > kMaxEra || number > kMostNumber) return std::nullopt;
     return FromPacked(era << kNumberBits | number);
   }
   static constexpr StoreRevision FromPacked(uint64_t packed) {
--- a/pinford/submission.h
+++ b/pinford/submission.h
@@ -80,7 +80,7 @@
 
   void OnRead(const StoreResult& r) {
     if (r.status != StoreStatus::kOk && r.status != StoreStatus::kMissing) {
-      TryAgain();
+      RetryLater();
       return;
     }
     Configuration current;
@@ -117,20 +117,20 @@
       Finish(SubmissionStatus::kAccepted, generation, std::move(next));
       return;
     }
-    if (r.status != StoreStatus::kNotSent) wrote_ = true;
+    if (r.status != StoreStatus::kNotSent) may_have_written_ = true;
     // A conflict may be with our own earlier write; reading tells.
     if (r.status == StoreStatus::kConflict) {
       Read();
     } else {
-      TryAgain();
+      RetryLater();
     }
   }
 
-  void TryAgain() {
+  void RetryLater() {
     if (clock_->now() >= deadline_) {
-      Finish(
-          wrote_ ? SubmissionStatus::kUndecided : SubmissionStatus::kNotWritten,
-          0, {});
+      Finish(may_have_written_ ? SubmissionStatus::kUndecided
+                               : SubmissionStatus::kNotWritten,
+             0, {});
       return;
     }
     constexpr Duration kPause = milliseconds(100);
@@ -147,7 +147,7 @@
   SubmissionRequest request_;
   Callback done_;
   Time deadline_;
-  bool wrote_ = false;  // a write left this box and was not refused
+  bool may_have_written_ = false;  // a write left this box and was not refused
 };
 
 }  // namespace pinford
--- a/pinford/testing/completion_driver_test.cc
+++ b/pinford/testing/completion_driver_test.cc
@@ -80,14 +80,14 @@
       const Answer& a = answers_.at(request);
       EXPECT_TRUE(a.end.has_value()) << request << " never ended";
       if (!a.end) continue;
-      const std::string whole = model_.AnswerText(prompt, max_tokens);
+      const std::string expected = model_.AnswerText(prompt, max_tokens);
       if (a.end->outcome == Outcome::kComplete) {
-        EXPECT_EQ(a.text, whole) << request;
+        EXPECT_EQ(a.text, expected) << request;
         positions[request] =
             static_cast<int>(model_.Tokenize(prompt).size()) + a.tokens - 1;
       } else {
         // What was given before the end must be a true beginning.
-        EXPECT_EQ(a.text, whole.substr(0, a.text.size())) << request;
+        EXPECT_EQ(a.text, expected.substr(0, a.text.size())) << request;
       }
       if (a.end->outcome == Outcome::kNotRun) {
         for (const LayerRun& r : engines_.runs()) {
@@ -114,7 +114,7 @@
 constexpr char kPrompt[] = "book a table for two at eight";
 constexpr int kTokens = 12;
 
-void AddThreeByTwo(Pool* pool) {
+void AddTwoEnginesPerStage(Pool* pool) {
   pool->Add("a0", {0, 3});
   pool->Add("a1", {0, 4});
   pool->Add("b0", {2, 6});
@@ -125,7 +125,7 @@
 
 TEST(CompletionDriver, RunsEachLayerOnceWithoutFaults) {
   Pool pool(1);
-  AddThreeByTwo(&pool);
+  AddTwoEnginesPerStage(&pool);
   pool.KeepRefreshing();
   pool.Begin("r", kPrompt, kTokens);
   pool.clock_.Advance(seconds(5));
@@ -140,9 +140,9 @@
 
 // An engine that refuses for four seconds and asks for a second of rest gets a
 // step a second at most, while others serve.
-TEST(CompletionDriver, AnEngineThatAsksForRestIsLeftAlone) {
+TEST(CompletionDriver, AnEngineThatRequestsBackoffGetsNoSteps) {
   Pool pool(3);
-  AddThreeByTwo(&pool);
+  AddTwoEnginesPerStage(&pool);
   pool.KeepRefreshing();
   FakeEngines::Engine& engine = pool.engines_.at("a0");
   engine.full = true;
@@ -178,9 +178,11 @@
        p->clock_.After(seconds(2), [p, e] { p->engines_.Thaw(e); });
      }},
     {"losing replies",
-     [](Pool* p, const std::string& e) { p->engines_.at(e).lose = 0.3; }},
+     [](Pool* p, const std::string& e) { p->engines_.at(e).lose_reply = 0.3; }},
     {"repeating replies",
-     [](Pool* p, const std::string& e) { p->engines_.at(e).repeat = 0.5; }},
+     [](Pool* p, const std::string& e) {
+       p->engines_.at(e).repeat_reply = 0.5;
+     }},
     {"leaving",
      [](Pool* p, const std::string& e) {
        p->engines_.at(e).report.leaving = true;
@@ -222,7 +224,7 @@
           SCOPED_TRACE(std::string(e) + " " + first.name + ", " + f + " " +
                        second.name);
           Pool pool(cases++);
-          AddThreeByTwo(&pool);
+          AddTwoEnginesPerStage(&pool);
           pool.KeepRefreshing();
           pool.Begin("r", kPrompt, kTokens);
           pool.clock_.Advance(milliseconds(23));
@@ -244,7 +246,7 @@
 // Without a journal the survivors recompute, and the answer is still whole.
 TEST(CompletionDriver, CompletesWithoutAJournal) {
   Pool pool(7);
-  AddThreeByTwo(&pool);
+  AddTwoEnginesPerStage(&pool);
   pool.KeepRefreshing();
   CompletionOptions options;
   options.run.max_journal_bytes = 0;
@@ -252,7 +254,7 @@
   pool.clock_.Advance(milliseconds(30));
   for (const char* e : {"b0", "c0"}) pool.engines_.Kill(e);
   pool.clock_.Advance(milliseconds(20));
-  for (const char* e : {"b1", "c1"}) pool.engines_.at(e).lose = 0.2;
+  for (const char* e : {"b1", "c1"}) pool.engines_.at(e).lose_reply = 0.2;
   pool.clock_.Advance(seconds(20));
   LayerCheck check = pool.Check({{"r", kPrompt}}, kTokens);
   EXPECT_EQ(pool.answers_["r"].end->outcome, Outcome::kComplete);
@@ -260,9 +262,9 @@
 }
 
 // Engines that all turn slow at once are slow, not lost: the deadlines follow.
-TEST(CompletionDriver, FollowsEnginesThatTurnSlow) {
+TEST(CompletionDriver, DeadlinesAdaptToEnginesThatSlowDown) {
   Pool pool(8);
-  AddThreeByTwo(&pool);
+  AddTwoEnginesPerStage(&pool);
   pool.KeepRefreshing();
   std::map<std::string, std::string> prompts;
   for (int i = 0; i < 20; i++) {
@@ -286,9 +288,9 @@
   EXPECT_LT(repairs, 20 * 8);
 }
 
-TEST(CompletionDriver, KeepsToOneVersion) {
+TEST(CompletionDriver, UsesOneModelVersionPerAnswer) {
   Pool pool(3);
-  AddThreeByTwo(&pool);
+  AddTwoEnginesPerStage(&pool);
   pool.KeepRefreshing();
   pool.Begin("r", kPrompt, kTokens);
   pool.clock_.Advance(milliseconds(25));
@@ -325,15 +327,15 @@
      },
      Outcome::kNotRun, CompletionError::kNoEndpoints},
     {"losing replies",
-     [](Pool* p, const std::string& e) { p->engines_.at(e).lose = 1; },
+     [](Pool* p, const std::string& e) { p->engines_.at(e).lose_reply = 1; },
      Outcome::kFailed, CompletionError::kNoEndpoints},
 };
 
-TEST(CompletionDriver, SaysNotRunOnlyWhenNothingRan) {
+TEST(CompletionDriver, ReportsNotRunOnlyWhenNothingRan) {
   for (const auto& c : kRefusals) {
     SCOPED_TRACE(c.name);
     Pool pool(5);
-    AddThreeByTwo(&pool);
+    AddTwoEnginesPerStage(&pool);
     pool.KeepRefreshing();
     for (const char* e : kEndpoints) c.fn(&pool, e);
     pool.Begin("r", kPrompt, kTokens);
@@ -363,14 +365,16 @@
       pool.Begin(request, prompts[request], kTokens);
     });
   }
-  auto each_far = [&pool](const std::function<void(const std::string&)>& fn) {
-    for (int i = 1; i < 12; i += 2) fn("far" + std::to_string(i));
-  };
+  auto for_each_far_engine =
+      [&pool](const std::function<void(const std::string&)>& fn) {
+        for (int i = 1; i < 12; i += 2) fn("far" + std::to_string(i));
+      };
   pool.clock_.After(seconds(1), [&] {
-    each_far([&pool](const std::string& e) { pool.engines_.Kill(e); });
+    for_each_far_engine(
+        [&pool](const std::string& e) { pool.engines_.Kill(e); });
   });
   pool.clock_.After(seconds(2), [&] {
-    each_far([&pool](const std::string& e) {
+    for_each_far_engine([&pool](const std::string& e) {
       pool.engines_.at(e).dead = false;
       pool.engines_.at(e).report.incarnation++;
     });
@@ -382,11 +386,11 @@
     complete += answer.end && answer.end->outcome == Outcome::kComplete;
   }
   EXPECT_EQ(complete, kRequests);
-  const int least = kRequests * kTokens * 3;
-  const double more = 1.0 * pool.engines_.sent_steps() / least - 1;
-  EXPECT_LT(more, 0.02);
+  const int min_steps = kRequests * kTokens * 3;
+  const double extra_share = 1.0 * pool.engines_.sent_steps() / min_steps - 1;
+  EXPECT_LT(extra_share, 0.02);
   printf("%d answers, %.2f%% more steps sent than without the loss\n", complete,
-         more * 100);
+         extra_share * 100);
 }
 
 // Random schedules: many answers at once, any fault on any endpoint at any
@@ -399,7 +403,7 @@
     SCOPED_TRACE("seed " + std::to_string(seed));
     Random random(seed);
     Pool pool(seed);
-    AddThreeByTwo(&pool);
+    AddTwoEnginesPerStage(&pool);
     pool.KeepRefreshing();
     std::map<std::string, LayerRange> holds;
     for (auto& [name, engine] : pool.engines_.all()) {
@@ -423,7 +427,7 @@
         FakeEngines::Engine& engine = pool.engines_.at(e);
         engine.report.incarnation++;
         engine.report.leaving = engine.dead = false;
-        engine.lose = engine.repeat = 0;
+        engine.lose_reply = engine.repeat_reply = 0;
         engine.report.holds = holds.at(e);
         engine.report.version = pool.model_.version;
         pool.engines_.Thaw(e);
--- a/pinford/testing/fake_engines.h
+++ b/pinford/testing/fake_engines.h
@@ -31,11 +31,11 @@
     bool full = false;             // refuses as busy
     std::optional<Duration> rest;  // what its refusals as busy ask for
     int refused = 0;               // steps that were refused as busy
-    double lose = 0;    // share of replies that are lost after running
-    double repeat = 0;  // share of replies sent a second time, later
+    double lose_reply = 0;    // share of replies that are lost after running
+    double repeat_reply = 0;  // share of replies sent a second time, later
     Duration delay = milliseconds(1);
     std::map<ToyModel::SessionKey, ToyModel::Session> sessions;
-    std::vector<std::function<void()>> held;  // while frozen
+    std::vector<std::function<void()>> queued;  // while frozen
   };
 
   FakeEngines(PausedClock* clock, ToyModel model, uint64_t seed)
--- a/pinford/testing/fake_engines_standin.cc
+++ b/pinford/testing/fake_engines_standin.cc
@@ -44,7 +44,7 @@
   Engine& engine = engines_.at(name);
   engine.dead = true;
   engine.sessions.clear();
-  engine.held.clear();
+  engine.queued.clear();
   for (const auto& [id, call] : std::map<uint64_t, Call>(calls_)) {
     if (call.endpoint != name) continue;
     clock_->After(Duration(0), [this, id = id] { Deliver(id, StepResult()); });
@@ -54,16 +54,16 @@
 void FakeEngines::Thaw(const std::string& name) {
   Engine& engine = engines_.at(name);
   engine.frozen = false;
-  std::vector<std::function<void()>> held;
-  held.swap(engine.held);
-  for (auto& fn : held) fn();
+  std::vector<std::function<void()>> queued;
+  queued.swap(engine.queued);
+  for (auto& fn : queued) fn();
 }
 
 StepResult FakeEngines::Run(Engine& engine, const std::string& name,
                             const StepRequest& step) {
   StepResult result;
   ToyModel::SessionKey key(step.id.request, step.id.session);
-  const bool fresh = !engine.sessions.contains(key);
+  const bool new_session = !engine.sessions.contains(key);
   if (!engine.report.holds.Contains(step.id.range) ||
       engine.report.version != step.version) {
     result.status = StepStatus::kRefusedRange;
@@ -75,14 +75,14 @@
     result.rest = engine.rest;
     return result;
   }
-  if (fresh && engine.report.leaving) {
+  if (new_session && engine.report.leaving) {
     result.status = StepStatus::kRefusedLeaving;
     return result;
   }
-  ToyModel held = model_;
-  held.version = engine.report.version;
+  ToyModel model = model_;
+  model.version = engine.report.version;
   std::optional<StepReply> reply =
-      held.Run(step, &engine.sessions[key], name, &runs_);
+      model.Run(step, &engine.sessions[key], name, &runs_);
   if (!reply) {
     refused_caches_++;
     result.status = StepStatus::kRefusedCache;
@@ -101,13 +101,13 @@
     return;
   }
   if (engine.frozen) {
-    engine.held.push_back(
+    engine.queued.push_back(
         [this, id, endpoint, step] { Arrive(id, endpoint, step); });
     return;
   }
   StepResult result = Run(engine, endpoint, step);
-  if (Chance(engine.lose)) result = StepResult();
-  if (Chance(engine.repeat)) {
+  if (Chance(engine.lose_reply)) result = StepResult();
+  if (Chance(engine.repeat_reply)) {
     // The repeat comes as if in answer to whatever is under way then.
     clock_->After(engine.delay * 3, [this, endpoint, result] {
       for (const auto& [other, call] : calls_) {
@@ -156,7 +156,7 @@
   StepResult result;
   result.status = engine.dead ? StepStatus::kNotSent : StepStatus::kOk;
   if (engine.frozen) {
-    engine.held.push_back([this, id, result] { Deliver(id, result); });
+    engine.queued.push_back([this, id, result] { Deliver(id, result); });
   } else {
     clock_->After(engine.delay, [this, id, result] { Deliver(id, result); });
   }
--- a/pinford/testing/fake_store.h
+++ b/pinford/testing/fake_store.h
@@ -40,7 +40,7 @@
   void Deliver(std::function<void()> fn) {
     if (killed_) return;
     if (paused_) {
-      held_.push_back(std::move(fn));
+      queued_.push_back(std::move(fn));
     } else {
       fn();
     }
@@ -48,9 +48,9 @@
   void Pause() { paused_ = true; }
   void Resume() {
     paused_ = false;
-    std::vector<std::function<void()>> held;
-    held.swap(held_);
-    for (auto& fn : held) Deliver(fn);
+    std::vector<std::function<void()>> queued;
+    queued.swap(queued_);
+    for (auto& fn : queued) Deliver(fn);
   }
   void Kill() { killed_ = true; }
   bool killed() const { return killed_; }
@@ -61,7 +61,7 @@
   PausedClock* clock_;
   bool paused_ = false;
   bool killed_ = false;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> queued_;
 };
 
 static_assert(Clock<FakeBox>);
@@ -89,14 +89,14 @@
   // Goes back to what it held so long ago.
   void Restore(Duration age) {
     const Time then = clock_->now() - age;
-    Copy copy = copies_.empty() ? Copy() : copies_.front();
-    for (const Copy& c : copies_) {
-      if (c.since <= then) copy = c;
+    Snapshot snapshot = snapshots_.empty() ? Snapshot() : snapshots_.front();
+    for (const Snapshot& c : snapshots_) {
+      if (c.since <= then) snapshot = c;
     }
     era_++;
-    values = copy.values;
-    leases_ = copy.leases;
-    last_revision_ = copy.last_revision;
+    values = snapshot.values;
+    leases_ = snapshot.leases;
+    last_revision_ = snapshot.last_revision;
   }
 
   // A call from `box` whose effect is `effect`.
@@ -108,17 +108,18 @@
       Reply(box, milliseconds(1), fn, refused);
       return;
     }
-    constexpr Duration kLimit = milliseconds(500);
+    constexpr Duration kCallTimeout = milliseconds(500);
     if (Chance(faults.lose_request)) {
-      Reply(box, kLimit, fn, StoreResult());
+      Reply(box, kCallTimeout, fn, StoreResult());
       return;
     }
     const bool late = Chance(faults.late);
     const bool lost = late || Chance(faults.lose_reply);
-    const Duration there = late ? kLimit + milliseconds(random_() % 3000)
-                                : Duration(milliseconds(1 + random_() % 5));
-    if (lost) Reply(box, kLimit, fn, StoreResult());
-    clock_->After(there, [this, box, effect, fn, lost] {
+    const Duration request_delay =
+        late ? kCallTimeout + milliseconds(random_() % 3000)
+             : Duration(milliseconds(1 + random_() % 5));
+    if (lost) Reply(box, kCallTimeout, fn, StoreResult());
+    clock_->After(request_delay, [this, box, effect, fn, lost] {
       StoreResult result = effect();
       if (!lost) Reply(box, milliseconds(1 + random_() % 5), fn, result);
     });
@@ -135,7 +136,7 @@
 
   StoreResult Swap(const std::string& key, StoreRevision revision,
                    const std::string& value) {
-    KeepCopy();
+    SaveSnapshot();
     writes++;
     StoreResult r;
     auto it = values.find(key);
@@ -155,18 +156,18 @@
 
   StoreResult Lease(const std::string& key, const std::string& holder,
                     Duration ttl) {
-    KeepCopy();
+    SaveSnapshot();
     writes++;
     StoreResult r;
-    LeaseRow& lease = leases_[key];
-    const bool free = lease.until <= clock_->now();
-    if (!free && lease.holder != holder) {
+    LeaseState& lease = leases_[key];
+    const bool expired = lease.until <= clock_->now();
+    if (!expired && lease.holder != holder) {
       r.status = StoreStatus::kConflict;
       r.now = {lease.holder, lease.token};
       return r;
     }
     // One of an earlier era is made again, as the platform's adapter does.
-    if (free || lease.token.era() < era_) lease.token = NextRevision();
+    if (expired || lease.token.era() < era_) lease.token = NextRevision();
     lease.holder = holder;
     lease.until =
         clock_->now() + FromSeconds(ToSeconds(ttl) * faults.lease_length);
@@ -176,25 +177,25 @@
   }
 
  private:
-  struct LeaseRow {
+  struct LeaseState {
     std::string holder;
     Time until{};
     StoreRevision token;
   };
 
-  struct Copy {
+  struct Snapshot {
     Time since{};
     std::map<std::string, StoreValue> values;
-    std::map<std::string, LeaseRow> leases;
+    std::map<std::string, LeaseState> leases;
     uint64_t last_revision = 0;
   };
 
   // Before a change: what there was until now.
-  void KeepCopy() {
-    copies_.push_back({changed_, values, leases_, last_revision_});
-    changed_ = clock_->now();
-    constexpr size_t kMost = 200;
-    if (copies_.size() > kMost) copies_.pop_front();
+  void SaveSnapshot() {
+    snapshots_.push_back({last_change_, values, leases_, last_revision_});
+    last_change_ = clock_->now();
+    constexpr size_t kMaxSnapshots = 200;
+    if (snapshots_.size() > kMaxSnapshots) snapshots_.pop_front();
   }
 
   StoreRevision NextRevision() {
@@ -211,9 +212,9 @@
   Random random_;
   uint64_t last_revision_ = 0;
   uint64_t era_ = 0;
-  std::deque<Copy> copies_;
-  Time changed_{};  // since when it holds what it does
-  std::map<std::string, LeaseRow> leases_;
+  std::deque<Snapshot> snapshots_;
+  Time last_change_{};  // since when it holds what it does
+  std::map<std::string, LeaseState> leases_;
 };
 
 // One box's connection to a FakeStore. A Store. As the platform's adapter does,
@@ -254,17 +255,17 @@
 
  private:
   void Call(std::function<StoreResult()> effect, StoreCallback fn) {
-    auto told = std::make_shared<std::optional<uint64_t>>();
+    auto reply_era = std::make_shared<std::optional<uint64_t>>();
     store_->Call(
         box_,
-        [store = store_, told, effect = std::move(effect)] {
-          *told = store->era();
+        [store = store_, reply_era, effect = std::move(effect)] {
+          *reply_era = store->era();
           return effect();
         },
-        [this, told, fn = std::move(fn)](const StoreResult& r) {
+        [this, reply_era, fn = std::move(fn)](const StoreResult& r) {
           const bool answered = r.status != StoreStatus::kUnknown &&
                                 r.status != StoreStatus::kNotSent;
-          const bool late = answered && *told && !era.Saw(**told);
+          const bool late = answered && *reply_era && !era.Saw(**reply_era);
           fn(late ? StoreResult() : r);
         });
   }
--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -24,7 +24,7 @@
 
 inline constexpr int kSeeds = 3;
 // Keys of customers are refused once a proof is this old.
-inline constexpr Duration kProofLimit = milliseconds(4700);
+inline constexpr Duration kMaxProofAge = milliseconds(4700);
 
 // The store as its callers see it: each may be answered, refused or left
 // waiting. It holds the operator's configuration, by its version. Counts calls.
@@ -35,7 +35,7 @@
   enum class Serves { kAnswers, kRefuses, kSilent };
   std::function<Serves(int box)> serves = [](int) { return Serves::kAnswers; };
   // A box is about to get an answer of this era.
-  std::function<void(int box, uint64_t era)> heard;
+  std::function<void(int box, uint64_t era)> on_reply;
   int64_t calls = 0;
   StoreRevision revision = StoreRevision::Make(0, 100).value();
   uint64_t configuration = 1;
@@ -67,10 +67,10 @@
   }
 
  private:
-  static constexpr Duration kLook = milliseconds(50);
+  static constexpr Duration kPollInterval = milliseconds(50);
 
   // To a list, or to a watch from `since`.
-  PrefixResult What(const std::optional<StoreRevision>& since) const {
+  PrefixResult ResultFor(const std::optional<StoreRevision>& since) const {
     PrefixResult r;
     r.at = revision;
     if (since && since->era() < revision.era()) {
@@ -87,17 +87,18 @@
   void Answer(int box, Duration after, std::optional<StoreRevision> since,
               PrefixCallback fn) {
     calls++;
-    const Serves how = serves(box);
-    if (how == Serves::kSilent) return;
-    const bool refuses = how == Serves::kRefuses;
+    const Serves mode = serves(box);
+    if (mode == Serves::kSilent) return;
+    const bool refuses = mode == Serves::kRefuses;
     const bool waits = since && *since == revision && !refuses;
-    if (waits && after > kLook) {
+    if (waits && after > kPollInterval) {
       // Looks again now and then, as a waiting watch would be woken.
-      clock_->After(kLook, [this, box, after, since, fn = std::move(fn)] {
-        if (serves(box) == Serves::kSilent) return;
-        calls--;
-        Answer(box, after - kLook, since, fn);
-      });
+      clock_->After(kPollInterval,
+                    [this, box, after, since, fn = std::move(fn)] {
+                      if (serves(box) == Serves::kSilent) return;
+                      calls--;
+                      Answer(box, after - kPollInterval, since, fn);
+                    });
       return;
     }
     const Duration answer = milliseconds(4);
@@ -105,10 +106,10 @@
                   [this, box, refuses, since, fn = std::move(fn)] {
                     // What falls silent meanwhile does not answer any more.
                     if (serves(box) == Serves::kSilent) return;
-                    if (!refuses && heard) heard(box, revision.era());
+                    if (!refuses && on_reply) on_reply(box, revision.era());
                     PrefixResult refused;
                     refused.status = StoreStatus::kRefused;
-                    fn(refuses ? refused : What(since));
+                    fn(refuses ? refused : ResultFor(since));
                   });
   }
 
@@ -160,9 +161,9 @@
     std::unique_ptr<PeerSource<Link, PausedClock>> source;
     uint64_t versions[kDocumentKinds] = {};
     Time proof{};
-    bool mirrors = false;
+    bool is_mirror = false;
     bool up = true;
-    int life = 0;
+    int incarnation = 0;
     Time started{};
     Time link_free{};  // when all that it sends has gone
     SendBudget list_budget;
@@ -176,7 +177,7 @@
   };
 
   Fleet(int boxes, int halls) : halls_(halls), store(&clock) {
-    store.heard = [this](int i, uint64_t era) { boxes_[i]->era.Saw(era); };
+    store.on_reply = [this](int i, uint64_t era) { boxes_[i]->era.Saw(era); };
     for (int i = 0; i < boxes; i++) boxes_.push_back(nullptr);
     for (int i = 0; i < boxes; i++) Start(i);
   }
@@ -185,23 +186,26 @@
     const bool seed = i < kSeeds;
     std::vector<std::string> seeds;
     for (int s = 0; s < kSeeds; s++) {
-      if (s != i) seeds.push_back(At(s));
+      if (s != i) seeds.push_back(AddressOf(s));
     }
-    const int life = boxes_[i] != nullptr ? boxes_[i]->life + 1 : 1;
+    const int incarnation =
+        boxes_[i] != nullptr ? boxes_[i]->incarnation + 1 : 1;
     // What is still on its way to the life before must find it.
-    if (boxes_[i] != nullptr) buried_.push_back(std::move(boxes_[i]));
+    if (boxes_[i] != nullptr) stopped_boxes_.push_back(std::move(boxes_[i]));
     boxes_[i] = std::make_unique<Box>(
         this, i, Membership(RowOf(i), {}, Membership::Options(), Random(i)),
         StoreDuty(clock.now(), seed, StoreDuty::Options(), Random(i + 1000)));
     Box& box = *boxes_[i];
-    box.life = life;
+    box.incarnation = incarnation;
     box.started = clock.now();
     box.peers_first.emplace(clock.now(), !seeds.empty());
     PrefixMirrorOptions options;
     options.silent_limit = milliseconds(20);
     options.answer_limit = milliseconds(400);
     PrefixMirrorEvents events;
-    events.on_list = [this, &box](const PrefixResult& r) { TakeOf(&box, r); };
+    events.on_list = [this, &box](const PrefixResult& r) {
+      ApplyResult(&box, r);
+    };
     events.on_changes = events.on_list;
     events.on_proof = [&box](Time proof) {
       box.proof = std::max(box.proof, proof);
@@ -215,11 +219,11 @@
         &clock, &box.membership, &box.roster, seeds, &box.link,
         Random(i + 2000), PeerSourceOptions(), SourceEvents(&box));
     // All start within 0.3 s of each other, and hear of each other 0.5 s later.
-    clock.After(milliseconds(i * 37 % 300), [this, i, life] {
-      if (Lives(i, life)) Tick(i, life);
+    clock.After(milliseconds(i * 37 % 300), [this, i, incarnation] {
+      if (IsRunning(i, incarnation)) Tick(i, incarnation);
     });
-    clock.After(milliseconds(800 + i * 13 % 200), [this, i, life] {
-      if (Lives(i, life)) Meet(i);
+    clock.After(milliseconds(800 + i * 13 % 200), [this, i, incarnation] {
+      if (IsRunning(i, incarnation)) ExchangeDigests(i);
     });
   }
 
@@ -231,7 +235,7 @@
   std::vector<int> MirrorBoxes() {
     std::vector<int> out;
     for (int i = 0; i < size(); i++) {
-      if (boxes_[i]->up && boxes_[i]->mirrors) out.push_back(i);
+      if (boxes_[i]->up && boxes_[i]->is_mirror) out.push_back(i);
     }
     return out;
   }
@@ -242,7 +246,7 @@
     const Time end = clock.now() + d;
     while (clock.now() < end) {
       clock.Advance(milliseconds(100));
-      NoteProofs();
+      RecordStaleBoxes();
     }
     return store.calls - before;
   }
@@ -250,8 +254,8 @@
   // Boxes in `counts` that lacked a proof at some moment since the last call.
   int Lacking(const std::function<bool(int)>& counts) {
     int n = 0;
-    for (const int i : lacking_) n += counts(i);
-    lacking_.clear();
+    for (const int i : stale_) n += counts(i);
+    stale_.clear();
     return n;
   }
   // Whether boxes that were killed refuse connections, rather than be silent.
@@ -265,37 +269,37 @@
   PausedClock clock;
 
  private:
-  static std::string At(int i) {
+  static std::string AddressOf(int i) {
     return "10.0.0.1:" + std::to_string(1000 + i);
   }
   MemberRow RowOf(int i) const {
     MemberRow row;
     row.name = "box-" + std::to_string(i);
     row.hall = "hall-" + std::to_string(i % halls_);
-    row.address = At(i);
+    row.address = AddressOf(i);
     row.incarnation = 1;
     return row;
   }
-  bool Lives(int i, int life) const {
-    return boxes_[i]->up && boxes_[i]->life == life;
+  bool IsRunning(int i, int incarnation) const {
+    return boxes_[i]->up && boxes_[i]->incarnation == incarnation;
   }
   // Higher versions only, and the first configuration once peers were asked, as
   // boxes do.
-  static void Take(Box* box, DocumentKind kind, uint64_t version) {
+  static void Apply(Box* box, DocumentKind kind, uint64_t version) {
     uint64_t& held = box->versions[static_cast<int>(kind)];
     held = std::max(held, version);
   }
-  void TakeOf(Box* box, const PrefixResult& r) {
-    if (box->mirrors && r.at.packed() > box->list()) Announce(box->link.box);
-    Take(box, DocumentKind::kEndpoints, r.at.packed());
+  void ApplyResult(Box* box, const PrefixResult& r) {
+    if (box->is_mirror && r.at.packed() > box->list()) Announce(box->link.box);
+    Apply(box, DocumentKind::kEndpoints, r.at.packed());
     for (const StoreItem& item : r.items) {
       box->stored_configuration = std::stoull(item.value);
     }
-    TakeStored(box);
+    ApplyStoredConfiguration(box);
   }
-  void TakeStored(Box* box) {
+  void ApplyStoredConfiguration(Box* box) {
     if (box->peers_first->Over(clock.now())) {
-      Take(box, DocumentKind::kConfiguration, box->stored_configuration);
+      Apply(box, DocumentKind::kConfiguration, box->stored_configuration);
     }
   }
 
@@ -310,7 +314,7 @@
       if (kind == DocumentKind::kEndpoints) {
         box->era.Saw(StoreRevision::FromPacked(state.version).era());
       }
-      Take(box, kind, state.version);
+      Apply(box, kind, state.version);
       return true;
     };
     events.on_answer = [box] { box->peers_first->OnAnswer(); };
@@ -323,21 +327,22 @@
     clock.After(milliseconds(1), [this, from] {
       const Box& box = *boxes_[from];
       for (int i = 0; i < size(); i++) {
-        const bool told = boxes_[i]->up && i != from && hall(i) == hall(from);
-        if (!told || !box.up || !reaches(i, from)) continue;
-        boxes_[i]->source->OnDigest(At(from), box.configuration(), box.list(),
-                                    box.proof);
+        const bool receives =
+            boxes_[i]->up && i != from && hall(i) == hall(from);
+        if (!receives || !box.up || !reaches(i, from)) continue;
+        boxes_[i]->source->OnDigest(AddressOf(from), box.configuration(),
+                                    box.list(), box.proof);
       }
     });
   }
 
   // Digests are not played: every two seconds a box hears from all that it can
   // reach.
-  void Meet(int i) {
+  void ExchangeDigests(int i) {
     std::vector<MemberRow> rows;
     for (int j = 0; j < size(); j++) {
       MemberRow row = RowOf(j);
-      row.heartbeat = ++beat_;
+      row.heartbeat = ++last_heartbeat_;
       std::copy_n(boxes_[j]->versions, kDocumentKinds, row.versions);
       if (j != i && boxes_[j]->up && reaches(i, j)) rows.push_back(row);
     }
@@ -348,16 +353,16 @@
       box.source->OnDigest(row.address, other.configuration(), other.list(),
                            other.proof);
     }
-    clock.After(seconds(2), [this, i, life = box.life] {
-      if (Lives(i, life)) Meet(i);
+    clock.After(seconds(2), [this, i, incarnation = box.incarnation] {
+      if (IsRunning(i, incarnation)) ExchangeDigests(i);
     });
   }
 
-  void Tick(int i, int life) {
+  void Tick(int i, int incarnation) {
     Box& box = *boxes_[i];
     const StoreTask task = box.duty.Now(clock.now(), box.proof, &box.roster);
-    box.mirrors = Mirrors(task);
-    if (box.mirrors) {
+    box.is_mirror = Mirrors(task);
+    if (box.is_mirror) {
       const bool first = task == StoreTask::kMirror;
       box.mirror->set_most_retry(milliseconds(first ? 250 : 1000));
       box.mirror->Start();
@@ -365,34 +370,34 @@
       box.mirror->Stop();
       if (task == StoreTask::kLook) box.mirror->Look();
     }
-    TakeStored(&box);
-    box.source->Tick(!box.mirrors || box.mirror->failing() ||
+    ApplyStoredConfiguration(&box);
+    box.source->Tick(!box.is_mirror || box.mirror->failing() ||
                      !box.peers_first->Over(clock.now()));
-    clock.After(milliseconds(50), [this, i, life] {
-      if (Lives(i, life)) Tick(i, life);
+    clock.After(milliseconds(50), [this, i, incarnation] {
+      if (IsRunning(i, incarnation)) Tick(i, incarnation);
     });
   }
 
   void Fetch(int from, const std::string& to, const FetchRequest& request,
              std::function<void(std::optional<FetchReply>)> fn) {
     const int peer = Address::Parse(to)->port - 1000;
-    const bool there = boxes_[peer]->up && reaches(from, peer);
+    const bool reachable = boxes_[peer]->up && reaches(from, peer);
     const bool refuses = killed_refuse && !boxes_[peer]->up;
-    const Duration limit = there || refuses ? milliseconds(2) : seconds(2);
-    const int life = boxes_[from]->life;
-    clock.After(limit,
-                [this, from, life, peer, there, request, fn = std::move(fn)] {
-                  if (!Lives(from, life)) return;
-                  if (there && boxes_[peer]->up) {
-                    Deliver(from, life, boxes_[peer].get(), request, fn);
-                  } else {
-                    fn(std::nullopt);
-                  }
-                });
+    const Duration limit = reachable || refuses ? milliseconds(2) : seconds(2);
+    const int incarnation = boxes_[from]->incarnation;
+    clock.After(limit, [this, from, incarnation, peer, reachable, request,
+                        fn = std::move(fn)] {
+      if (!IsRunning(from, incarnation)) return;
+      if (reachable && boxes_[peer]->up) {
+        Deliver(from, incarnation, boxes_[peer].get(), request, fn);
+      } else {
+        fn(std::nullopt);
+      }
+    });
   }
 
   // The answer comes when all that its sender sends before it has gone.
-  void Deliver(int to, int life, Box* box, const FetchRequest& request,
+  void Deliver(int to, int incarnation, Box* box, const FetchRequest& request,
                std::function<void(std::optional<FetchReply>)> fn) {
     const FetchReply reply = Reply(box, request);
     const auto& list =
@@ -406,15 +411,15 @@
       fn(reply);
       return;
     }
-    clock.After(wait, [this, to, life, reply, fn = std::move(fn)] {
-      if (Lives(to, life)) fn(reply);
+    clock.After(wait, [this, to, incarnation, reply, fn = std::move(fn)] {
+      if (IsRunning(to, incarnation)) fn(reply);
     });
   }
 
   FetchReply Reply(Box* from, const FetchRequest& request) {
     const Box& box = *from;
     FetchReply reply;
-    reply.store_fails = box.mirrors && box.mirror->failing();
+    reply.store_fails = box.is_mirror && box.mirror->failing();
     for (int k = 0; k < kDocumentKinds; k++) {
       DocumentState& state = reply.documents[k];
       state.version = box.versions[k];
@@ -428,19 +433,19 @@
     return reply;
   }
 
-  void NoteProofs() {
+  void RecordStaleBoxes() {
     for (int i = 0; i < size(); i++) {
       const Box& box = *boxes_[i];
-      const bool lacks = clock.now() - box.proof > kProofLimit;
-      if (box.up && lacks) lacking_.insert(i);
+      const bool stale = clock.now() - box.proof > kMaxProofAge;
+      if (box.up && stale) stale_.insert(i);
     }
   }
 
   int halls_;
   std::vector<std::unique_ptr<Box>> boxes_;
-  std::vector<std::unique_ptr<Box>> buried_;
-  std::set<int> lacking_;
-  uint64_t beat_ = 1;
+  std::vector<std::unique_ptr<Box>> stopped_boxes_;
+  std::set<int> stale_;
+  uint64_t last_heartbeat_ = 1;
 
  public:
   FleetStore store;
--- a/pinford/testing/layer_checker.h
+++ b/pinford/testing/layer_checker.h
@@ -32,25 +32,25 @@
   using Cache = std::tuple<std::string, std::string, uint32_t, int>;
   std::map<Cache, int> next;  // position due in each cache's layer
   std::map<std::tuple<std::string, int, int>, int> appended;
-  auto fault = [&check](const LayerRun& r, const std::string& what) {
+  auto add_fault = [&check](const LayerRun& r, const std::string& what) {
     check.faults.push_back(r.request + " layer " + std::to_string(r.layer) +
                            " position " + std::to_string(r.position) + " on " +
                            r.endpoint + ": " + what);
   };
   for (const LayerRun& r : runs) {
-    int& due = next[Cache(r.endpoint, r.request, r.session, r.layer)];
+    int& next_position = next[Cache(r.endpoint, r.request, r.session, r.layer)];
     if (r.recomputed) {
       check.recomputed++;
-      if (r.position >= due) fault(r, "recomputed before it ran");
+      if (r.position >= next_position) add_fault(r, "recomputed before it ran");
       continue;
     }
-    if (r.position < due) fault(r, "ran twice in one cache");
-    if (r.position > due) fault(r, "ran out of order");
-    due = r.position + 1;
+    if (r.position < next_position) add_fault(r, "ran twice in one cache");
+    if (r.position > next_position) add_fault(r, "ran out of order");
+    next_position = r.position + 1;
     // In order over the layers: the layer before has run this position.
-    const bool below =
+    const bool lower_layer_ran =
         r.layer == 0 || appended[{r.request, r.layer - 1, r.position}] > 0;
-    if (!below) fault(r, "ran before the layer below");
+    if (!lower_layer_ran) add_fault(r, "ran before the layer below");
     if (++appended[{r.request, r.layer, r.position}] > 1) check.rebuilt++;
   }
   for (const auto& [request, count] : positions) {
--- a/pinford/testing/once_call_test.cc
+++ b/pinford/testing/once_call_test.cc
@@ -39,8 +39,9 @@
       Reply(box, fn, r);
       return;
     }
-    const Duration there = milliseconds(1 + random_() % 20);
-    clock_->After(there, [this, box, call, fn] { Arrive(box, call, fn); });
+    const Duration request_delay = milliseconds(1 + random_() % 20);
+    clock_->After(request_delay,
+                  [this, box, call, fn] { Arrive(box, call, fn); });
   }
 
  private:
@@ -131,8 +132,8 @@
 
 using TestCall = OnceCall<FakeStoreClient, FakeServiceClient, FakeBox>;
 
-struct World {
-  explicit World(uint64_t seed, int boxes)
+struct TestCluster {
+  explicit TestCluster(uint64_t seed, int boxes)
       : store(&clock, seed), service(&clock, seed + 1) {
     for (int i = 0; i < boxes; i++) {
       this->boxes.push_back(
@@ -171,7 +172,7 @@
 };
 
 // What must hold of any run, from the service's own record.
-void CheckTruth(const World& w) {
+void CheckOutcomes(const TestCluster& w) {
   for (const auto& [key, runs] : w.service.runs_of_key) {
     if (key.empty()) continue;
     EXPECT_LE(runs, 1) << "key " << key;
@@ -188,51 +189,55 @@
     }
     if (end.outcome == Outcome::kComplete) {
       const std::string& body = end.result.body;
-      const std::string who = body.substr(body.rfind(' ') + 1);
-      EXPECT_EQ(w.service.runs.count(who), 1u) << "an answer nobody gave";
+      const std::string executed_request = body.substr(body.rfind(' ') + 1);
+      EXPECT_EQ(w.service.runs.count(executed_request), 1u)
+          << "an answer nobody gave";
     }
   }
 }
 
 struct Case {
   const char* name;
-  void (*setup)(World*);
+  void (*setup)(TestCluster*);
   Outcome outcome;
   int runs;
 };
 
 const Case kCases[] = {
-    {"no fault", [](World*) {}, Outcome::kComplete, 1},
-    {"store down", [](World* w) { w->store.faults.down = true; },
+    {"no fault", [](TestCluster*) {}, Outcome::kComplete, 1},
+    {"store down", [](TestCluster* w) { w->store.faults.down = true; },
      Outcome::kNotRun, 0},
     {"store loses every reply",
-     [](World* w) { w->store.faults.lose_reply = 1; }, Outcome::kNotRun, 0},
+     [](TestCluster* w) { w->store.faults.lose_reply = 1; }, Outcome::kNotRun,
+     0},
     {"store loses every call",
-     [](World* w) { w->store.faults.lose_request = 1; }, Outcome::kNotRun, 0},
+     [](TestCluster* w) { w->store.faults.lose_request = 1; }, Outcome::kNotRun,
+     0},
     {"service refuses connections",
-     [](World* w) { w->service.faults.refuse_connection = 1; },
+     [](TestCluster* w) { w->service.faults.refuse_connection = 1; },
      Outcome::kNotRun, 0},
-    {"service is busy", [](World* w) { w->service.faults.refuse_busy = 1; },
+    {"service is busy",
+     [](TestCluster* w) { w->service.faults.refuse_busy = 1; },
      Outcome::kNotRun, 0},
-    {"request lost", [](World* w) { w->service.faults.lose_request = 1; },
+    {"request lost", [](TestCluster* w) { w->service.faults.lose_request = 1; },
      Outcome::kUnknown, 0},
-    {"reply lost", [](World* w) { w->service.faults.lose_reply = 1; },
+    {"reply lost", [](TestCluster* w) { w->service.faults.lose_reply = 1; },
      Outcome::kUnknown, 1},
-    {"service fails", [](World* w) { w->service.faults.fail = 1; },
+    {"service fails", [](TestCluster* w) { w->service.faults.fail = 1; },
      Outcome::kFailed, 1},
 };
 
-TEST(OnceCall, TellsTheTruthUnderEachFault) {
+TEST(OnceCall, ReportsTheTrueOutcomeUnderEachFault) {
   for (const Case& c : kCases) {
     for (const char* key : {"", "key"}) {
       const bool store_fault = std::string(c.name).find("store") == 0;
       if (store_fault && key[0] == '\0') continue;  // no claim, no store
       SCOPED_TRACE(std::string(c.name) + ", key '" + key + "'");
-      World w(1, 1);
+      TestCluster w(1, 1);
       c.setup(&w);
       w.Begin(0, "r", key);
       w.clock.Advance(seconds(90));
-      CheckTruth(w);
+      CheckOutcomes(w);
       ASSERT_TRUE(w.ends.contains("r"));
       EXPECT_EQ(w.ends["r"].outcome, c.outcome);
       EXPECT_EQ(w.service.runs["r"], c.runs);
@@ -242,8 +247,8 @@
 
 // All three endpoints refuse and ask for rest: no further call is sent to them
 // until it is over.
-TEST(OnceCall, EndpointsThatAskForRestAreLeftAlone) {
-  World w(5, 1);
+TEST(OnceCall, EndpointsThatRequestBackoffGetNoCalls) {
+  TestCluster w(5, 1);
   w.service.faults.refuse_busy = 1;
   w.service.faults.rest = seconds(5);
   for (int i = 0; i < 20; i++) {
@@ -256,11 +261,11 @@
   w.Begin(0, "later", "");
   w.clock.Advance(seconds(1));
   EXPECT_EQ(w.ends["later"].outcome, Outcome::kComplete);
-  CheckTruth(w);
+  CheckOutcomes(w);
 }
 
-TEST(OnceCall, ToldAtOnceWhenTheStoreIsDown) {
-  World w(1, 1);
+TEST(OnceCall, FailsAtOnceWhenTheStoreIsDown) {
+  TestCluster w(1, 1);
   w.store.faults.down = true;
   w.Begin(0, "r", "key");
   w.clock.Advance(milliseconds(100));
@@ -271,17 +276,17 @@
 TEST(OnceCall, AnAbandonedKeyCanBeUsedAgain) {
   const struct {
     const char* name;
-    void (*fault)(World*);
+    void (*fault)(TestCluster*);
   } cases[] = {
       {"no endpoint",
-       [](World* w) { w->service.faults.refuse_connection = 1; }},
+       [](TestCluster* w) { w->service.faults.refuse_connection = 1; }},
       {"claims written, replies lost",
-       [](World* w) { w->store.faults.lose_reply = 1; }},
-      {"claims written late", [](World* w) { w->store.faults.late = 1; }},
+       [](TestCluster* w) { w->store.faults.lose_reply = 1; }},
+      {"claims written late", [](TestCluster* w) { w->store.faults.late = 1; }},
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(c.name);
-    World w(2, 2);
+    TestCluster w(2, 2);
     c.fault(&w);
     w.Begin(0, "first", "key");
     w.clock.Advance(seconds(10));
@@ -292,12 +297,12 @@
     w.Begin(1, "second", "key");
     w.clock.Advance(seconds(10));
     EXPECT_EQ(w.ends["second"].outcome, Outcome::kComplete);
-    CheckTruth(w);
+    CheckOutcomes(w);
   }
 }
 
-TEST(OnceCall, ARepeatIsToldTheRecordedResult) {
-  World w(3, 2);
+TEST(OnceCall, ARepeatedKeyReturnsTheRecordedResult) {
+  TestCluster w(3, 2);
   w.Begin(0, "first", "key");
   w.clock.Advance(seconds(1));
   w.Begin(1, "second", "key");
@@ -305,16 +310,16 @@
   EXPECT_EQ(w.ends["second"].outcome, Outcome::kComplete);
   EXPECT_TRUE(w.ends["second"].repeated);
   EXPECT_EQ(w.ends["second"].result.body, "run by first");
-  CheckTruth(w);
+  CheckOutcomes(w);
 }
 
 // A box stopped at every millisecond of a call, for longer than anything
 // lasts, while the same key is tried at another box.
-TEST(OnceCall, ABoxPausedAtAnyMomentDoesNoHarm) {
+TEST(OnceCall, APausedOrKilledBoxCausesNoSecondRun) {
   for (int at = 0; at < 60; at++) {
     for (bool kill : {false, true}) {
       SCOPED_TRACE(std::to_string(at) + (kill ? " killed" : " paused"));
-      World w(4, 2);
+      TestCluster w(4, 2);
       w.Begin(0, "first", "key");
       w.clock.Advance(milliseconds(at));
       if (kill) {
@@ -326,7 +331,7 @@
       w.clock.Advance(seconds(300));
       w.boxes[0]->box.Resume();
       w.clock.Advance(seconds(100));
-      CheckTruth(w);
+      CheckOutcomes(w);
       EXPECT_TRUE(w.ends.contains("second"));
     }
   }
@@ -334,10 +339,10 @@
 
 // A caller who goes: what was not sent is not sent and the key is free again;
 // what was sent is recorded for the next who asks.
-TEST(OnceCall, ACallerWhoGoes) {
+TEST(OnceCall, ACallerThatDisconnects) {
   for (int at : {0, 3, 6, 9, 12, 15, 20, 30}) {
     SCOPED_TRACE(at);
-    World w(6, 2);
+    TestCluster w(6, 2);
     w.Begin(0, "first", "key");
     w.clock.Advance(milliseconds(at));
     if (!w.ends.contains("first")) w.calls[0]->Abandon();
@@ -347,13 +352,13 @@
     w.clock.Advance(seconds(5));
     EXPECT_EQ(w.ends["second"].outcome, Outcome::kComplete);
     EXPECT_EQ(w.ends["second"].repeated, w.service.runs["first"] == 1);
-    CheckTruth(w);
+    CheckOutcomes(w);
   }
 }
 
 // A claim that came too late is given back unsent.
-TEST(OnceCall, ALateClaimIsNotUsed) {
-  World w(5, 2);
+TEST(OnceCall, AClaimAcquiredTooLateIsAbandoned) {
+  TestCluster w(5, 2);
   w.Begin(0, "first", "key");
   w.boxes[0]->box.Pause();
   w.clock.Advance(seconds(10));
@@ -364,19 +369,19 @@
   w.Begin(1, "second", "key");
   w.clock.Advance(seconds(1));
   EXPECT_EQ(w.ends["second"].outcome, Outcome::kComplete);
-  CheckTruth(w);
+  CheckOutcomes(w);
 }
 
 // At least 10,000 schedules: several boxes, one key tried again and again,
 // random faults of store and service, pauses and kills.
 TEST(OnceCall, RandomSchedules) {
   constexpr int kSchedules = 10000;
-  int told[4] = {};
+  int ends_by_outcome[4] = {};
   for (int seed = 0; seed < kSchedules; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Random random(seed);
     auto chance = [&random] { return (random() % 4) * 0.1; };
-    World w(seed, 3);
+    TestCluster w(seed, 3);
     w.store.faults = {chance(), chance(), chance(), false};
     w.service.faults = {chance(), chance(), chance(), chance(), chance()};
     for (int i = 0; i < 5; i++) {
@@ -399,14 +404,14 @@
     w.clock.After(outage + milliseconds(random() % 2000),
                   [&w] { w.store.faults.down = false; });
     w.clock.Advance(seconds(120));
-    CheckTruth(w);
+    CheckOutcomes(w);
     for (const auto& [request, end] : w.ends) {
-      told[static_cast<int>(end.outcome)]++;
+      ends_by_outcome[static_cast<int>(end.outcome)]++;
     }
     if (HasFailure()) return;
   }
   // The schedules must reach every outcome, or they prove little.
-  for (int n : told) EXPECT_GT(n, 500);
+  for (int n : ends_by_outcome) EXPECT_GT(n, 500);
 }
 
 }  // namespace
--- a/pinford/testing/restored_fleet_test.cc
+++ b/pinford/testing/restored_fleet_test.cc
@@ -16,21 +16,23 @@
 constexpr int kHalls = 3;
 // A configuration is in force everywhere within this, if boxes reach each
 // other: a question each 0.4 s, of a mirror that may have to be found first.
-constexpr Duration kInForce = seconds(3);
+constexpr Duration kMaxPropagation = seconds(3);
 
 class Schedule {
  public:
   explicit Schedule(int seed) : random(seed), fleet(kBoxes, kHalls) {
-    fleet.reaches = [this](int a, int b) { return !Cut(a) && !Cut(b); };
+    fleet.reaches = [this](int a, int b) {
+      return !IsIsolated(a) && !IsIsolated(b);
+    };
     fleet.store.serves = [this](int box) { return serves[box]; };
   }
 
-  bool Cut(int box) const { return cut == box; }
+  bool IsIsolated(int box) const { return isolated_box == box; }
 
   void Step() {
     fleet.Run(milliseconds(100));
-    CheckGrowth();
-    CheckFloor();
+    CheckVersionsNeverDecrease();
+    CheckPropagation();
     const int box = static_cast<int>(random() % kBoxes);
     switch (random() % 40) {
       case 0:
@@ -49,7 +51,7 @@
       case 5:
         fleet.Kill(box);
         fleet.Start(box);
-        starts++;
+        restarts++;
         break;
       case 6:
         serves[box] = random() % 2 == 0 ? FleetStore::Serves::kRefuses
@@ -66,11 +68,11 @@
                   FleetStore::Serves::kAnswers);
         break;
       case 11:
-        cut = box;
+        isolated_box = box;
         break;
       case 12:
       case 13:
-        cut = -1;
+        isolated_box = -1;
         break;
       case 14:
         Rewrite();
@@ -81,8 +83,8 @@
   }
 
   // The trouble ends, and the operator writes what was lost.
-  void Settle() {
-    cut = -1;
+  void Recover() {
+    isolated_box = -1;
     std::fill(std::begin(serves), std::end(serves),
               FleetStore::Serves::kAnswers);
     Rewrite();
@@ -91,10 +93,11 @@
 
   void Restore() {
     // One of the last three versions.
-    const size_t back = std::min<size_t>(random() % 4, acknowledged.size());
-    const uint64_t version = back == 0
-                                 ? fleet.store.configuration
-                                 : acknowledged[acknowledged.size() - back];
+    const size_t versions_back =
+        std::min<size_t>(random() % 4, acknowledged.size());
+    const uint64_t version =
+        versions_back == 0 ? fleet.store.configuration
+                           : acknowledged[acknowledged.size() - versions_back];
     for (int i = 0; i < 3; i++) fleet.store.Change();
     fleet.store.Restore(std::min(version, fleet.store.configuration));
     restores++;
@@ -103,74 +106,76 @@
     if (fleet.store.configuration < last_version) fleet.store.Put(last_version);
   }
 
-  void CheckGrowth() {
+  void CheckVersionsNeverDecrease() {
     for (int i = 0; i < kBoxes; i++) {
       const Fleet::Box& box = fleet.at(i);
       const std::pair<uint64_t, uint64_t> now = {box.configuration(),
                                                  box.list()};
-      if (lives[i] == box.life) {
-        EXPECT_GE(now.first, held[i].first) << i;
-        EXPECT_GE(now.second, held[i].second) << i;
+      if (last_incarnations[i] == box.incarnation) {
+        EXPECT_GE(now.first, last_versions[i].first) << i;
+        EXPECT_GE(now.second, last_versions[i].second) << i;
       }
-      lives[i] = box.life;
-      held[i] = now;
+      last_incarnations[i] = box.incarnation;
+      last_versions[i] = now;
     }
   }
 
   // What some box that runs and is reached has known for a while, all have that
   // are reached.
-  void CheckFloor() {
+  void CheckPropagation() {
     uint64_t highest = 0;
     for (int i = 0; i < kBoxes; i++) {
-      if (!Cut(i)) highest = std::max(highest, fleet.at(i).configuration());
+      if (!IsIsolated(i))
+        highest = std::max(highest, fleet.at(i).configuration());
     }
-    known.emplace_back(fleet.clock.now(), highest);
-    while (fleet.clock.now() - known.front().first > kInForce) {
-      known.pop_front();
+    known_versions.emplace_back(fleet.clock.now(), highest);
+    while (fleet.clock.now() - known_versions.front().first > kMaxPropagation) {
+      known_versions.pop_front();
     }
-    if (cut >= 0) uncut_since = fleet.clock.now();
-    if (fleet.clock.now() - uncut_since < kInForce) return;
-    uint64_t floor = highest;
-    for (const auto& [at, version] : known) floor = std::min(floor, version);
+    if (isolated_box >= 0) connected_since = fleet.clock.now();
+    if (fleet.clock.now() - connected_since < kMaxPropagation) return;
+    uint64_t required_version = highest;
+    for (const auto& [at, version] : known_versions)
+      required_version = std::min(required_version, version);
     for (int i = 0; i < kBoxes; i++) {
       const Fleet::Box& box = fleet.at(i);
-      if (fleet.clock.now() - box.started < kInForce) continue;
-      EXPECT_GE(box.configuration(), floor) << i;
+      if (fleet.clock.now() - box.started < kMaxPropagation) continue;
+      EXPECT_GE(box.configuration(), required_version) << i;
     }
   }
 
   Random random;
   FleetStore::Serves serves[kBoxes] = {};
-  int cut = -1;  // a box that reaches no other
+  int isolated_box = -1;  // a box that reaches no other
   Fleet fleet;
   uint64_t last_version = 1;
   std::vector<uint64_t> acknowledged;  // versions before the present one
-  std::pair<uint64_t, uint64_t> held[kBoxes];
-  int lives[kBoxes] = {};
-  std::deque<std::pair<Time, uint64_t>> known;
-  Time uncut_since{};
+  std::pair<uint64_t, uint64_t> last_versions[kBoxes];
+  int last_incarnations[kBoxes] = {};
+  std::deque<std::pair<Time, uint64_t>> known_versions;
+  Time connected_since{};
   int restores = 0;
-  int starts = 0;
+  int restarts = 0;
 };
 
-TEST(RestoredFleet, BelievesOnlyMoreOverAnySchedule) {
+TEST(RestoredFleet, VersionsNeverDecreaseOverRandomSchedules) {
   int restores = 0;
-  int starts = 0;
+  int restarts = 0;
   for (int seed = 0; seed < 300; seed++) {
     Schedule s(seed);
     s.fleet.Run(seconds(5));
     for (int step = 0; step < 300 && !HasFailure(); step++) s.Step();
-    s.Settle();
+    s.Recover();
     for (int i = 0; i < kBoxes; i++) {
       EXPECT_EQ(s.fleet.at(i).configuration(), s.last_version) << i;
       EXPECT_EQ(s.fleet.at(i).list(), s.fleet.store.revision.packed()) << i;
     }
     restores += s.restores;
-    starts += s.starts;
+    restarts += s.restarts;
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
   }
   EXPECT_GT(restores, 4000);
-  EXPECT_GT(starts, 1500);
+  EXPECT_GT(restarts, 1500);
 }
 
 }  // namespace
--- a/pinford/testing/submission_test.cc
+++ b/pinford/testing/submission_test.cc
@@ -12,8 +12,8 @@
 
 using TestSubmission = Submission<FakeStoreClient, FakeBox>;
 
-struct World {
-  explicit World(uint64_t seed) : store(&clock, seed) {
+struct TestCluster {
+  explicit TestCluster(uint64_t seed) : store(&clock, seed) {
     for (int i = 0; i < 3; i++) {
       boxes.push_back(std::make_unique<FakeBox>(&clock));
       clients.push_back(
@@ -53,8 +53,8 @@
   std::map<std::string, std::vector<SubmissionResult>> results;
 };
 
-TEST(Submission, OneOfARaceWins) {
-  World w(1);
+TEST(Submission, OneOfConcurrentSubmissionsWins) {
+  TestCluster w(1);
   for (int i = 0; i < 3; i++) w.Submit(i, "op" + std::to_string(i), 0);
   w.clock.Advance(seconds(10));
   int accepted = 0;
@@ -77,10 +77,10 @@
     {"every call lost", {1, 0, 0, false}, SubmissionStatus::kNotWritten},
 };
 
-TEST(Submission, ToldTruthfullyUnderEachFault) {
+TEST(Submission, ReportsTheTrueStatusUnderEachFault) {
   for (const auto& c : kCases) {
     SCOPED_TRACE(c.name);
-    World w(2);
+    TestCluster w(2);
     w.store.faults = c.faults;
     w.Submit(0, "a", 0);
     w.clock.Advance(seconds(30));
@@ -93,8 +93,8 @@
 
 // The write lands, its reply is lost, and others write over it before this
 // box reads back: still accepted, with its own generation.
-TEST(Submission, AcceptedThoughOverwritten) {
-  World w(3);
+TEST(Submission, AcceptedAlthoughOverwritten) {
+  TestCluster w(3);
   w.clock.After(milliseconds(3), [&w] { w.store.faults.lose_reply = 1; });
   w.Submit(0, "a", 0);
   w.clock.Advance(milliseconds(50));
@@ -109,22 +109,22 @@
 }
 
 TEST(Submission, RandomSchedules) {
-  int told[4] = {};
+  int results_by_status[4] = {};
   for (int seed = 0; seed < 3000; seed++) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Random random(seed);
     auto chance = [&random] { return (random() % 5) * 0.1; };
-    World w(seed);
+    TestCluster w(seed);
     w.store.faults = {chance(), chance(), chance(), false};
     for (int i = 0; i < 8; i++) {
       const std::string id = "s" + std::to_string(i);
       const int box = static_cast<int>(random() % 3);
-      const bool twice = random() % 3 == 0;
-      w.clock.After(milliseconds(random() % 4000), [&w, box, id, twice] {
+      const bool duplicated = random() % 3 == 0;
+      w.clock.After(milliseconds(random() % 4000), [&w, box, id, duplicated] {
         const uint64_t expected = w.Written().size();
         w.Submit(box, id, expected);
         // The operator's client tries the same submission at another box.
-        if (twice) w.Submit((box + 1) % 3, id, expected);
+        if (duplicated) w.Submit((box + 1) % 3, id, expected);
       });
     }
     const Duration outage = milliseconds(random() % 6000);
@@ -139,7 +139,7 @@
     }
     for (const auto& [id, list] : w.results) {
       for (const SubmissionResult& r : list) {
-        told[static_cast<int>(r.status)]++;
+        results_by_status[static_cast<int>(r.status)]++;
         if (r.status == SubmissionStatus::kAccepted) {
           EXPECT_EQ(generation_of[id], r.generation);
         } else if (r.status != SubmissionStatus::kUndecided &&
@@ -151,7 +151,7 @@
     }
     if (HasFailure()) return;
   }
-  for (int n : told) EXPECT_GT(n, 100);
+  for (int n : results_by_status) EXPECT_GT(n, 100);
 }
 
 }  // namespace
--- a/pinford/testing/toy_model_standin.cc
+++ b/pinford/testing/toy_model_standin.cc
@@ -100,11 +100,11 @@
   std::vector<int> tokens = Tokenize(prompt);
   std::vector<int> answer;
   std::vector<uint64_t> state(layers, 0);
-  size_t fed = 0;
+  size_t processed = 0;
   while (static_cast<int>(answer.size()) < max_tokens) {
     uint64_t x = 0;
-    for (; fed < tokens.size(); fed++) {
-      x = Embed(tokens[fed]);
+    for (; processed < tokens.size(); processed++) {
+      x = Embed(tokens[processed]);
       for (int l = 0; l < layers; l++) {
         state[l] = FoldState(state[l], x);
         x = Output(l, state[l]);
