--- a/pinford/chain_run.cc
+++ b/pinford/chain_run.cc
@@ -1,9 +1,10 @@
-// Method: let goal be the number of known tokens. A cycle brings every
-// stage's cache to goal positions, from the first stage to the last, and ends
-// with one new token. NextStep looks for the first stage short of the goal
-// and then walks back to the nearest stage whose inputs are at hand from the
-// position that is lacking (the first stage's inputs are the tokens, always
-// at hand). In the common case that is the stage itself.
+// Each cycle of NextStep() calls brings every stage's cache up to
+// target_positions(), the number of known tokens, from the first stage to the
+// last, and ends with one new token. NextStep() finds the first stage that is
+// behind the target and then walks back to the nearest stage whose inputs are
+// available from the first missing position on. The first stage's inputs are
+// the tokens, which are always available. In the common case that stage is the
+// one behind.
 
 #include "pinford/chain_run.h"
 
@@ -109,7 +110,7 @@
 void ChainRun::RecordInputs(int layer, int from,
                             std::vector<std::string> values) {
   Inputs& in = journal_[layer];
-  // Appending keeps the journal whole; anything else replaces it.
+  // Contiguous values are appended; any others replace the journal entry.
   if (from != in.first + static_cast<int>(in.values.size())) {
     for (const std::string& v : in.values) journal_bytes_ -= v.size();
     in.values.clear();
@@ -122,7 +123,8 @@
 }
 
 void ChainRun::TrimJournal() {
-  // Runs between tokens, when every cache is full and no input is still due.
+  // Runs between tokens, when every cache is up to date and no journaled input
+  // is still needed.
   if (journal_bytes_ <= options_.max_journal_bytes) return;
   for (auto& [layer, in] : journal_) {
     in.first += static_cast<int>(in.values.size());
--- a/pinford/chain_run.h
+++ b/pinford/chain_run.h
@@ -1,22 +1,24 @@
-// The state of one answer as it is driven through a chain, token by token.
+// Tracks one completion as it is generated, token by token, through a chain of
+// stages.
 //
-// A ChainRun decides which step to send next and which reply to believe; it
-// does no I/O. What it keeps true, whatever is lost, late or repeated:
+// A ChainRun decides which step to send next and whether to accept a reply; it
+// does no I/O. It keeps these invariants even if messages are lost, delayed or
+// duplicated:
 //
-//   - A position of a stage's cache is appended once: a step states how many
-//     positions the cache holds, the endpoint refuses if that differs, and a
-//     step whose fate is not known ends the session for good. A new session,
-//     on the same or another endpoint, starts from an empty cache.
-//   - Layers run in order: a stage's inputs are the outputs of the stage
-//     before, for the same positions.
-//   - A token is taken once, by position, from the reply to the one step
-//     that is being waited for.
+//   - Each position is appended to a stage's cache once. A step states how many
+//     positions the cache holds, and the endpoint refuses it if that differs. A
+//     step with an unknown outcome ends the session for good: a new session, on
+//     the same or another endpoint, starts with an empty cache.
+//   - Layers run in order: a stage's inputs are the outputs of the previous
+//     stage for the same positions.
+//   - Each token is accepted once, by position, and only from the reply to the
+//     step in flight.
 //
-// One rule covers the prompt, each further token and the repair of a lost
-// stage: the first stage whose cache lacks positions is given the inputs it
-// lacks. They are at hand in the journal of activations that passed through
-// the box; only where the journal was cut for its size are earlier stages
-// asked to recompute outputs, which leaves their caches alone.
+// The prompt, each further token and the repair of a lost stage all follow one
+// rule: the first stage whose cache lacks positions is sent its missing inputs.
+// They come from a journal of the activations that passed through the box. Only
+// where the journal was trimmed to its size limit do earlier stages recompute
+// their outputs, which does not change their caches.
 
 #ifndef PINFORD_CHAIN_RUN_H_
 #define PINFORD_CHAIN_RUN_H_
@@ -31,15 +33,15 @@
 namespace pinford {
 
 enum class ReplyVerdict {
-  kStep,       // taken; another step is due
-  kToken,      // taken; a new token came with it
-  kStale,      // not the reply waited for; dropped
-  kMalformed,  // the right step but not a whole reply: the stage is lost
+  kStep,       // accepted; another step is due
+  kToken,      // accepted, with a new token
+  kStale,      // not the reply to the step in flight; dropped
+  kMalformed,  // reply to the step in flight, but incomplete: the stage is lost
 };
 
 class ChainRun {
  public:
-  // A stage of the run, with its session.
+  // A stage of this run and its session on an endpoint.
   struct OwnedStage {
     std::string endpoint;
     LayerRange range;
@@ -48,53 +50,55 @@
   };
 
   struct Options {
-    // Bytes of activations kept for repair. Beyond it the oldest go.
+    // Bytes of activations kept for repairs. If there are more after a token,
+    // the journal is cleared.
     size_t max_journal_bytes = 1 << 20;
     int priority = 0;
   };
 
-  // `prompt` is not empty.
+  // `prompt` must not be empty.
   ChainRun(std::string request, int layers, std::vector<int> prompt,
            const Options& options);
 
-  // Ranges that no stage owns, merged, in order. Steps need there be none.
+  // Layer ranges without a stage, merged and in order. Must be empty before a
+  // step is sent.
   std::vector<LayerRange> Gaps() const;
-  // Puts `part` in for the gap `gap`. False, and nothing is changed, unless
-  // it partitions a gap.
+  // Assigns the stages of `part` to `gap`. Returns false and changes nothing
+  // unless `gap` is one of Gaps() and `part` partitions it.
   bool Fill(const LayerRange& gap, const Chain& part);
 
-  // Begins the next step and returns it. Needs Gaps() to be empty and no step
-  // to be under way.
+  // Starts the next step and returns it. Requires that Gaps() is empty and that
+  // no step is in flight.
   StepRequest NextStep();
   ReplyVerdict OnReply(StepReply reply);
 
-  // The step under way was refused, will not be answered, or is not believed:
-  // its stage goes and leaves a gap. Gives that stage.
+  // Removes the stage of the step in flight, which leaves a gap, and returns
+  // it. For a step that was refused or timed out, or whose reply is not valid.
   OwnedStage RemoveCurrentStage();
   bool step_in_flight() const { return step_in_flight_; }
-  // The endpoint and id of the step under way.
+  // The endpoint and id of the step in flight.
   const std::string& step_endpoint() const {
     return stages_[current_stage_].endpoint;
   }
   const StepId& step_id() const { return step_; }
 
   const std::string& request() const { return request_; }
-  // Prompt and answer so far.
+  // The tokens of the prompt and those generated so far.
   const std::vector<int>& tokens() const { return tokens_; }
   size_t prompt_size() const { return prompt_size_; }
-  // The last token's text and whether the model ended there.
+  // Text of the last token, and whether the model ended the answer there.
   const std::string& last_text() const { return last_text_; }
   bool ended() const { return ended_; }
 
-  // The stages now owned.
+  // The stages currently assigned.
   const std::vector<OwnedStage>& stages() const { return stages_; }
 
   size_t journal_bytes() const { return journal_bytes_; }
-  // Positions that surviving stages were asked to recompute.
+  // Positions that surviving stages recomputed.
   int recomputed() const { return recomputed_; }
 
  private:
-  // Inputs that entered a layer, for positions [first, first + size).
+  // Inputs of a layer for positions [first, first + size).
   struct Inputs {
     int first = 0;
     std::deque<std::string> values;
@@ -112,12 +116,12 @@
   Options options_;
   std::vector<int> tokens_;
   size_t prompt_size_;
-  std::vector<OwnedStage> stages_;  // by range; gaps where some are missing
-  std::map<int, Inputs> journal_;   // by the layer that was entered
+  std::vector<OwnedStage> stages_;  // ordered by range; may have gaps
+  std::map<int, Inputs> journal_;   // by the layer that they are inputs of
   size_t journal_bytes_ = 0;
   uint32_t last_attempt_ = 0;
   bool step_in_flight_ = false;
-  size_t current_stage_ = 0;  // the stage under way
+  size_t current_stage_ = 0;  // index of the stage whose step is in flight
   StepId step_;
   int step_input_count_ = 0;
   bool at_last_stage_ = false;
--- a/pinford/claim.cc
+++ b/pinford/claim.cc
@@ -14,7 +14,7 @@
 
 std::string ClaimKey(std::string_view customer, std::string_view service,
                      std::string_view idempotency_key) {
-  // Lengths keep the parts apart, whatever bytes they hold.
+  // The length prefixes keep the parts apart, whatever bytes they contain.
   std::string text = std::to_string(customer.size()) + ":" +
                      std::to_string(service.size()) + ":";
   text.append(customer).append(service).append(idempotency_key);
--- a/pinford/claim.h
+++ b/pinford/claim.h
@@ -1,8 +1,8 @@
-// The record by which a call that must not be repeated is run at most once.
+// The record that makes a non-repeatable call run at most once.
 //
-// A claim stands in the platform's service under the hash of (customer,
-// service, key). It names the attempt that made it, and only that attempt may
-// send. See once_call.h for the protocol.
+// A claim is stored in the platform's key-value service under a hash of
+// (customer, service, idempotency key). It names the attempt that created it,
+// and only that attempt may send the call. See once_call.h for the protocol.
 
 #ifndef PINFORD_CLAIM_H_
 #define PINFORD_CLAIM_H_
@@ -16,23 +16,23 @@
 namespace pinford {
 
 enum class ClaimState {
-  kClaimed,    // its attempt may send, or has sent
-  kAbandoned,  // its attempt has not sent and never will
-  kDone,       // its attempt sent and knows the result
+  kClaimed,    // the attempt may send the call, or has sent it
+  kAbandoned,  // the attempt has not sent the call and never will
+  kDone,       // the attempt sent the call and knows the result
 };
 
 struct Claim {
   std::string attempt;
   ClaimState state = ClaimState::kClaimed;
-  // Of kDone: what the caller was told.
+  // Set for kDone: the result that the caller received.
   Outcome outcome = Outcome::kUnknown;
-  int status = 0;  // HTTP
+  int status = 0;  // HTTP status
   std::string type;
-  std::string body;  // "" if it was too large to keep
+  std::string body;  // empty if larger than kMaxClaimBody
 };
 
-// Answers larger than this are not kept with their claim; a repeat is then
-// told the outcome without the body.
+// Larger bodies are not stored with the claim; a repeated call then gets the
+// outcome without a body.
 inline constexpr size_t kMaxClaimBody = 4096;
 
 std::string ClaimKey(std::string_view customer, std::string_view service,
--- a/pinford/completion_driver.h
+++ b/pinford/completion_driver.h
@@ -1,19 +1,20 @@
-// Drives one completion from its text to its last token.
+// Drives one completion from the prompt's text to the last token.
 //
-// The driver joins a ChainRun (what to send next) to an EndpointTable (where)
-// over a StepClient and a Clock. It repairs a lost stage by filling its gap
-// with endpoints that take new work, and goes on from the last token; the
-// caller sees a pause, never a token twice.
+// The driver connects a ChainRun, which decides what to send next, to an
+// EndpointTable, which decides where, through a StepClient and a Clock. When a
+// stage is lost, it fills the gap with endpoints that accept new work and
+// resumes after the last token: the caller sees a pause but never a repeated
+// token.
 //
-// A stage is held lost at once when its connection breaks or it refuses, and
-// otherwise when the endpoint's deadline passes. What comes from it later is
-// dropped, and its session is never used again.
+// A stage is considered lost as soon as its connection breaks or it refuses a
+// step, and otherwise when the endpoint's deadline expires. Later replies from
+// it are dropped, and its session is never used again.
 //
-// Outcomes. kNotRun is given only while every step so far was refused or
-// never left the box (tokenizing runs no layer). After that it is kFailed.
+// kNotRun is reported only if every step so far was refused or never left the
+// box; tokenizing runs no layer. After that, a failure is reported as kFailed.
 //
-// Every method runs on the loop's thread. Callbacks are not called from
-// within Start.
+// All methods run on the event loop's thread. Callbacks are never invoked from
+// within Start().
 
 #ifndef PINFORD_COMPLETION_DRIVER_H_
 #define PINFORD_COMPLETION_DRIVER_H_
@@ -36,9 +37,9 @@
 namespace pinford {
 
 struct CompletionSpec {
-  std::string request;  // its id
+  std::string request;  // request id
   std::string model;
-  std::string version;  // chosen before; the answer never leaves it
+  std::string version;  // fixed for the whole completion
   std::string prompt;
   int max_tokens = 16;
   int priority = 0;
@@ -48,13 +49,13 @@
   };
 };
 
-// Why a completion ended without being complete.
+// Why a completion did not succeed.
 enum class CompletionError {
   kNone,
-  kNoEndpoints,  // no chain could be made in time
+  kNoEndpoints,  // no chain could be assembled in time
   kBusy,         // every chain refused as busy until the deadline
-  kRejected,     // the engine finds the request wrong
-  kRetries,      // too many stages lost, or no retry budget
+  kRejected,     // the engine rejected the request as invalid
+  kRetries,      // too many lost stages, or no retry budget left
 };
 
 std::string_view CompletionErrorText(CompletionError e);
@@ -65,14 +66,14 @@
   std::string detail;
   int prompt_tokens = 0;
   int answer_tokens = 0;
-  bool reached_limit = false;  // max_tokens, rather than the model's end
+  bool reached_limit = false;  // stopped by max_tokens, not by the model
 };
 
-// A stage lost and made good again.
+// A stage that was lost and replaced.
 struct Repair {
-  std::string endpoint;  // the one that was lost
+  std::string endpoint;  // the lost endpoint
   StepStatus cause = StepStatus::kLost;
-  Duration silence{};  // from the last good reply to the next token
+  Duration silence{};  // from the last valid reply to the next token
 };
 
 struct CompletionEvents {
@@ -84,7 +85,7 @@
 
 struct CompletionOptions {
   int max_repairs = 32;
-  // How long a running answer waits for endpoints to fill a gap.
+  // How long a completion waits for endpoints to fill a gap once it has tokens.
   Duration gap_wait = seconds(20);
   Duration retry_pause = milliseconds(10);
   Duration max_retry_pause = milliseconds(160);
@@ -117,8 +118,7 @@
     Schedule(Duration(0), [this] { Tokenize(); });
   }
 
-  // Gives up: cancels what is under way and frees the sessions. No event
-  // follows.
+  // Cancels the call in flight and ends the sessions. No event follows.
   void Cancel() {
     StopWaiting();
     if (ended_) return;
@@ -129,7 +129,7 @@
  private:
   bool running() const { return run_.has_value(); }
 
-  // --- the prompt's tokens -------------------------------------------------
+  // --- tokenizing ----------------------------------------------------------
 
   void Tokenize() {
     const int layers = table_->LayersOf(spec_.model, spec_.version);
@@ -175,7 +175,7 @@
 
   // --- steps ---------------------------------------------------------------
 
-  // Fills what gaps there are and sends the next step.
+  // Fills any gaps and sends the next step.
   void Advance() {
     if (!FillGaps()) {
       WaitForEndpoints(CompletionError::kNoEndpoints, [this] { Advance(); });
@@ -226,8 +226,8 @@
         }
         return;
       }
-      // A reply to some other step, or not a whole one: not to be believed,
-      // so nothing is known of the step that was sent.
+      // A reply to another step, or an incomplete one, cannot be trusted, so
+      // the outcome of this step is unknown.
       result.status = StepStatus::kLost;
     }
     StopWaiting();
@@ -283,9 +283,9 @@
     End(Outcome::kComplete, CompletionError::kNone, "");
   }
 
-  // --- trouble -------------------------------------------------------------
+  // --- failures ------------------------------------------------------------
 
-  // `result`: of a step, or of a tokenize call.
+  // `result` is that of a step or of a tokenize call.
   template <typename Result>
   void RecordFailure(const std::string& endpoint, const Result& result) {
     const Time now = clock_->now();
@@ -309,15 +309,17 @@
     }
   }
 
-  // Tries again: at once after a loss, after a pause while endpoints are
-  // busy. Ends when the deadline, the repairs or the budget run out.
+  // Retries: at once after a loss, after a pause while endpoints are busy.
+  // Fails when the deadline has passed, or the repairs or the retry budget are
+  // used up.
   void Retry(std::function<void()> retry) {
     const bool busy = last_failure_ == StepStatus::kRefusedBusy;
     if (clock_->now() >= RetryDeadline()) {
       Fail(busy ? CompletionError::kBusy : CompletionError::kNoEndpoints);
       return;
     }
-    // A refusal for one of these cannot come again from the same endpoint.
+    // Busy refusals are paced by the pause, and the same endpoint cannot refuse
+    // again for the other two reasons, so these retries spend no budget.
     const bool free_retry = busy ||
                             last_failure_ == StepStatus::kRefusedLeaving ||
                             last_failure_ == StepStatus::kRefusedRange;
@@ -339,8 +341,9 @@
     Schedule(NextPause(), std::move(retry));
   }
 
-  // Until the first token the caller's deadline rules. A running answer waits
-  // for a while, since what it has would be lost.
+  // Before the first token the caller's deadline applies. After it the
+  // completion waits for gap_wait, because a failure would discard the tokens
+  // generated so far.
   Time RetryDeadline() const {
     if (answer_tokens_ == 0) return spec_.deadline;
     const Time since = waiting_since_ ? *waiting_since_ : last_reply_;
@@ -393,7 +396,7 @@
     Schedule(table_->DeadlineFor(endpoint, work), std::move(on_timeout));
   }
 
-  // Stops the call and the timer that may be under way.
+  // Cancels the pending call and timer, if any.
   void StopWaiting() {
     if (timer_ != 0) clock_->Cancel(std::exchange(timer_, 0));
     if (call_ != 0) engine_->CancelCall(std::exchange(call_, 0));
@@ -414,7 +417,7 @@
   TimerId timer_ = 0;
   Time sent_at_{};
   Time last_reply_{};
-  Time interrupted_since_{};  // while there is a repair to be told of
+  Time interrupted_since_{};  // valid while repair_ is set
   std::optional<Time> waiting_since_;
   Duration retry_pause_{};
   std::optional<Repair> repair_;
--- a/pinford/configuration.h
+++ b/pinford/configuration.h
@@ -1,10 +1,10 @@
-// The operators' configuration: one document, kept in one key of the
-// platform's service.
+// The operators' configuration: one document, stored under one key of the
+// platform's key-value service.
 //
-// The document carries its own generation, which only grows, the id of the
-// submission that wrote it, and the ids of those before it. The ids make a
-// submission whose reply was lost recognisable, even after others have
-// written over it.
+// The document carries its generation, which only increases, the id of the
+// submission that wrote it, and the ids of earlier submissions. By these ids a
+// submission whose reply was lost can be recognized even after others have
+// overwritten it.
 
 #ifndef PINFORD_CONFIGURATION_H_
 #define PINFORD_CONFIGURATION_H_
@@ -23,7 +23,7 @@
 inline constexpr char kEndpointListKey[] = "platform/endpoints";
 
 struct Configuration {
-  uint64_t generation = 0;  // 0: none was ever submitted
+  uint64_t generation = 0;  // 0: nothing was submitted yet
   std::string submission;
   std::string author;
   std::vector<PolicyFile> policy;
@@ -35,19 +35,20 @@
   };
   std::vector<HistoryEntry> history;  // newest first
 
-  // The generation that `submission` got, if it is this one or in history.
+  // The generation that `submission` created, if it is the current one or in
+  // `history`.
   std::optional<uint64_t> GenerationOf(std::string_view submission) const;
 
   friend bool operator==(const Configuration&, const Configuration&) = default;
 };
 
-// At the letter's 8,300 changes a day this covers about 40 minutes.
+// Covers about 40 minutes at 8,300 changes a day.
 inline constexpr size_t kMaxHistoryLength = 256;
 
 std::string WriteConfiguration(const Configuration& c);
 std::optional<Configuration> ParseConfiguration(std::string_view json);
 
-// `next` as the successor of `base`.
+// Returns the generation that follows `base`, with the given content.
 Configuration Succeed(const Configuration& base, std::string submission,
                       std::string author, std::vector<PolicyFile> policy);
 
--- a/pinford/documents.cc
+++ b/pinford/documents.cc
@@ -36,7 +36,7 @@
   if (policy == nullptr) {
     Log(LogPart::kConfig, LogLevel::kError,
         "Generation " + std::to_string(version) +
-            " cannot be used. The one before stays in force. " +
+            " cannot be used. The previous one stays in force. " +
             findings.ToString());
     return false;
   }
@@ -157,7 +157,8 @@
   FetchRequest request;
   request.kind = static_cast<FetchKind>(kind);
   request.above_version = own;
-  // What came out of the own hall was announced there by who had it first.
+  // A version from this hall was already announced here by the box that adopted
+  // it first.
   const bool from_other_hall = best->row.hall != parts_->settings.hall;
   link_->Fetch(best->row.address, request,
                [this, kind, from_other_hall](std::optional<FetchReply> reply) {
--- a/pinford/documents.h
+++ b/pinford/documents.h
@@ -1,14 +1,15 @@
-// How the two documents reach every box within seconds.
+// Replicates the configuration and the endpoint list to every box within
+// seconds.
 //
-// In each hall, two boxes (by rendezvous hashing over those that live) wait
-// on the platform's service for each document. Whoever adopts a new version
-// announces it at once; every heartbeat carries the versions too, so a box
-// that missed the announcement learns of it all the same and fetches the body
-// from the peer that has it. The store's load thus goes with the halls, not
-// with the boxes.
+// In each hall, two boxes (chosen by rendezvous hashing over the running ones)
+// watch the platform's key-value service for each document. A box that adopts a
+// new version announces it at once. Heartbeats carry the versions too, so a box
+// that missed the announcement still learns of the version and fetches the body
+// from a peer that has it. The load on the store therefore grows with the
+// number of halls, not of boxes.
 //
-// A box is ready once it has its documents: from the store, or in an outage
-// the highest that its peers have.
+// A box is ready once it has both documents: from the store or, during an
+// outage of the store, the highest versions that its peers have.
 
 #ifndef PINFORD_DOCUMENTS_H_
 #define PINFORD_DOCUMENTS_H_
@@ -28,33 +29,34 @@
  public:
   Documents(BoxParts* parts, PeerLink* link);
 
-  // Asks the store for both documents, and again until it has answered.
+  // Reads both documents from the store, and retries until it answers.
   void Start();
-  // Does what is due: watches, fetches from peers. Call it often.
+  // Starts the watches and peer fetches that are due. Call it frequently.
   void Tick();
 
-  // The configuration in force; generation 0 before the first.
+  // The configuration in force. Its generation is 0 before the first one.
   const Configuration& configuration() const { return configuration_; }
-  // Takes a configuration that was just accepted here.
+  // Adopts a configuration whose submission was just accepted on this box.
   void AdoptAccepted(const Configuration& configuration);
 
-  // Whether each document is known, if only to be absent.
+  // Whether each document is known, or known to be absent.
   bool ready() const { return known_[0] && known_[1]; }
-  // Answers a peer.
+  // The reply to a peer's fetch.
   FetchReply Body(DocumentKind kind) const;
 
-  // Tells the peers of a new version at once.
+  // `fn` announces a new version to the peers. Called after each adoption that
+  // this box has to announce.
   void set_announce(std::function<void()> fn) { announce_ = std::move(fn); }
 
  private:
-  static constexpr int kWatchersPerHall = 2;  // a hall
+  static constexpr int kWatchersPerHall = 2;
 
   bool AdoptConfiguration(uint64_t version, const std::string& body);
   bool AdoptEndpoints(uint64_t version, const std::string& body);
   void Read(DocumentKind kind);
   void Watch(DocumentKind kind);
   void OnStoreValue(DocumentKind kind, const StoreResult& r);
-  // True if the version is new here and was adopted.
+  // Returns true if the version is new and was adopted.
   bool Offer(DocumentKind kind, uint64_t version, const std::string& body);
   void FetchFromPeers(DocumentKind kind);
 
--- a/pinford/once_call.h
+++ b/pinford/once_call.h
@@ -1,24 +1,26 @@
-// Runs a plain call: any number of tries if it may be repeated, and at most
-// one send if it may not.
+// Runs a plain service call: with retries if it is repeatable, and with at most
+// one send if it is not.
 //
-// A call that may not be repeated is sent once and never again after a byte
-// may have left. With an Idempotency-Key it may also arrive a second time, at
-// another box, so the sender is settled first by creating the key's claim in
-// the platform's service:
+// A non-repeatable call is never sent again after a byte of it may have left
+// the box. With an Idempotency-Key the same call may also arrive at another
+// box. Which attempt sends it is then decided by creating a claim for the key
+// in the platform's key-value service:
 //
-//   - Only the attempt that the claim names ever sends, and only once. A box
-//     that is paused and wakes long after is harmless without any fence:
-//     nobody else has sent or will.
-//   - A claim whose reply was lost is read back; the attempt id in it tells.
-//   - An attempt that gives up before sending first makes sure that its claim
-//     can never take effect: it creates the key as abandoned, or marks its own
-//     claim so. Either wins against its own delayed write, because each names
-//     the revision that it replaces. An abandoned key can be claimed again.
-//   - Whoever finds another's claim does not send. It is told the recorded
-//     result, or kUnknown if there is none yet.
+//   - Only the attempt that the claim names ever sends the call, and only once.
+//     A box that is paused and resumes much later needs no fencing: no other
+//     box has sent the call or will.
+//   - If the reply to a claim's write is lost, the claim is read back and
+//     recognized by its attempt id.
+//   - An attempt that fails before sending first makes sure that its claim can
+//     never take effect: it creates the key as abandoned, or marks its own
+//     claim as abandoned. Either write wins against a delayed write of the
+//     claim, because each names the revision that it replaces. An abandoned key
+//     can be claimed again.
+//   - An attempt that finds the claim of another does not send. It returns the
+//     recorded result, or kUnknown if there is none yet.
 //
-// Outcomes: kNotRun only if this attempt sent nothing, or everything it sent
-// was refused before it began, and it never will send.
+// kNotRun is reported only if this attempt sent nothing, or everything it sent
+// was refused before it started, and it will send nothing more.
 
 #ifndef PINFORD_ONCE_CALL_H_
 #define PINFORD_ONCE_CALL_H_
@@ -40,11 +42,11 @@
 
 enum class CallError {
   kNone,
-  kNoEndpoints,  // no endpoint takes the call
-  kNoStore,      // the platform's service does not answer: not claimed
+  kNoEndpoints,  // no endpoint accepts the call
+  kNoStore,      // the key-value service does not answer: not claimed
   kRetries,      // tries or retry budget used up
-  kLost,         // sent, no answer
-  kInProgress,   // another attempt holds the key and has no result yet
+  kLost,         // sent, but no answer arrived
+  kInProgress,   // another attempt holds the claim and has no result yet
 };
 
 std::string_view CallErrorText(CallError e);
@@ -53,13 +55,13 @@
   Outcome outcome = Outcome::kUnknown;
   CallError error = CallError::kNone;
   bool repeated = false;  // the recorded result of an earlier attempt
-  CallResult result;      // of kComplete, and of kFailed when answered
+  CallResult result;      // set for kComplete, and for kFailed if answered
 };
 
 struct CallOptions {
-  Duration claim_timeout = seconds(2);  // to settle a claim
+  Duration claim_timeout = seconds(2);  // to acquire the claim
   Duration claim_retry_interval = milliseconds(50);
-  Duration cleanup_timeout = seconds(60);  // to abandon or record, afterwards
+  Duration cleanup_timeout = seconds(60);  // to abandon or complete the claim
   int max_tries = 4;
 };
 
@@ -73,8 +75,8 @@
  public:
   using Ptr = std::shared_ptr<OnceCall>;
 
-  // `attempt` is unique to this call. It lives until its work is over, which
-  // may be after on_end: claims are put in order in the background.
+  // `attempt` must be unique to this call. The object lives until its work is
+  // done, which may be after on_end: claims are cleaned up in the background.
   static Ptr Start(S* store, Client* client, Clk* clock, EndpointTable* table,
                    RetryBudget* budget, const CallOptions& options,
                    ServiceCall call, bool repeatable, std::string attempt,
@@ -86,9 +88,9 @@
     return p;
   }
 
-  // The caller has gone. A call not yet sent is not sent; one that may not be
-  // repeated and was sent runs on, so that its result can be recorded. on_end
-  // comes all the same.
+  // Called when the caller has disconnected. A call that was not sent yet is
+  // not sent; a non-repeatable call in flight continues, so that its result can
+  // be recorded. on_end is still called.
   void Abandon() {
     caller_gone_ = true;
     if (call_id_ == 0 || !repeatable_) return;
@@ -167,7 +169,8 @@
 
   void OnClaimRead(const StoreResult& r) {
     if (r.status == StoreStatus::kMissing) {
-      // Our write may yet land; the same write again can only win once.
+      // The write of the claim may still take effect. Repeating it is safe: at
+      // most one of the two can succeed.
       if (clock_->now() >= claim_deadline_) {
         FailUnsent(CallError::kNoStore);
       } else {
@@ -181,7 +184,7 @@
     }
     const std::optional<Claim> claim = ParseClaim(r.now.value);
     if (!claim) {
-      // Not written by any pinford we know: nothing may be assumed.
+      // Unknown format: nothing can be assumed about the call.
       End(Outcome::kUnknown, CallError::kInProgress);
       return;
     }
@@ -217,8 +220,8 @@
     Finish(end);
   }
 
-  // The store cannot be reached. One more try covers a broken connection; an
-  // outage is told to the caller at once.
+  // The store cannot be reached. One retry covers a broken connection; an
+  // outage is reported to the caller at once.
   void OnStoreUnreachable() {
     if (std::exchange(store_was_unreachable_, true)) {
       FailUnsent(CallError::kNoStore);
@@ -244,8 +247,8 @@
   void OnClaimed(StoreRevision revision) {
     claimed_ = true;
     claim_revision_ = revision;
-    // The box may have been paused while the claim was on its way. Nobody
-    // waits for the call any more then, so it is better not run at all.
+    // The box may have been paused while the claim was written. After the
+    // deadline nobody waits for the call any more, so it is not sent.
     if (caller_gone_ || clock_->now() >= claim_deadline_) {
       FailUnsent(CallError::kNoStore);
       return;
@@ -320,7 +323,7 @@
       RetryElsewhere();
       return;
     }
-    // The claim, if there is one, stays as it is: claimed, without a result.
+    // The claim, if there is one, stays claimed and without a result.
     End(Outcome::kUnknown, CallError::kLost);
   }
 
@@ -343,8 +346,8 @@
 
   // --- ending --------------------------------------------------------------
 
-  // Nothing of this attempt ran, or with repeatable calls, nothing is known
-  // to have; nothing more will be sent.
+  // Ends the call without another send. An earlier send of a repeatable call
+  // may have run; otherwise nothing ran.
   void FailUnsent(CallError error) {
     if (!repeatable_ && !call_.key.empty()) StartCleanup(Cleanup::kAbandon);
     End(may_have_run_ ? Outcome::kUnknown : Outcome::kNotRun, error);
@@ -365,15 +368,15 @@
 
   void DropEvents() { events_ = CallEvents(); }
 
-  // --- putting the claim in order, afterwards ------------------------------
+  // --- claim cleanup -------------------------------------------------------
 
   void StartCleanup(Cleanup kind) {
     if (kind == Cleanup::kAbandon && !claimed_ && !claim_may_exist_) return;
     final_claim_.attempt = attempt_;
     if (kind == Cleanup::kAbandon) final_claim_.state = ClaimState::kAbandoned;
     cleanup_deadline_ = clock_->now() + options_.cleanup_timeout;
-    // Without a known claim, writing where our claim would have been written
-    // shuts it out, should it be on its way.
+    // If no claim is known, replacing the same revision as the claim blocks a
+    // delayed write of the claim.
     WriteFinalClaim(claimed_ ? claim_revision_ : replaced_revision_);
   }
 
@@ -434,8 +437,8 @@
   std::string key_;
 
   Time claim_deadline_{};
-  bool claim_may_exist_ = false;  // a claim of ours may be or come to be there
-  StoreRevision replaced_revision_;  // the revision that our claim names
+  bool claim_may_exist_ = false;     // our claim is or may yet be written
+  StoreRevision replaced_revision_;  // the revision that our claim replaces
   bool claimed_ = false;
   StoreRevision claim_revision_;
   bool store_was_unreachable_ = false;
--- a/pinford/outcome.h
+++ b/pinford/outcome.h
@@ -1,9 +1,9 @@
-// What a caller is told became of a request.
+// The outcome of a request, as reported to its caller.
 //
-// kNotRun is a promise: no layer and no call of the request has run or will
-// run. It is said only when no byte of the work was handed to any endpoint,
-// or every endpoint that got any refused it before starting. Whatever is
-// neither that nor a whole answer is kFailed or kUnknown.
+// kNotRun is a guarantee: no layer and no call of the request has run or will
+// run. It is reported only if no byte of the work was sent to any endpoint, or
+// if every endpoint that received some refused it before starting. Anything
+// that is neither that nor a complete answer is kFailed or kUnknown.
 
 #ifndef PINFORD_OUTCOME_H_
 #define PINFORD_OUTCOME_H_
@@ -14,10 +14,10 @@
 namespace pinford {
 
 enum class Outcome {
-  kComplete,  // the whole answer was given
-  kNotRun,    // it did not run and will not
-  kFailed,    // it ran, or partly ran, and failed
-  kUnknown,   // it may have run
+  kComplete,  // the complete answer was returned
+  kNotRun,    // did not run and will not run
+  kFailed,    // ran, at least in part, and failed
+  kUnknown,   // may have run
 };
 
 std::string_view OutcomeName(Outcome o);
--- a/pinford/replicated_document.h
+++ b/pinford/replicated_document.h
@@ -1,10 +1,10 @@
-// A document that all boxes hold a copy of: the configuration, and the
+// A document that every box holds a copy of: the configuration, or the
 // platform's list of endpoints.
 //
-// A copy has a version. A box adopts only a higher version than it has, from
-// whoever offers it: the store, a peer, or its own accepted submission. So
-// versions on one box only grow, whatever arrives late, twice or out of
-// order.
+// A copy has a version. A box adopts only higher versions than its own, from
+// any source: the store, a peer, or a submission accepted on this box. The
+// version on a box therefore never decreases, even if updates arrive late,
+// twice or out of order.
 
 #ifndef PINFORD_REPLICATED_DOCUMENT_H_
 #define PINFORD_REPLICATED_DOCUMENT_H_
@@ -19,21 +19,22 @@
 enum class DocumentKind : uint8_t { kConfiguration = 0, kEndpoints = 1 };
 inline constexpr int kDocumentKinds = 2;
 
-// The place of a kind in an array of kDocumentKinds.
+// Index of `kind` in an array of kDocumentKinds elements.
 inline constexpr int IndexOf(DocumentKind kind) {
   return static_cast<int>(kind);
 }
 
 class ReplicatedDocument {
  public:
-  // Called after each adoption. Returns false to refuse a body it cannot use;
-  // the old copy then stays in force.
+  // Applies a new version. Returns false to reject a body that cannot be used;
+  // the previous copy then stays in force.
   using AdoptCallback =
       std::function<bool(uint64_t version, const std::string& body)>;
 
   explicit ReplicatedDocument(AdoptCallback adopt) : adopt_(std::move(adopt)) {}
 
-  // Adopts `body` if `version` is higher than the present one. True if so.
+  // Adopts `body` if `version` is higher than the current one and the callback
+  // accepts it. Returns whether it was adopted.
   bool Offer(uint64_t version, const std::string& body) {
     if (version <= version_) return false;
     if (!adopt_(version, body)) {
--- a/pinford/retry_budget.h
+++ b/pinford/retry_budget.h
@@ -1,9 +1,9 @@
 // One budget for all retries of a box, so that a fault never multiplies the
-// load on what is left.
+// load on the remaining endpoints.
 //
-// Each success earns a share of a retry, each retry spends one; a small
-// steady income lets single failures be repaired at no load at all. While
-// everything fails the box retries no faster than that income.
+// Each success earns a fraction of a retry and each retry spends one. A small
+// constant income allows single failures to be retried even without any load.
+// While everything fails, the box retries no faster than that income.
 
 #ifndef PINFORD_RETRY_BUDGET_H_
 #define PINFORD_RETRY_BUDGET_H_
@@ -17,9 +17,9 @@
 class RetryBudget {
  public:
   struct Options {
-    double per_success = 0.1;  // earned by each success
-    double per_second = 20;    // earned by time
-    double most = 400;         // kept at most; also the start
+    double per_success = 0.1;  // retries earned by each success
+    double per_second = 20;    // retries earned each second
+    double most = 400;         // maximum and initial balance
   };
 
   RetryBudget() : RetryBudget(Options()) {}
@@ -27,7 +27,7 @@
       : options_(options), available_(options.most) {}
 
   void OnSuccess();
-  // Takes one retry if there is one.
+  // Spends one retry. Returns false if there is none.
   bool Take(Time now);
 
   int64_t refused() const { return refused_; }
--- a/pinford/service_client.h
+++ b/pinford/service_client.h
@@ -1,4 +1,4 @@
-// The seam between the decisions about a plain call and the services.
+// Interface between the logic of a plain call (once_call.h) and the services.
 
 #ifndef PINFORD_SERVICE_CLIENT_H_
 #define PINFORD_SERVICE_CLIENT_H_
@@ -13,37 +13,37 @@
 
 namespace pinford {
 
-// A call as a service gets it.
+// A call as it is sent to a service.
 struct ServiceCall {
-  std::string request;  // pinford's id of it
+  std::string request;  // request id
   std::string customer;
   std::string service;
   std::string method;
   std::string target;  // path and query below the service
-  std::string type;    // of the body
+  std::string type;    // content type of the body
   std::string body;
-  std::string key;  // the caller's Idempotency-Key, or ""
+  std::string key;  // the caller's Idempotency-Key, or empty
   Duration timeout = seconds(10);
 };
 
 enum class CallStatus {
-  kAnswered,        // an answer came back, whatever its HTTP status
+  kAnswered,        // an answer arrived, with any HTTP status
   kNotSent,         // no byte of it left the box
-  kRefusedLeaving,  // the service refused before it began: it is leaving
-  kRefusedBusy,     // the service refused before it began: no room
-  kLost,            // it may have run; no answer came
+  kRefusedLeaving,  // refused before it started: the service is leaving
+  kRefusedBusy,     // refused before it started: the service is at capacity
+  kLost,            // may have run; no answer arrived
 };
 
 struct CallResult {
   CallStatus status = CallStatus::kLost;
-  std::optional<Duration> rest;  // that a refusing service asks for
+  std::optional<Duration> rest;  // requested by a service that refuses
   int http_status = 0;
   std::string type;
   std::string body;
 };
 
-// `once` asks for a connection of its own, so that a connection closing as
-// the call is written cannot be taken for one that was never made.
+// `once` asks for a dedicated connection, so that a connection that closes
+// while the call is written is not mistaken for one that was never established.
 template <typename C>
 concept ServiceClient = requires(C c, const std::string& endpoint,
                                  const ServiceCall& call, bool once,
--- a/pinford/step_client.h
+++ b/pinford/step_client.h
@@ -1,4 +1,5 @@
-// The seam between the decisions about an answer and the engines.
+// Interface between the logic of a completion (completion_driver.h) and the
+// engines.
 
 #ifndef PINFORD_STEP_CLIENT_H_
 #define PINFORD_STEP_CLIENT_H_
@@ -16,16 +17,16 @@
 
 namespace pinford {
 
-// What is known of a step, or of a tokenize call, once it is over.
+// How a step, or a tokenize call, ended.
 enum class StepStatus {
-  kOk,              // ran; the reply is whole
+  kOk,              // ran; the reply is complete
   kNotSent,         // never left the box
-  kRefusedLeaving,  // refused before it began: takes no new sessions
-  kRefusedBusy,     // refused before it began: no room now
-  kRefusedRange,    // refused before it began: does not hold the layers (now)
-  kRefusedCache,    // refused before it began: the cache is not as stated
-  kRejected,        // the request is wrong and will be wrong elsewhere
-  kLost,            // may have run; no whole reply came
+  kRefusedLeaving,  // refused before it started: accepts no new sessions
+  kRefusedBusy,     // refused before it started: at capacity
+  kRefusedRange,    // refused before it started: does not hold the layers
+  kRefusedCache,    // refused before it started: the cache is not as stated
+  kRejected,        // the request is invalid on any engine
+  kLost,            // may have run; no complete reply arrived
 };
 
 std::string_view StepStatusName(StepStatus s);
@@ -33,8 +34,8 @@
 struct StepResult {
   StepStatus status = StepStatus::kLost;
   StepReply reply;
-  std::string error;             // of kRejected: what is wrong
-  std::optional<Duration> rest;  // that a refusing engine asks for
+  std::string error;             // for kRejected: the reason
+  std::optional<Duration> rest;  // requested by an engine that refuses
 };
 
 struct TokenizeResult {
@@ -44,8 +45,8 @@
   std::optional<Duration> rest;
 };
 
-// Sends to engines. Callbacks come later, never from within the call, and not
-// at all once cancelled. Ids are never 0.
+// Sends steps to engines. Callbacks are never invoked from within the call, and
+// not at all after it was cancelled. Ids are never 0.
 template <typename E>
 concept StepClient = requires(E e, const std::string& s,
                               const StepRequest& step, uint64_t id,
@@ -54,7 +55,7 @@
   { e.SendStep(s, step, on_step) } -> std::same_as<uint64_t>;
   { e.SendTokenize(s, s, on_tokens) } -> std::same_as<uint64_t>;
   {e.CancelCall(id)};
-  // Frees a session's cache. No answer is waited for.
+  // Frees a session's cache without waiting for a reply.
   {e.EndSession(s, s, uint32_t{})};
 };
 
--- a/pinford/store.h
+++ b/pinford/store.h
@@ -1,9 +1,9 @@
-// The seam to the platform's key-value service: the only place where boxes
-// agree on anything, and the only place that keeps anything.
+// Interface to the platform's key-value service. It holds all persistent state
+// and is the only means by which boxes reach agreement.
 //
-// A value has a revision that grows with each write to its key. The revision
-// before all others stands for "no such key". A write names the revision that
-// it replaces.
+// A value has a revision that increases with each write to its key. The lowest
+// revision stands for "no such key". A write names the revision that it
+// replaces.
 
 #ifndef PINFORD_STORE_H_
 #define PINFORD_STORE_H_
@@ -22,12 +22,12 @@
 
 enum class StoreStatus {
   kOk,
-  kMissing,    // no such key
-  kConflict,   // the key is at another revision, or the lease is another's
-  kTimeout,    // of a watch: nothing new in its time
-  kNotSent,    // the call never left: it has no effect and will have none
-  kUnknown,    // no reply: a write may have taken effect, now or later
-  kForgotten,  // of a watch: changes that were asked for are kept no more
+  kMissing,   // no such key
+  kConflict,  // the key is at another revision, or another holder has the lease
+  kTimeout,   // of a watch: no change in its time
+  kNotSent,   // the call was never sent: it has no effect, now or later
+  kUnknown,   // no reply: a write may have taken effect, now or later
+  kForgotten,  // of a watch: the requested changes are no longer kept
   kRefused,    // the service refused the call and did nothing
 };
 
@@ -38,8 +38,8 @@
   StoreRevision revision;
 };
 
-// The result of any call. On kOk and kConflict of a write, `now` is what the
-// store holds after it (its value may be empty on kOk).
+// The result of any call. If a write ends with kOk or kConflict, `now` is what
+// the store holds after it (its value may be empty on kOk).
 struct StoreResult {
   StoreStatus status = StoreStatus::kUnknown;
   StoreValue now;
@@ -47,8 +47,8 @@
 
 using StoreCallback = std::function<void(const StoreResult&)>;
 
-// Callbacks come later, never from within the call, and always once: after
-// the client's own time limit at the latest.
+// Callbacks are invoked exactly once, never from within the call, and at the
+// latest after the client's own timeout.
 template <typename S>
 concept Store = requires(S s, const std::string& key, StoreRevision revision,
                          const std::string& value, Duration d,
@@ -58,13 +58,13 @@
   {s.CompareAndSwap(key, revision, value, fn)};
   // Waits up to `d` for a revision above `revision`.
   {s.Watch(key, revision, d, fn)};
-  // Takes or renews the lease `key` for `value` (the holder's id) for `d`. On
-  // kOk the revision, packed, is the lease's fencing token: it grows with each
-  // new holder and stays over renewals.
+  // Acquires or renews the lease `key` for `d`, with the holder's id as
+  // `value`. On kOk the packed revision is the lease's fencing token: it
+  // increases with each new holder and is kept by renewals.
   {s.AcquireLease(key, value, d, fn)};
 };
 
-// One key under a prefix that is mirrored (prefix_mirror.h).
+// One key under a mirrored prefix (see prefix_mirror.h).
 struct StoreItem {
   std::string key;
   std::string value;
@@ -73,7 +73,7 @@
 };
 
 // The result of List or WatchPrefix. `at` is the store's revision that the
-// items are of, and that the next watch goes on from.
+// items belong to and that the next watch continues from.
 struct PrefixResult {
   StoreStatus status = StoreStatus::kUnknown;
   std::vector<StoreItem> items;
@@ -82,15 +82,15 @@
 
 using PrefixCallback = std::function<void(const PrefixResult&)>;
 
-// What a mirror needs. Callbacks as with Store.
+// The operations that a prefix mirror needs. Callbacks as for Store.
 template <typename S>
 concept PrefixStore = requires(S s, const std::string& prefix,
                                StoreRevision since, Duration d,
                                PrefixCallback fn) {
-  // All keys under `prefix`, as new as the store has them.
+  // Reads all keys under `prefix` at the store's current revision.
   {s.List(prefix, fn)};
-  // Waits up to `d` for changes after revision `since`. kOk with the changes,
-  // kTimeout if there were none, kForgotten.
+  // Waits up to `d` for changes after revision `since`. Ends with kOk and the
+  // changes, with kTimeout if there were none, or with kForgotten.
   {s.WatchPrefix(prefix, since, d, fn)};
 };
 
--- a/pinford/store_era.h
+++ b/pinford/store_era.h
@@ -1,10 +1,11 @@
-// Which era of the store's life a box knows of (store_revision.h).
+// Tracks the latest era of the store that a box has seen (see
+// store_revision.h).
 //
-// All that hears from the store for one box shares it: each answer's era, and
-// what peers have from the store. A higher era than the one known means that
-// the store has come back from a copy: what it acknowledged last may be gone,
-// and what goes by its revisions begins anew. A lower one means that the answer
-// is late and says nothing of what the store holds now.
+// One instance is shared by everything on a box that receives data from the
+// store, directly or through peers. An era above the known one means that the
+// store was restored from a copy: its last acknowledged writes may be lost, and
+// everything ordered by its revisions has to start over. An answer from a lower
+// era is late and says nothing about what the store holds now.
 
 #ifndef PINFORD_STORE_ERA_H_
 #define PINFORD_STORE_ERA_H_
@@ -18,12 +19,13 @@
 
 class StoreEra {
  public:
-  // Called before the answer that shows the rise is handed on.
+  // Called before the answer that carries the higher era is passed on.
   using OnIncrease = std::function<void(uint64_t previous, uint64_t now)>;
   void set_on_rise(OnIncrease fn) { on_increase_ = std::move(fn); }
 
-  // Something of `era` has come. False if a later one is known. The first is
-  // no rise: nothing goes by an earlier one yet.
+  // Records that data of `era` was received. Returns false if a later era is
+  // known. The first era is not an increase: nothing depends on an earlier one
+  // yet.
   bool Saw(uint64_t era) {
     if (era < now()) return false;
     const std::optional<uint64_t> previous = std::exchange(era_, era);
@@ -32,7 +34,7 @@
     return true;
   }
 
-  // 0 before the first, and of a store that tells none.
+  // 0 before the first era, and for a store that reports none.
   uint64_t now() const { return era_.value_or(0); }
 
  private:
--- a/pinford/store_revision.h
+++ b/pinford/store_revision.h
@@ -1,14 +1,14 @@
-// When in the store's life something was.
+// Orders the states of the store, also across restores.
 //
-// The store counts its changes: each has a revision, and a later one a higher.
-// A store that comes back from a copy goes on from the copy's revision and
-// gives out those after it once more, for other changes. Each time it does so
-// its era is one higher. So a revision alone orders nothing; era and revision
-// together do, for all boxes alike.
+// The store numbers its changes with increasing revisions. A store that is
+// restored from a copy continues at the copy's revision and assigns the later
+// numbers again, to other changes. Each restore increases its era by one. A
+// revision alone therefore orders nothing; era and revision together do, for
+// all boxes alike.
 //
-// Both fit into one number that keeps their order, as peers' messages carry it
-// and as planners fence their orders with it. A store that tells no era is in
-// era 0.
+// Both fit into one number that preserves their order. Peers' messages carry
+// it, and planners use it to fence their orders. A store that reports no era is
+// in era 0.
 
 #ifndef PINFORD_STORE_REVISION_H_
 #define PINFORD_STORE_REVISION_H_
@@ -21,14 +21,14 @@
 
 class StoreRevision {
  public:
-  // Ten years at 3,200 changes a second.
+  // Enough for ten years at 3,200 changes a second.
   static constexpr int kNumberBits = 40;
   static constexpr uint64_t kMostNumber = (uint64_t{1} << kNumberBits) - 1;
   static constexpr uint64_t kMaxEra = (uint64_t{1} << (64 - kNumberBits)) - 1;
 
-  // Before everything: stands for "no such key", too.
+  // Lower than all others. Also stands for "no such key".
   constexpr StoreRevision() = default;
-  // Nothing for what does not fit.
+  // Returns nullopt if a value is out of range.
   static constexpr std::optional<StoreRevision> Make(uint64_t era,
                                                      uint64_t number) {
     if (era > kMaxEra || number > kMostNumber) return std::nullopt;
@@ -41,7 +41,7 @@
   }
 
   constexpr uint64_t era() const { return packed_ >> kNumberBits; }
-  // The store's own count.
+  // The store's own revision number.
   constexpr uint64_t number() const { return packed_ & kMostNumber; }
   constexpr uint64_t packed() const { return packed_; }
 
--- a/pinford/submission.h
+++ b/pinford/submission.h
@@ -1,16 +1,17 @@
 // One operator's submission of a new configuration.
 //
-// The submission is a compare-and-swap against the generation that the
-// operator saw. Of operators who race, one wins; the others are told the
-// generation that beat them and change nothing.
+// The submission is a compare-and-swap against the generation that the operator
+// saw. Of concurrent submissions one succeeds; the others change nothing and
+// return the generation that succeeded.
 //
-// A lost reply is resolved by reading back. If the document names this
-// submission, in itself or in its history, it was accepted. If the store
-// still holds what was to be replaced, the write may yet land, so the same
-// write is sent again: it carries the same id and names the same revision, so
-// at most one of the two takes effect. If something else is there, ours can
-// never land and the operator is told the current generation. Until one of
-// these is known the answer is kUndecided, never "rejected".
+// If a reply is lost, the document is read back. If it names this submission,
+// as the one that wrote it or in its history, the submission was accepted. If
+// the store still holds the revision to be replaced, the write may yet take
+// effect, so the same write is sent again: both carry the same id and name the
+// same revision, so at most one of them succeeds. If the store holds something
+// else, the write can no longer succeed, and the current generation is
+// returned. Until one of these is known the status is kUndecided, never a
+// rejection.
 
 #ifndef PINFORD_SUBMISSION_H_
 #define PINFORD_SUBMISSION_H_
@@ -30,7 +31,7 @@
 enum class SubmissionStatus {
   kAccepted,
   kStale,       // the operator saw an older generation than the current one
-  kUndecided,   // the store did not tell in time; ask for the status later
+  kUndecided,   // no answer from the store in time; query the status later
   kNotWritten,  // the store was never reached: nothing was or will be written
 };
 
@@ -38,15 +39,15 @@
 
 struct SubmissionResult {
   SubmissionStatus status = SubmissionStatus::kUndecided;
-  uint64_t generation = 0;      // its own if accepted, else the current one
+  uint64_t generation = 0;      // the new one if accepted, else the current one
   Configuration configuration;  // as accepted; empty otherwise
 };
 
 struct SubmissionRequest {
-  std::string id;  // the operator's, the same over retries
+  std::string id;  // chosen by the operator; the same for retries
   std::string author;
   uint64_t expected_generation = 0;
-  std::vector<PolicyFile> policy;  // already checked
+  std::vector<PolicyFile> policy;  // already validated
   Duration time_limit = seconds(5);
 };
 
@@ -55,7 +56,7 @@
  public:
   using Callback = std::function<void(const SubmissionResult&)>;
 
-  // The object keeps itself alive until it has called back.
+  // The object keeps itself alive until it has called `done`.
   static void Start(S* store, Clk* clock, SubmissionRequest request,
                     Callback done) {
     auto s = std::shared_ptr<Submission>(
@@ -118,7 +119,8 @@
       return;
     }
     if (r.status != StoreStatus::kNotSent) may_have_written_ = true;
-    // A conflict may be with our own earlier write; reading tells.
+    // The conflict may be with an earlier write of this submission, so read it
+    // back.
     if (r.status == StoreStatus::kConflict) {
       Read();
     } else {
@@ -147,7 +149,7 @@
   SubmissionRequest request_;
   Callback done_;
   Time deadline_;
-  bool may_have_written_ = false;  // a write left this box and was not refused
+  bool may_have_written_ = false;  // a write was sent and may take effect
 };
 
 }  // namespace pinford
--- a/pinford/testing/completion_driver_test.cc
+++ b/pinford/testing/completion_driver_test.cc
@@ -1,6 +1,6 @@
-// Promises 1 and 2 on a paused clock: each layer exactly once a token, in
-// order, and the whole answer to its own caller, under faults alone and in
-// pairs, and under random schedules of faults.
+// Completions on a paused clock under faults, alone and in pairs, and under
+// random schedules of faults: each layer runs exactly once per token and in
+// order, and each caller receives the whole of its own answer.
 
 #include "pinford/completion_driver.h"
 
@@ -14,7 +14,7 @@
 namespace pinford {
 namespace {
 
-// A pool of fake engines and the completions that run on it.
+// Fake engines and the completions that run on them.
 class Pool {
  public:
   explicit Pool(uint64_t seed)
@@ -32,7 +32,7 @@
     engines_.Add(name, holds);
   }
 
-  // Lists and reports all engines as they are now.
+  // Lists all engines and applies the current reports of those that respond.
   void Refresh() {
     table_.OnList(engines_.List());
     for (auto& [name, engine] : engines_.all()) {
@@ -72,7 +72,7 @@
     drivers_.back()->Start();
   }
 
-  // What every run must satisfy once it is over.
+  // Checks what must hold once all completions have ended.
   LayerCheck Check(const std::map<std::string, std::string>& prompts,
                    int max_tokens) {
     std::map<std::string, int> positions;
@@ -86,12 +86,12 @@
         positions[request] =
             static_cast<int>(model_.Tokenize(prompt).size()) + a.tokens - 1;
       } else {
-        // What was given before the end must be a true beginning.
+        // The text received before the failure must be a prefix of the answer.
         EXPECT_EQ(a.text, expected.substr(0, a.text.size())) << request;
       }
       if (a.end->outcome == Outcome::kNotRun) {
         for (const LayerRun& r : engines_.runs()) {
-          EXPECT_NE(r.request, request) << "told not_run, but it ran";
+          EXPECT_NE(r.request, request) << "reported as not_run, but it ran";
         }
       }
     }
@@ -138,8 +138,8 @@
   }
 }
 
-// An engine that refuses for four seconds and asks for a second of rest gets a
-// step a second at most, while others serve.
+// An engine that refuses for four seconds and requests a backoff of one second
+// gets at most one step per second, while the others serve.
 TEST(CompletionDriver, AnEngineThatRequestsBackoffGetsNoSteps) {
   Pool pool(3);
   AddTwoEnginesPerStage(&pool);
@@ -210,14 +210,14 @@
 const char* const kEndpoints[] = {"a0", "a1", "b0", "b1", "c0", "c1"};
 
 // Every fault on every endpoint, alone and with every other fault on every
-// other endpoint, struck in the middle of an answer.
+// other endpoint, in the middle of an answer.
 TEST(CompletionDriver, CompletesUnderFaultsAloneAndInPairs) {
   int cases = 0;
   for (const auto& first : kFaults) {
     for (const char* e : kEndpoints) {
       for (const auto& second : kFaults) {
         for (const char* f : kEndpoints) {
-          // Both holders of a layer lost leaves nothing to run it on.
+          // If both holders of a layer are lost, nothing is left to run it on.
           if (std::string(e).substr(0, 1) == std::string(f).substr(0, 1)) {
             continue;
           }
@@ -234,7 +234,7 @@
           pool.clock_.Advance(seconds(40));
           LayerCheck check = pool.Check({{"r", kPrompt}}, kTokens);
           EXPECT_EQ(pool.answers_["r"].end->outcome, Outcome::kComplete);
-          EXPECT_EQ(check.recomputed, 0) << "survivors ran again";
+          EXPECT_EQ(check.recomputed, 0) << "surviving stages recomputed";
           if (HasFailure()) return;
         }
       }
@@ -243,7 +243,8 @@
   EXPECT_GT(cases, 1000);
 }
 
-// Without a journal the survivors recompute, and the answer is still whole.
+// Without a journal the surviving stages recompute, and the answer is still
+// complete.
 TEST(CompletionDriver, CompletesWithoutAJournal) {
   Pool pool(7);
   AddTwoEnginesPerStage(&pool);
@@ -261,7 +262,8 @@
   EXPECT_GT(check.recomputed, 0);
 }
 
-// Engines that all turn slow at once are slow, not lost: the deadlines follow.
+// If all engines slow down at once, the deadlines follow and none is considered
+// lost for it.
 TEST(CompletionDriver, DeadlinesAdaptToEnginesThatSlowDown) {
   Pool pool(8);
   AddTwoEnginesPerStage(&pool);
@@ -294,7 +296,7 @@
   pool.KeepRefreshing();
   pool.Begin("r", kPrompt, kTokens);
   pool.clock_.Advance(milliseconds(25));
-  // All the spare endpoints turn to another version; then a stage dies.
+  // All idle endpoints switch to another version, then a stage is killed.
   for (const char* e : kEndpoints) {
     if (pool.table_.LoadOf(e) == 0) {
       pool.engines_.at(e).report.version = "v2";
@@ -306,7 +308,8 @@
   }
   pool.clock_.Advance(seconds(40));
   pool.Check({{"r", kPrompt}}, kTokens);
-  // No endpoint of its version is left for the gap: failed, never mixed.
+  // No endpoint with its version is left for the gap: the completion fails
+  // rather than mix versions.
   EXPECT_EQ(pool.answers_["r"].end->outcome, Outcome::kFailed);
 }
 
@@ -346,8 +349,8 @@
   }
 }
 
-// Half of the engines, as a hall would, die under load and return: the rest
-// carries on, and what is sent again stays a small part.
+// Half of the engines, as those of one hall would, die under load and return:
+// the others complete all requests, and few steps are sent again.
 TEST(CompletionDriver, NoRetryStormWhenAHallDiesAndReturns) {
   Pool pool(9);
   const LayerRange blocks[] = {{0, 3}, {3, 6}, {6, 8}};
@@ -393,8 +396,8 @@
          extra_share * 100);
 }
 
-// Random schedules: many answers at once, any fault on any endpoint at any
-// time, with endpoints coming back.
+// Many concurrent completions, any fault on any endpoint at any time, with
+// endpoints that recover.
 TEST(CompletionDriver, RandomSchedules) {
   constexpr int kSchedules = 850;
   constexpr int kRequests = 12;
--- a/pinford/testing/fake_engines.h
+++ b/pinford/testing/fake_engines.h
@@ -1,9 +1,9 @@
-// Engines that live in the test's process, on its paused clock.
+// Engines in the test's own process, on its paused clock.
 //
-// A fake engine computes a toy model: an activation is a hash of the layer's
-// inputs over all positions so far, so a layer run out of order, twice, or
-// over the wrong cache changes every token after it. It keeps a record of
-// what each layer ran, for the checker, and a table of faults.
+// An engine computes a toy model in which an activation is a hash of the
+// layer's inputs at all positions so far. A layer that runs out of order,
+// twice, or on the wrong cache therefore changes every later token. The engines
+// record which layers ran, for CheckLayers(), and can be given faults.
 
 #ifndef PINFORD_TESTING_FAKE_ENGINES_H_
 #define PINFORD_TESTING_FAKE_ENGINES_H_
@@ -26,28 +26,28 @@
  public:
   struct Engine {
     LoadReport report;
-    bool dead = false;             // connections are refused
-    bool frozen = false;           // takes steps and answers none until thawed
-    bool full = false;             // refuses as busy
-    std::optional<Duration> rest;  // what its refusals as busy ask for
-    int refused = 0;               // steps that were refused as busy
-    double lose_reply = 0;    // share of replies that are lost after running
-    double repeat_reply = 0;  // share of replies sent a second time, later
+    bool dead = false;    // refuses connections
+    bool frozen = false;  // accepts steps but answers none until Thaw()
+    bool full = false;    // refuses steps as busy
+    std::optional<Duration> rest;  // requested by refusals as busy
+    int refused = 0;               // steps refused as busy
+    double lose_reply = 0;         // share of replies lost after the step ran
+    double repeat_reply = 0;       // share of replies delivered again, later
     Duration delay = milliseconds(1);
     std::map<ToyModel::SessionKey, ToyModel::Session> sessions;
-    std::vector<std::function<void()>> queued;  // while frozen
+    std::vector<std::function<void()>> queued;  // received while frozen
   };
 
   FakeEngines(PausedClock* clock, ToyModel model, uint64_t seed)
       : clock_(clock), model_(std::move(model)), random_(seed) {}
 
-  // An engine that holds `holds` of the model's layers.
+  // Adds an engine that holds `holds` of the model's layers.
   Engine& Add(const std::string& name, LayerRange holds);
   Engine& at(const std::string& name) { return engines_.at(name); }
   std::map<std::string, Engine>& all() { return engines_; }
   std::vector<ListedEndpoint> List() const;
 
-  // Breaks every connection and forgets every session.
+  // Breaks every connection and drops every session.
   void Kill(const std::string& name);
   void Thaw(const std::string& name);
 
@@ -60,10 +60,10 @@
   void EndSession(const std::string& endpoint, const std::string& request,
                   uint32_t session);
 
-  // What ran, in order, over all engines.
+  // All layer runs on all engines, in order.
   const std::vector<LayerRun>& runs() const { return runs_; }
   int refused_caches() const { return refused_caches_; }
-  // Steps that were sent, whatever became of them.
+  // Steps sent, whatever their result.
   int sent_steps() const { return sent_steps_; }
 
  private:
--- a/pinford/testing/fake_engines_standin.cc
+++ b/pinford/testing/fake_engines_standin.cc
@@ -108,7 +108,8 @@
   StepResult result = Run(engine, endpoint, step);
   if (Chance(engine.lose_reply)) result = StepResult();
   if (Chance(engine.repeat_reply)) {
-    // The repeat comes as if in answer to whatever is under way then.
+    // The duplicate is delivered as the reply to whichever call to this
+    // endpoint is pending by then.
     clock_->After(engine.delay * 3, [this, endpoint, result] {
       for (const auto& [other, call] : calls_) {
         if (call.endpoint != endpoint) continue;
--- a/pinford/testing/fake_store.h
+++ b/pinford/testing/fake_store.h
@@ -1,11 +1,11 @@
-// The platform's service in the test's process, on its paused clock, and the
-// boxes that use it.
+// The platform's key-value service in the test's own process, on its paused
+// clock, and the boxes that use it.
 //
-// A FakeBox can be paused (its timers and replies wait) and killed (they are
-// dropped), while what it has sent goes on without it. A FakeStore's calls
-// can be lost on the way there, lost on the way back, or take effect long
-// after the caller has stopped waiting. It can go back to a copy: then its era
-// is one higher, and revisions are given out again.
+// A FakeBox can be paused, which delays its timers and replies, or killed,
+// which drops them; what it has already sent still takes effect. Calls to a
+// FakeStore can be lost on the way there or on the way back, or take effect
+// long after the caller's timeout. The store can be restored from a copy, which
+// increases its era and assigns revisions again.
 
 #ifndef PINFORD_TESTING_FAKE_STORE_H_
 #define PINFORD_TESTING_FAKE_STORE_H_
@@ -25,7 +25,7 @@
 
 namespace pinford {
 
-// One box's view of time. A Clock.
+// One box's clock. Implements Clock.
 class FakeBox {
  public:
   explicit FakeBox(PausedClock* clock) : clock_(clock) {}
@@ -36,7 +36,7 @@
   }
   void Cancel(TimerId id) { clock_->Cancel(id); }
 
-  // Runs `fn` in the box: now, once it is resumed, or never.
+  // Runs `fn` now, after Resume() if paused, or never if killed.
   void Deliver(std::function<void()> fn) {
     if (killed_) return;
     if (paused_) {
@@ -70,10 +70,10 @@
  public:
   struct Faults {
     double lose_request = 0;  // share of calls that never arrive
-    double lose_reply = 0;    // share that take effect unanswered
-    double late = 0;          // share that take effect after the time limit
-    bool down = false;        // refuses connections
-    double lease_length = 1;  // leases last so much of what was asked for
+    double lose_reply = 0;    // share that take effect without a reply
+    double late = 0;    // share that take effect after the caller's timeout
+    bool down = false;  // refuses connections
+    double lease_length = 1;  // granted lease duration / requested duration
   };
 
   FakeStore(PausedClock* clock, uint64_t seed) : clock_(clock), random_(seed) {}
@@ -82,11 +82,11 @@
   std::map<std::string, StoreValue> values;
   int64_t writes = 0;
   int64_t reads = 0;
-  // Each value that a key took, in order.
+  // Every value that a key had, in order.
   std::map<std::string, std::vector<std::string>> history;
 
   uint64_t era() const { return era_; }
-  // Goes back to what it held so long ago.
+  // Restores the state of `age` ago.
   void Restore(Duration age) {
     const Time then = clock_->now() - age;
     Snapshot snapshot = snapshots_.empty() ? Snapshot() : snapshots_.front();
@@ -99,7 +99,8 @@
     last_revision_ = snapshot.last_revision;
   }
 
-  // A call from `box` whose effect is `effect`.
+  // Runs `effect` as a call from `box`, subject to the faults, and passes its
+  // result to `fn`.
   void Call(FakeBox* box, std::function<StoreResult()> effect,
             StoreCallback fn) {
     if (faults.down) {
@@ -166,7 +167,7 @@
       r.now = {lease.holder, lease.token};
       return r;
     }
-    // One of an earlier era is made again, as the platform's adapter does.
+    // A lease of an earlier era is granted anew, as by the platform's adapter.
     if (expired || lease.token.era() < era_) lease.token = NextRevision();
     lease.holder = holder;
     lease.until =
@@ -190,7 +191,7 @@
     uint64_t last_revision = 0;
   };
 
-  // Before a change: what there was until now.
+  // Saves the current state; called before each change.
   void SaveSnapshot() {
     snapshots_.push_back({last_change_, values, leases_, last_revision_});
     last_change_ = clock_->now();
@@ -213,12 +214,12 @@
   uint64_t last_revision_ = 0;
   uint64_t era_ = 0;
   std::deque<Snapshot> snapshots_;
-  Time last_change_{};  // since when it holds what it does
+  Time last_change_{};
   std::map<std::string, LeaseState> leases_;
 };
 
-// One box's connection to a FakeStore. A Store. As the platform's adapter does,
-// it drops answers of an earlier era than one seen.
+// One box's connection to a FakeStore. Implements Store. Like the platform's
+// adapter, it drops answers of an earlier era than the latest one seen.
 class FakeStoreClient {
  public:
   FakeStoreClient(FakeBox* box, FakeStore* store) : box_(box), store_(store) {}
--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -1,6 +1,7 @@
-// A fleet of many boxes on a paused clock, before a store: the real ranks,
-// questions between boxes, mirrors and duties. Whether the store answers a box,
-// which boxes reach each other, and who lives, is the test's.
+// Many boxes and one store, simulated on a paused clock with the real ranking
+// of sources, fetches between boxes, mirrors and assignment of mirror roles.
+// The test decides whether the store answers a box, which boxes reach each
+// other, and which run.
 
 #ifndef PINFORD_TESTING_FLEET_H_
 #define PINFORD_TESTING_FLEET_H_
@@ -23,18 +24,19 @@
 namespace pinford {
 
 inline constexpr int kSeeds = 3;
-// Keys of customers are refused once a proof is this old.
+// Customers' keys are refused once the freshness proof is older than this.
 inline constexpr Duration kMaxProofAge = milliseconds(4700);
 
-// The store as its callers see it: each may be answered, refused or left
-// waiting. It holds the operator's configuration, by its version. Counts calls.
+// The store as its callers see it: the test decides for each box whether a call
+// is answered, refused or left without an answer. Holds the version of the
+// operators' configuration. Counts calls.
 class FleetStore {
  public:
   explicit FleetStore(PausedClock* clock) : clock_(clock) {}
 
   enum class Serves { kAnswers, kRefuses, kSilent };
   std::function<Serves(int box)> serves = [](int) { return Serves::kAnswers; };
-  // A box is about to get an answer of this era.
+  // Called just before a box receives an answer of `era`.
   std::function<void(int box, uint64_t era)> on_reply;
   int64_t calls = 0;
   StoreRevision revision = StoreRevision::Make(0, 100).value();
@@ -44,13 +46,13 @@
     configuration = version;
     Change();
   }
-  // Something else is written.
+  // Writes something else than the configuration.
   void Change() {
     revision =
         StoreRevision::Make(revision.era(), revision.number() + 1).value();
   }
-  // It is away for a moment, and back from a copy of before the last three
-  // changes, with that configuration.
+  // Restores the store from a copy made before the last three changes. The copy
+  // holds configuration `version`, or the current one.
   void Restore() { Restore(configuration); }
   void Restore(uint64_t version) {
     const uint64_t number = revision.number() - 3;
@@ -61,7 +63,7 @@
   void List(int box, PrefixCallback fn) {
     Answer(box, milliseconds(4), std::nullopt, std::move(fn));
   }
-  // A change ends the wait.
+  // Returns early when something changes.
   void Watch(int box, StoreRevision since, Duration wait, PrefixCallback fn) {
     Answer(box, wait, since, std::move(fn));
   }
@@ -69,7 +71,7 @@
  private:
   static constexpr Duration kPollInterval = milliseconds(50);
 
-  // To a list, or to a watch from `since`.
+  // The result of a list, or of a watch from `since`.
   PrefixResult ResultFor(const std::optional<StoreRevision>& since) const {
     PrefixResult r;
     r.at = revision;
@@ -92,7 +94,7 @@
     const bool refuses = mode == Serves::kRefuses;
     const bool waits = since && *since == revision && !refuses;
     if (waits && after > kPollInterval) {
-      // Looks again now and then, as a waiting watch would be woken.
+      // Polls for a change, which would end a real watch at once.
       clock_->After(kPollInterval,
                     [this, box, after, since, fn = std::move(fn)] {
                       if (serves(box) == Serves::kSilent) return;
@@ -104,7 +106,7 @@
     const Duration answer = milliseconds(4);
     clock_->After(waits ? after : answer,
                   [this, box, refuses, since, fn = std::move(fn)] {
-                    // What falls silent meanwhile does not answer any more.
+                    // The store may have stopped answering in the meantime.
                     if (serves(box) == Serves::kSilent) return;
                     if (!refuses && on_reply) on_reply(box, revision.era());
                     PrefixResult refused;
@@ -118,7 +120,7 @@
 
 class Fleet {
  public:
-  // One box's way to the store. A PrefixStore.
+  // One box's connection to the store. Implements PrefixStore.
   struct Store {
     FleetStore* store;
     int box;
@@ -130,7 +132,7 @@
       store->Watch(box, since, d, std::move(fn));
     }
   };
-  // One box's way to the others. A FetchLink.
+  // One box's connections to the other boxes. Implements FetchLink.
   struct Link {
     Fleet* fleet;
     int box;
@@ -156,7 +158,7 @@
     Link link;
     StoreEra era;
     std::optional<PeersFirst> peers_first;
-    uint64_t stored_configuration = 0;  // as the store had it last
+    uint64_t stored_configuration = 0;  // last version read from the store
     std::unique_ptr<Mirror> mirror;
     std::unique_ptr<PeerSource<Link, PausedClock>> source;
     uint64_t versions[kDocumentKinds] = {};
@@ -165,7 +167,7 @@
     bool up = true;
     int incarnation = 0;
     Time started{};
-    Time link_free{};  // when all that it sends has gone
+    Time link_free{};  // when its transfers are finished
     SendBudget list_budget;
 
     uint64_t configuration() const {
@@ -190,7 +192,7 @@
     }
     const int incarnation =
         boxes_[i] != nullptr ? boxes_[i]->incarnation + 1 : 1;
-    // What is still on its way to the life before must find it.
+    // Pending callbacks still refer to the previous incarnation.
     if (boxes_[i] != nullptr) stopped_boxes_.push_back(std::move(boxes_[i]));
     boxes_[i] = std::make_unique<Box>(
         this, i, Membership(RowOf(i), {}, Membership::Options(), Random(i)),
@@ -218,7 +220,8 @@
     box.source = std::make_unique<PeerSource<Link, PausedClock>>(
         &clock, &box.membership, &box.roster, seeds, &box.link,
         Random(i + 2000), PeerSourceOptions(), SourceEvents(&box));
-    // All start within 0.3 s of each other, and hear of each other 0.5 s later.
+    // All boxes start within 0.3 s of each other and receive the first digests
+    // 0.5 s later.
     clock.After(milliseconds(i * 37 % 300), [this, i, incarnation] {
       if (IsRunning(i, incarnation)) Tick(i, incarnation);
     });
@@ -231,7 +234,7 @@
   int hall(int i) const { return i % halls_; }
   int size() const { return static_cast<int>(boxes_.size()); }
   Box& at(int i) { return *boxes_[i]; }
-  // The boxes that mirror the store now.
+  // The running boxes that mirror the store.
   std::vector<int> MirrorBoxes() {
     std::vector<int> out;
     for (int i = 0; i < size(); i++) {
@@ -240,7 +243,8 @@
     return out;
   }
 
-  // Calls made while `d` passes.
+  // Advances the clock by `d`. Returns the number of calls to the store in that
+  // time.
   int64_t Run(Duration d) {
     const int64_t before = store.calls;
     const Time end = clock.now() + d;
@@ -251,19 +255,20 @@
     return store.calls - before;
   }
 
-  // Boxes in `counts` that lacked a proof at some moment since the last call.
+  // Number of boxes selected by `counts` that had no fresh proof at some time
+  // since the last call.
   int Lacking(const std::function<bool(int)>& counts) {
     int n = 0;
     for (const int i : stale_) n += counts(i);
     stale_.clear();
     return n;
   }
-  // Whether boxes that were killed refuse connections, rather than be silent.
+  // Whether killed boxes refuse connections rather than not answer.
   bool killed_refuse = false;
-  // A list that goes whole takes so many bytes of the link of who sends it.
+  // Size of a whole list on its sender's link.
   int64_t list_bytes = 0;
   int64_t link_bytes_per_second = 2'500'000;
-  // Which boxes reach which.
+  // Whether one box reaches another.
   std::function<bool(int, int)> reaches = [](int, int) { return true; };
 
   PausedClock clock;
@@ -283,8 +288,8 @@
   bool IsRunning(int i, int incarnation) const {
     return boxes_[i]->up && boxes_[i]->incarnation == incarnation;
   }
-  // Higher versions only, and the first configuration once peers were asked, as
-  // boxes do.
+  // As on a real box, versions only increase, and a configuration from the
+  // store is applied only after the peers have been asked.
   static void Apply(Box* box, DocumentKind kind, uint64_t version) {
     uint64_t& held = box->versions[static_cast<int>(kind)];
     held = std::max(held, version);
@@ -322,7 +327,8 @@
     return events;
   }
 
-  // Each change counts as an endpoint that went.
+  // Announces a new list within the hall at once, as a real box does when an
+  // endpoint is removed.
   void Announce(int from) {
     clock.After(milliseconds(1), [this, from] {
       const Box& box = *boxes_[from];
@@ -336,8 +342,8 @@
     });
   }
 
-  // Digests are not played: every two seconds a box hears from all that it can
-  // reach.
+  // Gossip is not simulated: every two seconds a box receives the digests of
+  // all boxes that it reaches.
   void ExchangeDigests(int i) {
     std::vector<MemberRow> rows;
     for (int j = 0; j < size(); j++) {
@@ -396,7 +402,7 @@
     });
   }
 
-  // The answer comes when all that its sender sends before it has gone.
+  // The reply arrives after all earlier transfers on its sender's link.
   void Deliver(int to, int incarnation, Box* box, const FetchRequest& request,
                std::function<void(std::optional<FetchReply>)> fn) {
     const FetchReply reply = Reply(box, request);
--- a/pinford/testing/layer_checker.h
+++ b/pinford/testing/layer_checker.h
@@ -1,5 +1,5 @@
-// Checks a record of layer runs against the promise "each layer exactly once
-// a token, in order". Written apart from the code that it checks: it knows
+// Checks recorded layer runs against the guarantee that each layer runs exactly
+// once per token and in order. Independent of the code under test: it knows
 // nothing of chains, attempts or journals.
 
 #ifndef PINFORD_TESTING_LAYER_CHECKER_H_
@@ -16,21 +16,22 @@
 namespace pinford {
 
 struct LayerCheck {
-  // What is wrong, one line each; empty when nothing is.
+  // One line for each violation.
   std::vector<std::string> faults;
-  // (request, layer, position) that were appended to more than one cache:
-  // the price of repairs.
+  // Triples (request, layer, position) that were appended to more than one
+  // cache: the cost of repairs.
   int rebuilt = 0;
-  // Outputs recomputed on surviving caches.
+  // Outputs recomputed from surviving caches.
   int recomputed = 0;
 };
 
-// `positions` is how many positions each request had to run in all layers.
+// `positions` is the number of positions that each request must run in every
+// layer.
 inline LayerCheck CheckLayers(const std::vector<LayerRun>& runs, int layers,
                               const std::map<std::string, int>& positions) {
   LayerCheck check;
   using Cache = std::tuple<std::string, std::string, uint32_t, int>;
-  std::map<Cache, int> next;  // position due in each cache's layer
+  std::map<Cache, int> next;  // next position in each cache's layer
   std::map<std::tuple<std::string, int, int>, int> appended;
   auto add_fault = [&check](const LayerRun& r, const std::string& what) {
     check.faults.push_back(r.request + " layer " + std::to_string(r.layer) +
@@ -47,7 +48,7 @@
     if (r.position < next_position) add_fault(r, "ran twice in one cache");
     if (r.position > next_position) add_fault(r, "ran out of order");
     next_position = r.position + 1;
-    // In order over the layers: the layer before has run this position.
+    // The previous layer must have run this position already.
     const bool lower_layer_ran =
         r.layer == 0 || appended[{r.request, r.layer - 1, r.position}] > 0;
     if (!lower_layer_ran) add_fault(r, "ran before the layer below");
--- a/pinford/testing/once_call_test.cc
+++ b/pinford/testing/once_call_test.cc
@@ -1,6 +1,6 @@
-// Promises 3 and 4 on a paused clock: "not run" is true, and a call that may
-// not be repeated runs at most once, over named faults and random schedules
-// of several boxes that share a key.
+// Plain calls under faults of the store and the service, alone and in random
+// schedules with several boxes that share an idempotency key: kNotRun is
+// reported only if nothing ran, and a non-repeatable call runs at most once.
 
 #include "pinford/once_call.h"
 
@@ -11,7 +11,7 @@
 namespace pinford {
 namespace {
 
-// A plain service that checks no fence and runs whatever reaches it.
+// A service that checks no fencing token and runs every call that reaches it.
 class FakeService {
  public:
   struct Faults {
@@ -20,16 +20,16 @@
     double lose_request = 0;
     double lose_reply = 0;
     double fail = 0;                    // answers 500 after running
-    std::optional<Duration> rest = {};  // what refusals as busy ask for
+    std::optional<Duration> rest = {};  // requested by refusals as busy
   };
 
   FakeService(PausedClock* clock, uint64_t seed)
       : clock_(clock), random_(seed) {}
 
   Faults faults;
-  std::map<std::string, int> runs;  // by attempt's request id
+  std::map<std::string, int> runs;  // by request id
   std::map<std::string, int> runs_of_key;
-  int refused = 0;  // as busy
+  int refused = 0;  // calls refused as busy
 
   void Send(FakeBox* box, const ServiceCall& call,
             std::function<void(CallResult)> fn) {
@@ -99,7 +99,7 @@
   FakeService* service_;
 };
 
-// A box of the test: its clock, its connections and its endpoints.
+// One box: its clock, its connections and its endpoints.
 struct BoxUnderTest {
   BoxUnderTest(PausedClock* clock, FakeStore* s, FakeService* service,
                uint64_t seed)
@@ -119,7 +119,7 @@
     table.OnList(list);
     LoadReport report;
     for (const ListedEndpoint& e : list) {
-      // Far in the future, so that it stays valid.
+      // Dated far in the future, so that the report does not expire.
       table.OnReport(clock->now() + hours(1), e.name, report);
     }
   }
@@ -154,7 +154,7 @@
       call.key = key;
       CallEvents events;
       events.on_end = [this, request](const CallEnd& end) {
-        EXPECT_FALSE(ends.contains(request)) << "told twice";
+        EXPECT_FALSE(ends.contains(request)) << "ended twice";
         ends[request] = end;
       };
       calls.push_back(TestCall::Start(&b.store, &b.client, &b.box, &b.table,
@@ -171,7 +171,7 @@
   std::vector<TestCall::Ptr> calls;
 };
 
-// What must hold of any run, from the service's own record.
+// Checks the reported outcomes against the service's own record.
 void CheckOutcomes(const TestCluster& w) {
   for (const auto& [key, runs] : w.service.runs_of_key) {
     if (key.empty()) continue;
@@ -182,16 +182,16 @@
     const int runs = it == w.service.runs.end() ? 0 : it->second;
     EXPECT_LE(runs, 1) << request;
     if (end.outcome == Outcome::kNotRun) {
-      EXPECT_EQ(runs, 0) << request << " was told not_run";
+      EXPECT_EQ(runs, 0) << request << " was reported as not_run";
     }
     if (end.outcome == Outcome::kComplete && !end.repeated) {
-      EXPECT_EQ(runs, 1) << request << " was told complete";
+      EXPECT_EQ(runs, 1) << request << " was reported as complete";
     }
     if (end.outcome == Outcome::kComplete) {
       const std::string& body = end.result.body;
       const std::string executed_request = body.substr(body.rfind(' ') + 1);
       EXPECT_EQ(w.service.runs.count(executed_request), 1u)
-          << "an answer nobody gave";
+          << "an answer of a call that did not run";
     }
   }
 }
@@ -231,7 +231,7 @@
   for (const Case& c : kCases) {
     for (const char* key : {"", "key"}) {
       const bool store_fault = std::string(c.name).find("store") == 0;
-      if (store_fault && key[0] == '\0') continue;  // no claim, no store
+      if (store_fault && key[0] == '\0') continue;  // the store is not used
       SCOPED_TRACE(std::string(c.name) + ", key '" + key + "'");
       TestCluster w(1, 1);
       c.setup(&w);
@@ -245,8 +245,8 @@
   }
 }
 
-// All three endpoints refuse and ask for rest: no further call is sent to them
-// until it is over.
+// All three endpoints refuse and request a backoff: no further call is sent to
+// them until it is over.
 TEST(OnceCall, EndpointsThatRequestBackoffGetNoCalls) {
   TestCluster w(5, 1);
   w.service.faults.refuse_busy = 1;
@@ -313,8 +313,8 @@
   CheckOutcomes(w);
 }
 
-// A box stopped at every millisecond of a call, for longer than anything
-// lasts, while the same key is tried at another box.
+// Pauses or kills a box at every millisecond of a call, for longer than any
+// timeout, while another box receives the same key.
 TEST(OnceCall, APausedOrKilledBoxCausesNoSecondRun) {
   for (int at = 0; at < 60; at++) {
     for (bool kill : {false, true}) {
@@ -337,8 +337,9 @@
   }
 }
 
-// A caller who goes: what was not sent is not sent and the key is free again;
-// what was sent is recorded for the next who asks.
+// The caller disconnects: a call that was not sent is not sent and its key can
+// be used again; the result of one that was sent is recorded for the next
+// request with the key.
 TEST(OnceCall, ACallerThatDisconnects) {
   for (int at : {0, 3, 6, 9, 12, 15, 20, 30}) {
     SCOPED_TRACE(at);
@@ -356,7 +357,7 @@
   }
 }
 
-// A claim that came too late is given back unsent.
+// A claim that is acquired after its deadline is abandoned without a send.
 TEST(OnceCall, AClaimAcquiredTooLateIsAbandoned) {
   TestCluster w(5, 2);
   w.Begin(0, "first", "key");
@@ -372,8 +373,8 @@
   CheckOutcomes(w);
 }
 
-// At least 10,000 schedules: several boxes, one key tried again and again,
-// random faults of store and service, pauses and kills.
+// At least 10,000 schedules: several boxes that receive the same key
+// repeatedly, random faults of the store and the service, pauses and kills.
 TEST(OnceCall, RandomSchedules) {
   constexpr int kSchedules = 10000;
   int ends_by_outcome[4] = {};
@@ -410,7 +411,7 @@
     }
     if (HasFailure()) return;
   }
-  // The schedules must reach every outcome, or they prove little.
+  // The test is only meaningful if the schedules reach every outcome.
   for (int n : ends_by_outcome) EXPECT_GT(n, 500);
 }
 
--- a/pinford/testing/restored_fleet_test.cc
+++ b/pinford/testing/restored_fleet_test.cc
@@ -1,6 +1,6 @@
-// Fleets before a store that comes back from copies, over random schedules:
-// what boxes believe only grows, who runs keeps what the fleet knows, and in
-// the end all have what the store has.
+// Fleets whose store is restored from copies, over random schedules: the
+// versions on a box never decrease, running boxes keep what the fleet knows,
+// and in the end all boxes have what the store has.
 
 #include <gtest/gtest.h>
 
@@ -14,8 +14,8 @@
 
 constexpr int kBoxes = 9;
 constexpr int kHalls = 3;
-// A configuration is in force everywhere within this, if boxes reach each
-// other: a question each 0.4 s, of a mirror that may have to be found first.
+// A configuration reaches all boxes that reach each other within this time:
+// peers are asked every 0.4 s, and a mirror may have to be found first.
 constexpr Duration kMaxPropagation = seconds(3);
 
 class Schedule {
@@ -82,7 +82,7 @@
     }
   }
 
-  // The trouble ends, and the operator writes what was lost.
+  // Ends all faults and writes again what the restores lost.
   void Recover() {
     isolated_box = -1;
     std::fill(std::begin(serves), std::end(serves),
@@ -92,7 +92,7 @@
   }
 
   void Restore() {
-    // One of the last three versions.
+    // To the current version or one of the three before it.
     const size_t versions_back =
         std::min<size_t>(random() % 4, acknowledged.size());
     const uint64_t version =
@@ -120,8 +120,8 @@
     }
   }
 
-  // What some box that runs and is reached has known for a while, all have that
-  // are reached.
+  // Every connected box has at least the version that connected boxes have
+  // known for kMaxPropagation.
   void CheckPropagation() {
     uint64_t highest = 0;
     for (int i = 0; i < kBoxes; i++) {
@@ -146,10 +146,10 @@
 
   Random random;
   FleetStore::Serves serves[kBoxes] = {};
-  int isolated_box = -1;  // a box that reaches no other
+  int isolated_box = -1;  // box that reaches no other, or -1
   Fleet fleet;
   uint64_t last_version = 1;
-  std::vector<uint64_t> acknowledged;  // versions before the present one
+  std::vector<uint64_t> acknowledged;  // versions before the current one
   std::pair<uint64_t, uint64_t> last_versions[kBoxes];
   int last_incarnations[kBoxes] = {};
   std::deque<std::pair<Time, uint64_t>> known_versions;
--- a/pinford/testing/submission_test.cc
+++ b/pinford/testing/submission_test.cc
@@ -1,5 +1,6 @@
-// Promise 7, the submitting side: of operators who race one wins, a lost
-// reply is resolved truthfully, and generations only grow.
+// Concurrent submissions under store faults: exactly one of them succeeds for
+// each generation, a lost reply is resolved to the true status, and generations
+// only increase.
 
 #include "pinford/submission.h"
 
@@ -29,7 +30,7 @@
         clients[box].get(), boxes[box].get(), request,
         [this, id](const SubmissionResult& r) { results[id].push_back(r); });
   }
-  // The generations that the key took, with who wrote each.
+  // Each generation written, with the submission that wrote it.
   std::map<uint64_t, std::string> Written() const {
     std::map<uint64_t, std::string> written;
     auto it = store.history.find(kConfigurationKey);
@@ -91,8 +92,9 @@
   }
 }
 
-// The write lands, its reply is lost, and others write over it before this
-// box reads back: still accepted, with its own generation.
+// The write takes effect, its reply is lost, and another submission overwrites
+// it before this box reads back: the submission is still reported as accepted,
+// with its own generation.
 TEST(Submission, AcceptedAlthoughOverwritten) {
   TestCluster w(3);
   w.clock.After(milliseconds(3), [&w] { w.store.faults.lose_reply = 1; });
@@ -123,7 +125,7 @@
       w.clock.After(milliseconds(random() % 4000), [&w, box, id, duplicated] {
         const uint64_t expected = w.Written().size();
         w.Submit(box, id, expected);
-        // The operator's client tries the same submission at another box.
+        // The operator's client retries the same submission at another box.
         if (duplicated) w.Submit((box + 1) % 3, id, expected);
       });
     }
@@ -145,7 +147,7 @@
         } else if (r.status != SubmissionStatus::kUndecided &&
                    list.size() == 1) {
           EXPECT_FALSE(generation_of.contains(id))
-              << id << " was told " << SubmissionStatusName(r.status);
+              << id << " was reported as " << SubmissionStatusName(r.status);
         }
       }
     }
