--- a/pinford/configuration.h
+++ b/pinford/configuration.h
@@ -49,8 +49,8 @@
 std::optional<Configuration> ParseConfiguration(std::string_view json);
 
 // Returns the generation that follows `base`, with the given content.
-Configuration Succeed(const Configuration& base, std::string submission,
-                      std::string author, std::vector<PolicyFile> policy);
+Configuration MakeSuccessor(const Configuration& base, std::string submission,
+                            std::string author, std::vector<PolicyFile> policy);
 
 }  // namespace pinford
 
--- a/pinford/documents.h
+++ b/pinford/documents.h
@@ -42,7 +42,7 @@
   // Whether each document is known, or known to be absent.
   bool ready() const { return known_[0] && known_[1]; }
   // The reply to a peer's fetch.
-  FetchReply Body(DocumentKind kind) const;
+  FetchReply MakeFetchReply(DocumentKind kind) const;
 
   // `fn` announces a new version to the peers. Called after each adoption that
   // this box has to announce.
--- a/pinford/retry_budget.cc
+++ b/pinford/retry_budget.cc
@@ -5,14 +5,15 @@
 namespace pinford {
 
 void RetryBudget::OnSuccess() {
-  available_ = std::min(options_.most, available_ + options_.per_success);
+  available_ =
+      std::min(options_.max_retries, available_ + options_.per_success);
 }
 
 bool RetryBudget::Take(Time now) {
   const double elapsed = ToSeconds(now - last_refill_);
   last_refill_ = now;
-  available_ =
-      std::min(options_.most, available_ + elapsed * options_.per_second);
+  available_ = std::min(options_.max_retries,
+                        available_ + elapsed * options_.per_second);
   if (available_ < 1) {
     refused_++;
     return false;
--- a/pinford/retry_budget.h
+++ b/pinford/retry_budget.h
@@ -19,12 +19,12 @@
   struct Options {
     double per_success = 0.1;  // retries earned by each success
     double per_second = 20;    // retries earned each second
-    double most = 400;         // maximum and initial balance
+    double max_retries = 400;  // maximum and initial balance
   };
 
   RetryBudget() : RetryBudget(Options()) {}
   explicit RetryBudget(const Options& options)
-      : options_(options), available_(options.most) {}
+      : options_(options), available_(options.max_retries) {}
 
   void OnSuccess();
   // Spends one retry. Returns false if there is none.
--- a/pinford/service_client.h
+++ b/pinford/service_client.h
@@ -36,7 +36,7 @@
 
 struct CallResult {
   CallStatus status = CallStatus::kLost;
-  std::optional<Duration> rest;  // requested by a service that refuses
+  std::optional<Duration> backoff;  // requested by a service that refuses
   int http_status = 0;
   std::string type;
   std::string body;
--- a/pinford/step_client.h
+++ b/pinford/step_client.h
@@ -34,15 +34,15 @@
 struct StepResult {
   StepStatus status = StepStatus::kLost;
   StepReply reply;
-  std::string error;             // for kRejected: the reason
-  std::optional<Duration> rest;  // requested by an engine that refuses
+  std::string error;                // for kRejected: the reason
+  std::optional<Duration> backoff;  // requested by an engine that refuses
 };
 
 struct TokenizeResult {
   StepStatus status = StepStatus::kLost;
   std::vector<int> tokens;
   std::string error;
-  std::optional<Duration> rest;
+  std::optional<Duration> backoff;
 };
 
 // Sends steps to engines. Callbacks are never invoked from within the call, and
--- a/pinford/store.h
+++ b/pinford/store.h
@@ -27,7 +27,7 @@
   kTimeout,   // of a watch: no change in its time
   kNotSent,   // the call was never sent: it has no effect, now or later
   kUnknown,   // no reply: a write may have taken effect, now or later
-  kForgotten,  // of a watch: the requested changes are no longer kept
+  kCompacted,  // of a watch: the requested changes are no longer kept
   kRefused,    // the service refused the call and did nothing
 };
 
@@ -69,7 +69,7 @@
   std::string key;
   std::string value;
   StoreRevision revision;
-  bool gone = false;  // of a watch: the key was removed
+  bool removed = false;  // of a watch: the key was removed
 };
 
 // The result of List or WatchPrefix. `at` is the store's revision that the
@@ -90,7 +90,7 @@
   // Reads all keys under `prefix` at the store's current revision.
   {s.List(prefix, fn)};
   // Waits up to `d` for changes after revision `since`. Ends with kOk and the
-  // changes, with kTimeout if there were none, or with kForgotten.
+  // changes, with kTimeout if there were none, or with kCompacted.
   {s.WatchPrefix(prefix, since, d, fn)};
 };
 
--- a/pinford/store_era.h
+++ b/pinford/store_era.h
@@ -21,12 +21,12 @@
  public:
   // Called before the answer that carries the higher era is passed on.
   using OnIncrease = std::function<void(uint64_t previous, uint64_t now)>;
-  void set_on_rise(OnIncrease fn) { on_increase_ = std::move(fn); }
+  void set_on_increase(OnIncrease fn) { on_increase_ = std::move(fn); }
 
   // Records that data of `era` was received. Returns false if a later era is
   // known. The first era is not an increase: nothing depends on an earlier one
   // yet.
-  bool Saw(uint64_t era) {
+  bool Observe(uint64_t era) {
     if (era < now()) return false;
     const std::optional<uint64_t> previous = std::exchange(era_, era);
     if (previous && *previous < era && on_increase_)
--- a/pinford/store_revision.h
+++ b/pinford/store_revision.h
@@ -23,7 +23,7 @@
  public:
   // Enough for ten years at 3,200 changes a second.
   static constexpr int kNumberBits = 40;
-  static constexpr uint64_t kMostNumber = (uint64_t{1} << kNumberBits) - 1;
+  static constexpr uint64_t kMaxNumber = (uint64_t{1} << kNumberBits) - 1;
   static constexpr uint64_t kMaxEra = (uint64_t{1} << (64 - kNumberBits)) - 1;
 
   // Lower than all others. Also stands for "no such key".
@@ -31,7 +31,7 @@
   // Returns nullopt if a value is out of range.
   static constexpr std::optional<StoreRevision> Make(uint64_t era,
                                                      uint64_t number) {
-    if (era > kMaxEra || number > kMostNumber) return std::nullopt;
+    if (era > kMaxEra || number > kMaxNumber) return std::nullopt;
     return FromPacked(era << kNumberBits | number);
   }
   static constexpr StoreRevision FromPacked(uint64_t packed) {
@@ -42,7 +42,7 @@
 
   constexpr uint64_t era() const { return packed_ >> kNumberBits; }
   // The store's own revision number.
-  constexpr uint64_t number() const { return packed_ & kMostNumber; }
+  constexpr uint64_t number() const { return packed_ & kMaxNumber; }
   constexpr uint64_t packed() const { return packed_; }
 
   friend constexpr auto operator<=>(const StoreRevision&,
--- a/pinford/testing/fake_engines.h
+++ b/pinford/testing/fake_engines.h
@@ -29,10 +29,10 @@
     bool dead = false;    // refuses connections
     bool frozen = false;  // accepts steps but answers none until Thaw()
     bool full = false;    // refuses steps as busy
-    std::optional<Duration> rest;  // requested by refusals as busy
-    int refused = 0;               // steps refused as busy
-    double lose_reply = 0;         // share of replies lost after the step ran
-    double repeat_reply = 0;       // share of replies delivered again, later
+    std::optional<Duration> backoff;  // requested by refusals as busy
+    int refused = 0;                  // steps refused as busy
+    double lose_reply = 0;    // share of replies lost after the step ran
+    double repeat_reply = 0;  // share of replies delivered again, later
     Duration delay = milliseconds(1);
     std::map<ToyModel::SessionKey, ToyModel::Session> sessions;
     std::vector<std::function<void()>> queued;  // received while frozen
--- a/pinford/testing/fake_store.h
+++ b/pinford/testing/fake_store.h
@@ -73,7 +73,7 @@
     double lose_reply = 0;    // share that take effect without a reply
     double late = 0;    // share that take effect after the caller's timeout
     bool down = false;  // refuses connections
-    double lease_length = 1;  // granted lease duration / requested duration
+    double lease_factor = 1;  // granted lease duration / requested duration
   };
 
   FakeStore(PausedClock* clock, uint64_t seed) : clock_(clock), random_(seed) {}
@@ -171,7 +171,7 @@
     if (expired || lease.token.era() < era_) lease.token = NextRevision();
     lease.holder = holder;
     lease.until =
-        clock_->now() + FromSeconds(ToSeconds(ttl) * faults.lease_length);
+        clock_->now() + FromSeconds(ToSeconds(ttl) * faults.lease_factor);
     r.status = StoreStatus::kOk;
     r.now = {holder, lease.token};
     return r;
@@ -266,7 +266,7 @@
         [this, reply_era, fn = std::move(fn)](const StoreResult& r) {
           const bool answered = r.status != StoreStatus::kUnknown &&
                                 r.status != StoreStatus::kNotSent;
-          const bool late = answered && *reply_era && !era.Saw(**reply_era);
+          const bool late = answered && *reply_era && !era.Observe(**reply_era);
           fn(late ? StoreResult() : r);
         });
   }
--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -14,10 +14,10 @@
 #include <vector>
 
 #include "pinford/forwarding/peer_source.h"
-#include "pinford/forwarding/peers_first.h"
 #include "pinford/forwarding/prefix_mirror.h"
 #include "pinford/forwarding/send_budget.h"
-#include "pinford/forwarding/store_duty.h"
+#include "pinford/forwarding/startup_peer_check.h"
+#include "pinford/forwarding/store_task_selector.h"
 #include "pinford/store_era.h"
 #include "util/paused_clock.h"
 
@@ -34,8 +34,10 @@
  public:
   explicit FleetStore(PausedClock* clock) : clock_(clock) {}
 
-  enum class Serves { kAnswers, kRefuses, kSilent };
-  std::function<Serves(int box)> serves = [](int) { return Serves::kAnswers; };
+  enum class Response { kAnswer, kRefuse, kNone };
+  std::function<Response(int box)> response = [](int) {
+    return Response::kAnswer;
+  };
   // Called just before a box receives an answer of `era`.
   std::function<void(int box, uint64_t era)> on_reply;
   int64_t calls = 0;
@@ -44,10 +46,10 @@
 
   void Put(uint64_t version) {
     configuration = version;
-    Change();
+    BumpRevision();
   }
   // Writes something else than the configuration.
-  void Change() {
+  void BumpRevision() {
     revision =
         StoreRevision::Make(revision.era(), revision.number() + 1).value();
   }
@@ -76,7 +78,7 @@
     PrefixResult r;
     r.at = revision;
     if (since && since->era() < revision.era()) {
-      r.status = StoreStatus::kForgotten;
+      r.status = StoreStatus::kCompacted;
     } else if (since && *since == revision) {
       r.status = StoreStatus::kTimeout;
     } else {
@@ -89,15 +91,15 @@
   void Answer(int box, Duration after, std::optional<StoreRevision> since,
               PrefixCallback fn) {
     calls++;
-    const Serves mode = serves(box);
-    if (mode == Serves::kSilent) return;
-    const bool refuses = mode == Serves::kRefuses;
+    const Response mode = response(box);
+    if (mode == Response::kNone) return;
+    const bool refuses = mode == Response::kRefuse;
     const bool waits = since && *since == revision && !refuses;
     if (waits && after > kPollInterval) {
       // Polls for a change, which would end a real watch at once.
       clock_->After(kPollInterval,
                     [this, box, after, since, fn = std::move(fn)] {
-                      if (serves(box) == Serves::kSilent) return;
+                      if (response(box) == Response::kNone) return;
                       calls--;
                       Answer(box, after - kPollInterval, since, fn);
                     });
@@ -107,7 +109,7 @@
     clock_->After(waits ? after : answer,
                   [this, box, refuses, since, fn = std::move(fn)] {
                     // The store may have stopped answering in the meantime.
-                    if (serves(box) == Serves::kSilent) return;
+                    if (response(box) == Response::kNone) return;
                     if (!refuses && on_reply) on_reply(box, revision.era());
                     PrefixResult refused;
                     refused.status = StoreStatus::kRefused;
@@ -144,30 +146,30 @@
   using Mirror = PrefixMirror<Store, PausedClock>;
 
   struct Box {
-    Box(Fleet* fleet, int i, Membership m, const StoreDuty& d)
+    Box(Fleet* fleet, int i, Membership m, const StoreTaskSelector& d)
         : membership(std::move(m)),
-          roster(&membership, SourceRoster::Options()),
+          roster(&membership, SourceSelector::Options()),
           duty(d),
           store{&fleet->store, i},
           link{fleet, i} {}
 
     Membership membership;
-    SourceRoster roster;
-    StoreDuty duty;
+    SourceSelector roster;
+    StoreTaskSelector duty;
     Store store;
     Link link;
     StoreEra era;
-    std::optional<PeersFirst> peers_first;
+    std::optional<StartupPeerCheck> peers_first;
     uint64_t stored_configuration = 0;  // last version read from the store
     std::unique_ptr<Mirror> mirror;
     std::unique_ptr<PeerSource<Link, PausedClock>> source;
     uint64_t versions[kDocumentKinds] = {};
-    Time proof{};
+    Time fresh_as_of{};
     bool is_mirror = false;
-    bool up = true;
+    bool running = true;
     int incarnation = 0;
     Time started{};
-    Time link_free{};  // when its transfers are finished
+    Time link_free_at{};  // when its transfers are finished
     SendBudget list_budget;
 
     uint64_t configuration() const {
@@ -179,7 +181,9 @@
   };
 
   Fleet(int boxes, int halls) : halls_(halls), store(&clock) {
-    store.on_reply = [this](int i, uint64_t era) { boxes_[i]->era.Saw(era); };
+    store.on_reply = [this](int i, uint64_t era) {
+      boxes_[i]->era.Observe(era);
+    };
     for (int i = 0; i < boxes; i++) boxes_.push_back(nullptr);
     for (int i = 0; i < boxes; i++) Start(i);
   }
@@ -196,27 +200,28 @@
     if (boxes_[i] != nullptr) stopped_boxes_.push_back(std::move(boxes_[i]));
     boxes_[i] = std::make_unique<Box>(
         this, i, Membership(RowOf(i), {}, Membership::Options(), Random(i)),
-        StoreDuty(clock.now(), seed, StoreDuty::Options(), Random(i + 1000)));
+        StoreTaskSelector(clock.now(), seed, StoreTaskSelector::Options(),
+                          Random(i + 1000)));
     Box& box = *boxes_[i];
     box.incarnation = incarnation;
     box.started = clock.now();
     box.peers_first.emplace(clock.now(), !seeds.empty());
     PrefixMirrorOptions options;
-    options.silent_limit = milliseconds(20);
-    options.answer_limit = milliseconds(400);
+    options.unreachable_timeout = milliseconds(20);
+    options.answer_timeout = milliseconds(400);
     PrefixMirrorEvents events;
     events.on_list = [this, &box](const PrefixResult& r) {
       ApplyResult(&box, r);
     };
     events.on_changes = events.on_list;
-    events.on_proof = [&box](Time proof) {
-      box.proof = std::max(box.proof, proof);
+    events.on_freshness = [&box](Time fresh_as_of) {
+      box.fresh_as_of = std::max(box.fresh_as_of, fresh_as_of);
     };
     events.on_reachable = [](bool, StoreStatus) {};
     box.mirror =
         std::make_unique<Mirror>(&box.store, &clock, "p", options, events);
-    box.era.set_on_rise(
-        [&box](uint64_t, uint64_t) { box.mirror->ListAgain(); });
+    box.era.set_on_increase(
+        [&box](uint64_t, uint64_t) { box.mirror->Relist(); });
     box.source = std::make_unique<PeerSource<Link, PausedClock>>(
         &clock, &box.membership, &box.roster, seeds, &box.link,
         Random(i + 2000), PeerSourceOptions(), SourceEvents(&box));
@@ -230,7 +235,7 @@
     });
   }
 
-  void Kill(int i) { boxes_[i]->up = false; }
+  void Kill(int i) { boxes_[i]->running = false; }
   int hall(int i) const { return i % halls_; }
   int size() const { return static_cast<int>(boxes_.size()); }
   Box& at(int i) { return *boxes_[i]; }
@@ -238,7 +243,7 @@
   std::vector<int> MirrorBoxes() {
     std::vector<int> out;
     for (int i = 0; i < size(); i++) {
-      if (boxes_[i]->up && boxes_[i]->is_mirror) out.push_back(i);
+      if (boxes_[i]->running && boxes_[i]->is_mirror) out.push_back(i);
     }
     return out;
   }
@@ -257,19 +262,19 @@
 
   // Number of boxes selected by `counts` that had no fresh proof at some time
   // since the last call.
-  int Lacking(const std::function<bool(int)>& counts) {
+  int CountStale(const std::function<bool(int)>& counts) {
     int n = 0;
     for (const int i : stale_) n += counts(i);
     stale_.clear();
     return n;
   }
   // Whether killed boxes refuse connections rather than not answer.
-  bool killed_refuse = false;
+  bool killed_boxes_refuse = false;
   // Size of a whole list on its sender's link.
   int64_t list_bytes = 0;
   int64_t link_bytes_per_second = 2'500'000;
   // Whether one box reaches another.
-  std::function<bool(int, int)> reaches = [](int, int) { return true; };
+  std::function<bool(int, int)> can_reach = [](int, int) { return true; };
 
   PausedClock clock;
 
@@ -286,7 +291,7 @@
     return row;
   }
   bool IsRunning(int i, int incarnation) const {
-    return boxes_[i]->up && boxes_[i]->incarnation == incarnation;
+    return boxes_[i]->running && boxes_[i]->incarnation == incarnation;
   }
   // As on a real box, versions only increase, and a configuration from the
   // store is applied only after the peers have been asked.
@@ -303,7 +308,7 @@
     ApplyStoredConfiguration(box);
   }
   void ApplyStoredConfiguration(Box* box) {
-    if (box->peers_first->Over(clock.now())) {
+    if (box->peers_first->Done(clock.now())) {
       Apply(box, DocumentKind::kConfiguration, box->stored_configuration);
     }
   }
@@ -313,17 +318,19 @@
     events.version = [box](DocumentKind k) {
       return box->versions[static_cast<int>(k)];
     };
-    events.proof = [box](DocumentKind) { return box->proof; };
+    events.fresh_as_of = [box](DocumentKind) { return box->fresh_as_of; };
     events.on_body = [box](DocumentKind kind, const DocumentState& state,
                            const std::string&) {
       if (kind == DocumentKind::kEndpoints) {
-        box->era.Saw(StoreRevision::FromPacked(state.version).era());
+        box->era.Observe(StoreRevision::FromPacked(state.version).era());
       }
       Apply(box, kind, state.version);
       return true;
     };
     events.on_answer = [box] { box->peers_first->OnAnswer(); };
-    events.on_proof = [box](DocumentKind, Time proof) { box->proof = proof; };
+    events.on_freshness = [box](DocumentKind, Time fresh_as_of) {
+      box->fresh_as_of = fresh_as_of;
+    };
     return events;
   }
 
@@ -334,10 +341,10 @@
       const Box& box = *boxes_[from];
       for (int i = 0; i < size(); i++) {
         const bool receives =
-            boxes_[i]->up && i != from && hall(i) == hall(from);
-        if (!receives || !box.up || !reaches(i, from)) continue;
+            boxes_[i]->running && i != from && hall(i) == hall(from);
+        if (!receives || !box.running || !can_reach(i, from)) continue;
         boxes_[i]->source->OnDigest(AddressOf(from), box.configuration(),
-                                    box.list(), box.proof);
+                                    box.list(), box.fresh_as_of);
       }
     });
   }
@@ -350,14 +357,14 @@
       MemberRow row = RowOf(j);
       row.heartbeat = ++last_heartbeat_;
       std::copy_n(boxes_[j]->versions, kDocumentKinds, row.versions);
-      if (j != i && boxes_[j]->up && reaches(i, j)) rows.push_back(row);
+      if (j != i && boxes_[j]->running && can_reach(i, j)) rows.push_back(row);
     }
     Box& box = *boxes_[i];
     box.membership.OnRows(clock.now(), rows);
     for (const MemberRow& row : rows) {
       const Box& other = *boxes_[Address::Parse(row.address)->port - 1000];
       box.source->OnDigest(row.address, other.configuration(), other.list(),
-                           other.proof);
+                           other.fresh_as_of);
     }
     clock.After(seconds(2), [this, i, incarnation = box.incarnation] {
       if (IsRunning(i, incarnation)) ExchangeDigests(i);
@@ -366,19 +373,20 @@
 
   void Tick(int i, int incarnation) {
     Box& box = *boxes_[i];
-    const StoreTask task = box.duty.Now(clock.now(), box.proof, &box.roster);
+    const StoreTask task =
+        box.duty.ChooseTask(clock.now(), box.fresh_as_of, &box.roster);
     box.is_mirror = Mirrors(task);
     if (box.is_mirror) {
       const bool first = task == StoreTask::kMirror;
-      box.mirror->set_most_retry(milliseconds(first ? 250 : 1000));
+      box.mirror->set_max_retry_delay(milliseconds(first ? 250 : 1000));
       box.mirror->Start();
     } else {
       box.mirror->Stop();
-      if (task == StoreTask::kLook) box.mirror->Look();
+      if (task == StoreTask::kReadOnce) box.mirror->ReadOnce();
     }
     ApplyStoredConfiguration(&box);
     box.source->Tick(!box.is_mirror || box.mirror->failing() ||
-                     !box.peers_first->Over(clock.now()));
+                     !box.peers_first->Done(clock.now()));
     clock.After(milliseconds(50), [this, i, incarnation] {
       if (IsRunning(i, incarnation)) Tick(i, incarnation);
     });
@@ -387,14 +395,14 @@
   void Fetch(int from, const std::string& to, const FetchRequest& request,
              std::function<void(std::optional<FetchReply>)> fn) {
     const int peer = Address::Parse(to)->port - 1000;
-    const bool reachable = boxes_[peer]->up && reaches(from, peer);
-    const bool refuses = killed_refuse && !boxes_[peer]->up;
+    const bool reachable = boxes_[peer]->running && can_reach(from, peer);
+    const bool refuses = killed_boxes_refuse && !boxes_[peer]->running;
     const Duration limit = reachable || refuses ? milliseconds(2) : seconds(2);
     const int incarnation = boxes_[from]->incarnation;
     clock.After(limit, [this, from, incarnation, peer, reachable, request,
                         fn = std::move(fn)] {
       if (!IsRunning(from, incarnation)) return;
-      if (reachable && boxes_[peer]->up) {
+      if (reachable && boxes_[peer]->running) {
         Deliver(from, incarnation, boxes_[peer].get(), request, fn);
       } else {
         fn(std::nullopt);
@@ -409,10 +417,10 @@
     const auto& list =
         reply.documents[static_cast<int>(DocumentKind::kEndpoints)];
     const int64_t bytes = list.body.empty() ? 0 : list_bytes;
-    box->link_free =
-        std::max(box->link_free, clock.now()) +
+    box->link_free_at =
+        std::max(box->link_free_at, clock.now()) +
         FromSeconds(static_cast<double>(bytes) / link_bytes_per_second);
-    const Duration wait = box->link_free - clock.now();
+    const Duration wait = box->link_free_at - clock.now();
     if (wait == Duration(0)) {
       fn(reply);
       return;
@@ -429,7 +437,7 @@
     for (int k = 0; k < kDocumentKinds; k++) {
       DocumentState& state = reply.documents[k];
       state.version = box.versions[k];
-      state.proof_age_ms = ToMillis(clock.now() - box.proof) + 1;
+      state.proof_age_ms = ToMillis(clock.now() - box.fresh_as_of) + 1;
       const bool list = k == static_cast<int>(DocumentKind::kEndpoints);
       const bool wanted = state.version > request.above_versions[k];
       const bool sent =
@@ -442,8 +450,8 @@
   void RecordStaleBoxes() {
     for (int i = 0; i < size(); i++) {
       const Box& box = *boxes_[i];
-      const bool stale = clock.now() - box.proof > kMaxProofAge;
-      if (box.up && stale) stale_.insert(i);
+      const bool stale = clock.now() - box.fresh_as_of > kMaxProofAge;
+      if (box.running && stale) stale_.insert(i);
     }
   }
 
--- a/pinford/testing/restored_fleet_test.cc
+++ b/pinford/testing/restored_fleet_test.cc
@@ -21,10 +21,10 @@
 class Schedule {
  public:
   explicit Schedule(int seed) : random(seed), fleet(kBoxes, kHalls) {
-    fleet.reaches = [this](int a, int b) {
+    fleet.can_reach = [this](int a, int b) {
       return !IsIsolated(a) && !IsIsolated(b);
     };
-    fleet.store.serves = [this](int box) { return serves[box]; };
+    fleet.store.response = [this](int box) { return response[box]; };
   }
 
   bool IsIsolated(int box) const { return isolated_box == box; }
@@ -41,7 +41,7 @@
         fleet.store.Put(++last_version);
         break;
       case 2:
-        for (int i = 0; i < 4; i++) fleet.store.Change();
+        for (int i = 0; i < 4; i++) fleet.store.BumpRevision();
         break;
       case 3:
       case 4:
@@ -54,18 +54,18 @@
         restarts++;
         break;
       case 6:
-        serves[box] = random() % 2 == 0 ? FleetStore::Serves::kRefuses
-                                        : FleetStore::Serves::kSilent;
+        response[box] = random() % 2 == 0 ? FleetStore::Response::kRefuse
+                                          : FleetStore::Response::kNone;
         break;
       case 7:
-        std::fill(std::begin(serves), std::end(serves),
-                  FleetStore::Serves::kSilent);
+        std::fill(std::begin(response), std::end(response),
+                  FleetStore::Response::kNone);
         break;
       case 8:
       case 9:
       case 10:
-        std::fill(std::begin(serves), std::end(serves),
-                  FleetStore::Serves::kAnswers);
+        std::fill(std::begin(response), std::end(response),
+                  FleetStore::Response::kAnswer);
         break;
       case 11:
         isolated_box = box;
@@ -85,8 +85,8 @@
   // Ends all faults and writes again what the restores lost.
   void Recover() {
     isolated_box = -1;
-    std::fill(std::begin(serves), std::end(serves),
-              FleetStore::Serves::kAnswers);
+    std::fill(std::begin(response), std::end(response),
+              FleetStore::Response::kAnswer);
     Rewrite();
     fleet.Run(seconds(8));
   }
@@ -98,7 +98,7 @@
     const uint64_t version =
         versions_back == 0 ? fleet.store.configuration
                            : acknowledged[acknowledged.size() - versions_back];
-    for (int i = 0; i < 3; i++) fleet.store.Change();
+    for (int i = 0; i < 3; i++) fleet.store.BumpRevision();
     fleet.store.Restore(std::min(version, fleet.store.configuration));
     restores++;
   }
@@ -145,7 +145,7 @@
   }
 
   Random random;
-  FleetStore::Serves serves[kBoxes] = {};
+  FleetStore::Response response[kBoxes] = {};
   int isolated_box = -1;  // box that reaches no other, or -1
   Fleet fleet;
   uint64_t last_version = 1;
