--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -25,7 +25,7 @@
 
 inline constexpr int kSeeds = 3;
 // Customers' keys are refused once the freshness proof is older than this.
-inline constexpr Duration kMaxProofAge = milliseconds(4700);
+inline constexpr Duration kMaxFreshnessAge = milliseconds(4700);
 
 // The store as its callers see it: the test decides for each box whether a call
 // is answered, refused or left without an answer. Holds the version of the
@@ -148,18 +148,18 @@
   struct Box {
     Box(Fleet* fleet, int i, Membership m, const StoreTaskSelector& d)
         : membership(std::move(m)),
-          roster(&membership, SourceSelector::Options()),
+          source_selector(&membership, SourceSelector::Options()),
           duty(d),
           store{&fleet->store, i},
           link{fleet, i} {}
 
     Membership membership;
-    SourceSelector roster;
+    SourceSelector source_selector;
     StoreTaskSelector duty;
     Store store;
     Link link;
     StoreEra era;
-    std::optional<StartupPeerCheck> peers_first;
+    std::optional<StartupPeerCheck> startup_check;
     uint64_t stored_configuration = 0;  // last version read from the store
     std::unique_ptr<Mirror> mirror;
     std::unique_ptr<PeerSource<Link, PausedClock>> source;
@@ -205,7 +205,7 @@
     Box& box = *boxes_[i];
     box.incarnation = incarnation;
     box.started = clock.now();
-    box.peers_first.emplace(clock.now(), !seeds.empty());
+    box.startup_check.emplace(clock.now(), !seeds.empty());
     PrefixMirrorOptions options;
     options.unreachable_timeout = milliseconds(20);
     options.answer_timeout = milliseconds(400);
@@ -223,7 +223,7 @@
     box.era.set_on_increase(
         [&box](uint64_t, uint64_t) { box.mirror->Relist(); });
     box.source = std::make_unique<PeerSource<Link, PausedClock>>(
-        &clock, &box.membership, &box.roster, seeds, &box.link,
+        &clock, &box.membership, &box.source_selector, seeds, &box.link,
         Random(i + 2000), PeerSourceOptions(), SourceEvents(&box));
     // All boxes start within 0.3 s of each other and receive the first digests
     // 0.5 s later.
@@ -308,7 +308,7 @@
     ApplyStoredConfiguration(box);
   }
   void ApplyStoredConfiguration(Box* box) {
-    if (box->peers_first->Done(clock.now())) {
+    if (box->startup_check->Done(clock.now())) {
       Apply(box, DocumentKind::kConfiguration, box->stored_configuration);
     }
   }
@@ -327,7 +327,7 @@
       Apply(box, kind, state.version);
       return true;
     };
-    events.on_answer = [box] { box->peers_first->OnAnswer(); };
+    events.on_answer = [box] { box->startup_check->OnAnswer(); };
     events.on_freshness = [box](DocumentKind, Time fresh_as_of) {
       box->fresh_as_of = fresh_as_of;
     };
@@ -374,7 +374,7 @@
   void Tick(int i, int incarnation) {
     Box& box = *boxes_[i];
     const StoreTask task =
-        box.duty.ChooseTask(clock.now(), box.fresh_as_of, &box.roster);
+        box.duty.ChooseTask(clock.now(), box.fresh_as_of, &box.source_selector);
     box.is_mirror = Mirrors(task);
     if (box.is_mirror) {
       const bool first = task == StoreTask::kMirror;
@@ -386,7 +386,7 @@
     }
     ApplyStoredConfiguration(&box);
     box.source->Tick(!box.is_mirror || box.mirror->failing() ||
-                     !box.peers_first->Done(clock.now()));
+                     !box.startup_check->Done(clock.now()));
     clock.After(milliseconds(50), [this, i, incarnation] {
       if (IsRunning(i, incarnation)) Tick(i, incarnation);
     });
@@ -450,7 +450,7 @@
   void RecordStaleBoxes() {
     for (int i = 0; i < size(); i++) {
       const Box& box = *boxes_[i];
-      const bool stale = clock.now() - box.fresh_as_of > kMaxProofAge;
+      const bool stale = clock.now() - box.fresh_as_of > kMaxFreshnessAge;
       if (box.running && stale) stale_.insert(i);
     }
   }
