--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -149,13 +149,13 @@
     Box(Fleet* fleet, int i, Membership m, const StoreTaskSelector& d)
         : membership(std::move(m)),
           source_selector(&membership, SourceSelector::Options()),
-          duty(d),
+          task_selector(d),
           store{&fleet->store, i},
           link{fleet, i} {}
 
     Membership membership;
     SourceSelector source_selector;
-    StoreTaskSelector duty;
+    StoreTaskSelector task_selector;
     Store store;
     Link link;
     StoreEra era;
@@ -373,8 +373,8 @@
 
   void Tick(int i, int incarnation) {
     Box& box = *boxes_[i];
-    const StoreTask task =
-        box.duty.ChooseTask(clock.now(), box.fresh_as_of, &box.source_selector);
+    const StoreTask task = box.task_selector.ChooseTask(
+        clock.now(), box.fresh_as_of, &box.source_selector);
     box.is_mirror = Mirrors(task);
     if (box.is_mirror) {
       const bool first = task == StoreTask::kMirror;
@@ -433,13 +433,13 @@
   FetchReply Reply(Box* from, const FetchRequest& request) {
     const Box& box = *from;
     FetchReply reply;
-    reply.store_fails = box.is_mirror && box.mirror->failing();
+    reply.store_unreachable = box.is_mirror && box.mirror->failing();
     for (int k = 0; k < kDocumentKinds; k++) {
       DocumentState& state = reply.documents[k];
       state.version = box.versions[k];
-      state.proof_age_ms = ToMillis(clock.now() - box.fresh_as_of) + 1;
+      state.freshness_age_ms = ToMillis(clock.now() - box.fresh_as_of) + 1;
       const bool list = k == static_cast<int>(DocumentKind::kEndpoints);
-      const bool wanted = state.version > request.above_versions[k];
+      const bool wanted = state.version > request.known_versions[k];
       const bool sent =
           wanted && (!list || from->list_budget.Take(clock.now(), list_bytes));
       if (sent) state.body = "b";
