--- a/pinford/forwarding/endpoint_directory.cc
+++ b/pinford/forwarding/endpoint_directory.cc
@@ -25,7 +25,7 @@
                 {"incarnation", e.listed.incarnation}};
     if (e.runner) row["runner"] = WriteRunner(*e.runner);
     if (e.lapses_in) row["lapses_in_ms"] = ToMillis(*e.lapses_in);
-    if (e.doubted_for) row["doubted_for_ms"] = ToMillis(*e.doubted_for);
+    if (e.quarantined_for) row["doubted_for_ms"] = ToMillis(*e.quarantined_for);
     list.push_back(std::move(row));
   }
   return list;
@@ -36,14 +36,14 @@
 }
 
 std::string WriteChanges(const DirectoryChanges& changes) {
-  return DumpJson(
-      Json{{"entries", WriteEntries(changes.entries)}, {"gone", changes.gone}});
+  return DumpJson(Json{{"entries", WriteEntries(changes.entries)},
+                       {"gone", changes.removed}});
 }
 
-static std::optional<Duration> ParseSpan(const Json& v, const char* field) {
-  constexpr int kMostMs = 60'000;
+static std::optional<Duration> ParseDuration(const Json& v, const char* field) {
+  constexpr int kMaxMs = 60'000;
   if (!v.contains(field)) return std::nullopt;
-  return milliseconds(std::clamp(JsonField(v, field, 0), 0, kMostMs));
+  return milliseconds(std::clamp(JsonField(v, field, 0), 0, kMaxMs));
 }
 
 static std::optional<DirectoryEntry> ParseEntry(const Json& v) {
@@ -51,7 +51,7 @@
   e.listed.name = JsonField<std::string>(v, "id", "");
   e.listed.service = JsonField<std::string>(v, "service", "");
   e.listed.hall = JsonField<std::string>(v, "hall", "");
-  // 0 from a box whose version tells no lives.
+  // 0: the sender's version does not know incarnations.
   e.listed.incarnation = JsonField<uint64_t>(v, "incarnation", 0);
   e.slots = JsonField(v, "slots", 1);
   const auto address = Address::Parse(JsonField<std::string>(v, "address", ""));
@@ -59,8 +59,8 @@
   if (e.listed.name.empty() || !address || !state) return std::nullopt;
   e.listed.address = *address;
   e.listed.state = *state;
-  e.lapses_in = ParseSpan(v, "lapses_in_ms");
-  e.doubted_for = ParseSpan(v, "doubted_for_ms");
+  e.lapses_in = ParseDuration(v, "lapses_in_ms");
+  e.quarantined_for = ParseDuration(v, "doubted_for_ms");
   auto runner = v.find("runner");
   if (runner == v.end()) return e;
   e.runner = RunnerState{
@@ -98,7 +98,7 @@
   changes.entries = std::move(*entries);
   for (const Json& id : JsonList(v, "gone")) {
     if (!id.is_string()) return std::nullopt;
-    changes.gone.push_back(id.get<std::string>());
+    changes.removed.push_back(id.get<std::string>());
   }
   return changes;
 }
@@ -113,16 +113,16 @@
   config_ = std::move(config);
   for (auto& [id, entry] : entries_) entry.listed.role = RoleOf(entry);
   state_++;
-  double crossing = 0;
+  double transfer = 0;
   for (const ServiceSpec& spec : config_->services) {
     if (spec.engine)
-      crossing = std::max(crossing, spec.engine->transfer_seconds_per_token);
+      transfer = std::max(transfer, spec.engine->transfer_seconds_per_token);
   }
-  table_->set_transfer_seconds_per_token(crossing);
-  Refresh(now);
+  table_->set_transfer_seconds_per_token(transfer);
+  UpdateTable(now);
 }
 
-// Whether its service has an engine decides what an entry is.
+// An entry is a runner if its service has an engine.
 EndpointRole EndpointDirectory::RoleOf(const DirectoryEntry& entry) const {
   const ServiceSpec* spec =
       config_ != nullptr ? config_->Service(entry.listed.service) : nullptr;
@@ -135,27 +135,28 @@
   return it == entries_.end() ? nullptr : &it->second;
 }
 
-std::optional<DirectoryEntry> EndpointDirectory::CopyOf(
+std::optional<DirectoryEntry> EndpointDirectory::SnapshotOf(
     Time now, const std::string& id) const {
   const auto it = entries_.find(id);
   if (it != entries_.end()) {
-    DirectoryEntry copy = it->second;
-    copy.lapses_in = LapsesIn(now, id);
-    return copy;
+    DirectoryEntry snapshot = it->second;
+    snapshot.lapses_in = LapsesIn(now, id);
+    return snapshot;
   }
-  const auto doubted = doubted_.find(id);
-  if (doubted == doubted_.end()) return std::nullopt;
-  DirectoryEntry copy = doubted->second.entry;
-  copy.doubted_for = std::max(Duration(0), doubted->second.until - now);
-  return copy;
+  const auto quarantined = quarantined_.find(id);
+  if (quarantined == quarantined_.end()) return std::nullopt;
+  DirectoryEntry snapshot = quarantined->second.entry;
+  snapshot.quarantined_for =
+      std::max(Duration(0), quarantined->second.until - now);
+  return snapshot;
 }
 
 std::vector<DirectoryEntry> EndpointDirectory::Snapshot(Time now) const {
-  std::vector<DirectoryEntry> copy;
-  copy.reserve(entries_.size() + doubted_.size());
-  for (const auto& [id, entry] : entries_) copy.push_back(*CopyOf(now, id));
-  for (const auto& [id, doubted] : doubted_) copy.push_back(*CopyOf(now, id));
-  return copy;
+  std::vector<DirectoryEntry> out;
+  out.reserve(entries_.size() + quarantined_.size());
+  for (const auto& [id, entry] : entries_) out.push_back(*SnapshotOf(now, id));
+  for (const auto& [id, q] : quarantined_) out.push_back(*SnapshotOf(now, id));
+  return out;
 }
 
 std::optional<DirectoryChanges> EndpointDirectory::ChangesSince(
@@ -164,10 +165,10 @@
   if (!ids) return std::nullopt;
   DirectoryChanges changes;
   for (const std::string& id : *ids) {
-    if (std::optional<DirectoryEntry> entry = CopyOf(now, id)) {
+    if (std::optional<DirectoryEntry> entry = SnapshotOf(now, id)) {
       changes.entries.push_back(std::move(*entry));
     } else {
-      changes.gone.push_back(id);
+      changes.removed.push_back(id);
     }
   }
   return changes;
@@ -180,34 +181,39 @@
   return std::max(Duration(0), lapsed->second - now);
 }
 
-EndpointDirectory::Lives& EndpointDirectory::LivesOf(Time now,
-                                                     const std::string& id) {
-  Lives& lives = lives_[id];
-  lives.heard = now;
-  return lives;
+EndpointDirectory::Incarnations& EndpointDirectory::IncarnationsOf(
+    Time now, const std::string& id) {
+  Incarnations& incarnations = incarnations_[id];
+  incarnations.updated = now;
+  return incarnations;
 }
 
-bool EndpointDirectory::SettleLife(Time now, DirectoryEntry* entry) {
+bool EndpointDirectory::ResolveIncarnation(Time now, DirectoryEntry* entry) {
   ListedEndpoint& listed = entry->listed;
-  Lives& lives = LivesOf(now, listed.name);
-  uint64_t& life = listed.incarnation;
-  if (life == 0) life = std::max(lives.newest, kUnknownIncarnation);
-  if (IsKnownIncarnation(lives.newest) && !IsKnownIncarnation(life)) {
+  Incarnations& incarnations = IncarnationsOf(now, listed.name);
+  uint64_t& resolved = listed.incarnation;
+  if (resolved == 0)
+    resolved = std::max(incarnations.newest, kUnknownIncarnation);
+  if (IsKnownIncarnation(incarnations.newest) &&
+      !IsKnownIncarnation(resolved)) {
     if (events_.on_rejected) {
-      events_.on_rejected(listed.name, "it tells no life, and did before");
+      events_.on_rejected(listed.name,
+                          "it has no incarnation, but had one before");
     }
     Remove(listed.name);
     return false;
   }
-  if (life < lives.newest) return false;
-  // A mark that tells no life may be of this one.
-  if (IsKnownIncarnation(life) && lives.left == kUnknownIncarnation)
-    lives.left = life;
+  if (resolved < incarnations.newest) return false;
+  // A leaving mark without an incarnation may mean this one.
+  if (IsKnownIncarnation(resolved) &&
+      incarnations.max_leaving == kUnknownIncarnation)
+    incarnations.max_leaving = resolved;
   if (listed.state == ListedState::kLeaving) {
-    lives.left = std::max(lives.left, life);
+    incarnations.max_leaving = std::max(incarnations.max_leaving, resolved);
   }
-  lives.newest = life;
-  if (life <= lives.left) listed.state = ListedState::kLeaving;
+  incarnations.newest = resolved;
+  if (resolved <= incarnations.max_leaving)
+    listed.state = ListedState::kLeaving;
   return true;
 }
 
@@ -220,8 +226,8 @@
          FitsPool(*spec->engine, *entry.runner);
 }
 
-// Whether a peer's copies of both would be alike.
-static bool SameWords(const DirectoryEntry& a, const DirectoryEntry& b) {
+// Whether both entries look the same in a snapshot.
+static bool SameContent(const DirectoryEntry& a, const DirectoryEntry& b) {
   const ListedEndpoint& x = a.listed;
   const ListedEndpoint& y = b.listed;
   return x.service == y.service && x.hall == y.hall && x.address == y.address &&
@@ -229,86 +235,88 @@
          a.slots == b.slots && a.runner == b.runner;
 }
 
-bool EndpointDirectory::Take(Time now, DirectoryEntry entry) {
+bool EndpointDirectory::Apply(Time now, DirectoryEntry entry) {
   state_++;
   const std::string id = entry.listed.name;
-  const uint64_t known = LivesOf(now, id).newest;
-  if (!SettleLife(now, &entry)) return false;
-  bool news = doubted_.erase(id) > 0;
+  const uint64_t known = IncarnationsOf(now, id).newest;
+  if (!ResolveIncarnation(now, &entry)) return false;
+  bool changed = quarantined_.erase(id) > 0;
   if (entry.lapses_in) {
     auto [lapsed, first] = lapsed_.emplace(id, now + *entry.lapses_in);
     lapsed->second = std::min(lapsed->second, now + *entry.lapses_in);
-    news = news || first;
+    changed = changed || first;
   } else {
-    news = lapsed_.erase(id) > 0 || news;
+    changed = lapsed_.erase(id) > 0 || changed;
   }
-  LivesOf(now, id).gone = false;
+  IncarnationsOf(now, id).removed = false;
   auto [it, fresh] = entries_.try_emplace(id, entry);
   const DirectoryEntry before = it->second;
   it->second = entry;
-  DirectoryEntry& kept = it->second;
-  kept.lapses_in.reset();
-  kept.doubted_for.reset();
-  kept.listed.role = RoleOf(kept);
-  if (news || fresh || !SameWords(before, kept)) changes_.Note(id);
-  const bool anew = IsNewerIncarnation(known, kept.listed.incarnation);
-  if (anew) {
-    // Before anybody places work again that ran there.
+  DirectoryEntry& stored = it->second;
+  stored.lapses_in.reset();
+  stored.quarantined_for.reset();
+  stored.listed.role = RoleOf(stored);
+  if (changed || fresh || !SameContent(before, stored)) changes_.Record(id);
+  const bool restarted = IsNewerIncarnation(known, stored.listed.incarnation);
+  if (restarted) {
+    // Must run before the callbacks place the lost work elsewhere.
     table_->OnRestart(now, id);
-    if (events_.on_restarted) events_.on_restarted(kept, known);
+    if (events_.on_restarted) events_.on_restarted(stored, known);
   }
-  if (fresh && events_.on_joined) events_.on_joined(kept);
-  const bool first = fresh || anew;
-  const bool leaves = kept.listed.state == ListedState::kLeaving &&
+  if (fresh && events_.on_joined) events_.on_joined(stored);
+  const bool first = fresh || restarted;
+  const bool leaves = stored.listed.state == ListedState::kLeaving &&
                       (first || before.listed.state != ListedState::kLeaving);
   if (leaves && events_.on_leaving) events_.on_leaving(id);
   const LayerRange held = before.runner ? before.runner->holds : LayerRange();
-  const bool moved = kept.runner && (fresh || !(kept.runner->holds == held));
-  if (moved && events_.on_layers_changed) {
-    events_.on_layers_changed(kept, fresh ? LayerRange() : held);
+  const bool layers_changed =
+      stored.runner && (fresh || !(stored.runner->holds == held));
+  if (layers_changed && events_.on_layers_changed) {
+    events_.on_layers_changed(stored, fresh ? LayerRange() : held);
   }
   return true;
 }
 
 void EndpointDirectory::OnStoreRestored(Time now) {
   OnStoreReachable(now);
-  doubt_until_ = now + options_.doubt;
-  for (auto& [id, doubted] : doubted_) doubted.until = doubt_until_;
+  quarantine_until_ = now + options_.quarantine;
+  for (auto& [id, q] : quarantined_) q.until = quarantine_until_;
 }
 
-bool EndpointDirectory::Doubted(Time now, const DirectoryEntry& entry) const {
-  if (entry.doubted_for) return true;
-  if (now >= doubt_until_) return false;
-  const auto lives = lives_.find(entry.listed.name);
-  return lives != lives_.end() && lives->second.gone &&
-         entry.listed.incarnation <= lives->second.newest;
+bool EndpointDirectory::MustQuarantine(Time now,
+                                       const DirectoryEntry& entry) const {
+  if (entry.quarantined_for) return true;
+  if (now >= quarantine_until_) return false;
+  const auto incarnations = incarnations_.find(entry.listed.name);
+  return incarnations != incarnations_.end() && incarnations->second.removed &&
+         entry.listed.incarnation <= incarnations->second.newest;
 }
 
-void EndpointDirectory::Doubt(Time now, const DirectoryEntry& entry) {
+void EndpointDirectory::Quarantine(Time now, const DirectoryEntry& entry) {
   const Time until =
-      entry.doubted_for ? now + *entry.doubted_for : doubt_until_;
-  // Who doubts it has seen it go.
+      entry.quarantined_for ? now + *entry.quarantined_for : quarantine_until_;
+  // A peer that quarantines the entry has seen its removal.
   Drop(now, entry.listed.name);
-  doubted_[entry.listed.name] = {entry, until};
-  changes_.Note(entry.listed.name);
+  quarantined_[entry.listed.name] = {entry, until};
+  changes_.Record(entry.listed.name);
 }
 
 void EndpointDirectory::Drop(Time now, const std::string& id) {
-  LivesOf(now, id).gone = true;
+  IncarnationsOf(now, id).removed = true;
   Remove(id);
 }
 
 void EndpointDirectory::Remove(const std::string& id) {
   state_++;
   lapsed_.erase(id);
-  const bool doubted = doubted_.erase(id) > 0;
-  const bool there = entries_.erase(id) > 0;
-  if (doubted || there) changes_.Note(id);
-  if (!there) return;
+  const bool quarantined = quarantined_.erase(id) > 0;
+  const bool exists = entries_.erase(id) > 0;
+  if (quarantined || exists) changes_.Record(id);
+  if (!exists) return;
   if (events_.on_removed) events_.on_removed(id);
 }
 
-void EndpointDirectory::Refresh(Time now) {
+void EndpointDirectory::UpdateTable(Time now) {
   unusable_.clear();
   std::vector<ListedEndpoint> list;
   list.reserve(entries_.size());
@@ -321,17 +329,17 @@
   }
   table_->OnList(list);
   for (const auto& [id, entry] : entries_) {
-    if (!unusable_.contains(id)) Report(now, entry);
+    if (!unusable_.contains(id)) ReportToTable(now, entry);
   }
 }
 
-// Of 3,000 entries one changes at a time: to hand over all took 1.5 ms, a
-// hundredth of a small box's second at each of eight changes.
-void EndpointDirectory::RefreshOne(Time now, const std::string& id) {
+// With 3,000 entries one changes at a time. Passing all to the table took 1.5
+// ms, at eight changes a second over a hundredth of a small box's core.
+void EndpointDirectory::UpdateTableEntry(Time now, const std::string& id) {
   const auto it = entries_.find(id);
-  const bool there = it != entries_.end();
-  const bool usable = there && Usable(it->second);
-  if (there && !usable) {
+  const bool exists = it != entries_.end();
+  const bool usable = exists && Usable(it->second);
+  if (exists && !usable) {
     unusable_.insert(id);
   } else {
     unusable_.erase(id);
@@ -341,12 +349,12 @@
     return;
   }
   table_->OnListed(it->second.listed);
-  Report(now, it->second);
+  ReportToTable(now, it->second);
 }
 
-// Layers times thousands of tokens that fit beside the weights.
-static double RoomOf(const EnginePool& pool, const AcceleratorKind& kind,
-                     const LayerRange& holds) {
+// Memory left beside the weights, in layers times thousands of tokens.
+static double FreeMemoryOf(const EnginePool& pool, const AcceleratorKind& kind,
+                           const LayerRange& holds) {
   if (pool.token_bytes <= 0) return 0;
   constexpr double kBytesPerMb = 1e6;
   const double free =
@@ -354,17 +362,18 @@
   return std::max(0.0, free / (pool.token_bytes / pool.layers) / 1000);
 }
 
-// Seconds that a token of a prompt takes in one layer, its share of the steps
-// that the pass plays for other streams among them.
-static double ReadSeconds(const EnginePool& pool, const AcceleratorKind& kind) {
+// Seconds to prefill one token in one layer, including its share of the decode
+// steps for other streams in the same pass.
+static double PrefillSeconds(const EnginePool& pool,
+                             const AcceleratorKind& kind) {
   if (pool.prefill_per_s <= 0 || pool.prefill_tokens_per_pass <= 0) return 0;
-  const double read = kind.prefill_factor / pool.prefill_per_s;
+  const double prefill = kind.prefill_factor / pool.prefill_per_s;
   const double steps = kind.step_factor * pool.step_seconds *
                        pool.steps_per_pass / pool.prefill_tokens_per_pass;
-  return (read + steps) / pool.layers;
+  return (prefill + steps) / pool.layers;
 }
 
-void EndpointDirectory::Report(Time now, const DirectoryEntry& entry) {
+void EndpointDirectory::ReportToTable(Time now, const DirectoryEntry& entry) {
   LoadReport report;
   report.incarnation = entry.listed.incarnation;
   report.slots = entry.slots;
@@ -380,16 +389,16 @@
     report.layer_seconds = pool.step_seconds / pool.layers *
                            (kind != nullptr ? kind->step_factor : 1);
     if (kind != nullptr) {
-      report.memory_capacity = RoomOf(pool, *kind, report.holds);
-      report.prefill_seconds = ReadSeconds(pool, *kind);
+      report.memory_capacity = FreeMemoryOf(pool, *kind, report.holds);
+      report.prefill_seconds = PrefillSeconds(pool, *kind);
     }
   }
   table_->OnReport(now, entry.listed.name, report);
 }
 
-void EndpointDirectory::Missing(Time now, const std::string& id) {
-  if (now < settled_ && entries_.contains(id)) {
-    if (lapsed_.emplace(id, settled_).second) changes_.Note(id);
+void EndpointDirectory::OnMissing(Time now, const std::string& id) {
+  if (now < lapse_grace_end_ && entries_.contains(id)) {
+    if (lapsed_.emplace(id, lapse_grace_end_).second) changes_.Record(id);
   } else {
     Drop(now, id);
   }
@@ -401,73 +410,75 @@
   std::set<std::string> present;
   for (const DirectoryEntry& entry : entries) {
     const std::string& id = entry.listed.name;
-    if (TakeCopied(now, entry) || doubted_.contains(id)) present.insert(id);
+    if (ApplyListed(now, entry) || quarantined_.contains(id))
+      present.insert(id);
   }
-  // At once: these are not missing, and have not lapsed.
+  // At once: these are present, so they have not lapsed.
   for (const std::string& id : unreadable) Remove(id);
   std::vector<std::string> missing;
   for (const auto& [id, entry] : entries_) {
     if (!present.contains(id)) missing.push_back(id);
   }
-  for (const auto& [id, doubted] : doubted_) {
+  for (const auto& [id, quarantined] : quarantined_) {
     if (!present.contains(id)) missing.push_back(id);
   }
-  for (const std::string& id : missing) Missing(now, id);
-  Refresh(now);
+  for (const std::string& id : missing) OnMissing(now, id);
+  UpdateTable(now);
 }
 
-bool EndpointDirectory::TakeCopied(Time now, const DirectoryEntry& entry) {
+bool EndpointDirectory::ApplyListed(Time now, const DirectoryEntry& entry) {
   const std::string& id = entry.listed.name;
   if (entry.lapses_in && !entries_.contains(id)) {
-    // It is missing from the store, and was dropped here or doubted before.
+    // It is missing from the store, and was removed or quarantined here before.
     Drop(now, id);
     return false;
   }
-  if (Doubted(now, entry)) {
-    Doubt(now, entry);
+  if (MustQuarantine(now, entry)) {
+    Quarantine(now, entry);
     return false;
   }
-  Take(now, entry);
+  Apply(now, entry);
   return true;
 }
 
 void EndpointDirectory::OnChanges(Time now, const DirectoryChanges& changes) {
   for (const DirectoryEntry& entry : changes.entries) {
-    TakeCopied(now, entry);
-    RefreshOne(now, entry.listed.name);
+    ApplyListed(now, entry);
+    UpdateTableEntry(now, entry.listed.name);
   }
-  for (const std::string& id : changes.gone) {
-    const bool known = entries_.contains(id) || doubted_.contains(id);
+  for (const std::string& id : changes.removed) {
+    const bool known = entries_.contains(id) || quarantined_.contains(id);
     if (known) OnRemoved(now, id);
   }
 }
 
 void EndpointDirectory::OnEntry(Time now, const DirectoryEntry& entry) {
-  Take(now, entry);
-  RefreshOne(now, entry.listed.name);
+  Apply(now, entry);
+  UpdateTableEntry(now, entry.listed.name);
 }
 
 void EndpointDirectory::OnUnreadable(Time now, const std::string& id) {
   Remove(id);
-  RefreshOne(now, id);
+  UpdateTableEntry(now, id);
 }
 
 void EndpointDirectory::OnRemoved(Time now, const std::string& id) {
-  Missing(now, id);
-  RefreshOne(now, id);
+  OnMissing(now, id);
+  UpdateTableEntry(now, id);
 }
 
 void EndpointDirectory::OnLeaving(Time now, const std::string& id,
                                   uint64_t incarnation) {
-  Lives& lives = LivesOf(now, id);
-  const uint64_t life = IsKnownIncarnation(incarnation)
-                            ? incarnation
-                            : std::max(lives.newest, kUnknownIncarnation);
-  lives.left = std::max(lives.left, life);
+  Incarnations& incarnations = IncarnationsOf(now, id);
+  const uint64_t resolved =
+      IsKnownIncarnation(incarnation)
+          ? incarnation
+          : std::max(incarnations.newest, kUnknownIncarnation);
+  incarnations.max_leaving = std::max(incarnations.max_leaving, resolved);
   auto it = entries_.find(id);
   if (it == entries_.end()) return;
   DirectoryEntry entry = it->second;
-  const bool leaves = entry.listed.incarnation <= lives.left;
+  const bool leaves = entry.listed.incarnation <= incarnations.max_leaving;
   if (!leaves || entry.listed.state == ListedState::kLeaving) return;
   entry.lapses_in = LapsesIn(now, id);
   OnEntry(now, entry);
@@ -480,48 +491,49 @@
   if (it == entries_.end()) return;
   DirectoryEntry entry = it->second;
   const uint64_t listed = entry.listed.incarnation;
-  const bool told =
+  const bool comparable =
       IsKnownIncarnation(state.incarnation) && IsKnownIncarnation(listed);
-  if (told && state.incarnation < listed) return;
-  if (told && state.incarnation > listed) {
+  if (comparable && state.incarnation < listed) return;
+  if (comparable && state.incarnation > listed) {
     entry.listed.incarnation = state.incarnation;
     entry.listed.state = ListedState::kLive;
   }
   entry.runner = state;
   entry.lapses_in = LapsesIn(now, id);
-  if (!Take(now, entry)) return;
-  RefreshOne(now, id);
-}
-
-// Ids that were not heard of for long. Not each time: there are thousands.
-void EndpointDirectory::ForgetLives(Time now) {
-  if (now < next_forget_) return;
-  next_forget_ = now + options_.remember_lives / 10;
-  std::erase_if(lives_, [this, now](const auto& entry) {
-    const bool old = !entries_.contains(entry.first) &&
-                     now - entry.second.heard >= options_.remember_lives;
-    if (old) changes_.Forget(entry.first);
+  if (!Apply(now, entry)) return;
+  UpdateTableEntry(now, id);
+}
+
+// Erases ids without a recent update. Rate-limited: there are thousands.
+void EndpointDirectory::EraseOldIncarnations(Time now) {
+  if (now < next_erase_) return;
+  next_erase_ = now + options_.incarnation_retention / 10;
+  std::erase_if(incarnations_, [this, now](const auto& entry) {
+    const bool old =
+        !entries_.contains(entry.first) &&
+        now - entry.second.updated >= options_.incarnation_retention;
+    if (old) changes_.Erase(entry.first);
     return old;
   });
 }
 
 void EndpointDirectory::Tick(Time now) {
-  ForgetLives(now);
-  std::vector<std::string> over;
+  EraseOldIncarnations(now);
+  std::vector<std::string> expired;
   for (const auto& [id, until] : lapsed_) {
-    if (now >= until) over.push_back(id);
+    if (now >= until) expired.push_back(id);
   }
-  for (const std::string& id : over) Drop(now, id);
-  std::vector<DirectoryEntry> stood;
-  for (const auto& [id, doubted] : doubted_) {
-    if (now >= doubted.until) stood.push_back(doubted.entry);
+  for (const std::string& id : expired) Drop(now, id);
+  std::vector<DirectoryEntry> confirmed;
+  for (const auto& [id, quarantined] : quarantined_) {
+    if (now >= quarantined.until) confirmed.push_back(quarantined.entry);
   }
-  for (DirectoryEntry& entry : stood) {
-    entry.doubted_for.reset();
-    Take(now, entry);
-    RefreshOne(now, entry.listed.name);
+  for (DirectoryEntry& entry : confirmed) {
+    entry.quarantined_for.reset();
+    Apply(now, entry);
+    UpdateTableEntry(now, entry.listed.name);
   }
-  for (const std::string& id : over) RefreshOne(now, id);
+  for (const std::string& id : expired) UpdateTableEntry(now, id);
 }
 
 }  // namespace pinford
--- a/pinford/forwarding/endpoint_directory.h
+++ b/pinford/forwarding/endpoint_directory.h
@@ -1,33 +1,33 @@
-// The platform's list of endpoints, as it is mirrored from the store, put in
-// terms of the endpoint table.
+// The list of endpoints, mirrored from the store, as input for EndpointTable.
 //
-// An endpoint's id is its name in the table. The list says what a runner holds;
-// with the pool's configuration that becomes its LoadReport. What the table
-// adds is what this box and its peers have placed there.
+// An endpoint's id is its name in the table. The list gives the layers that a
+// runner holds; with the pool's configuration that becomes the runner's
+// LoadReport. The table adds the work that this box and its peers have placed
+// there.
 //
-// An endpoint may start anew under its id. Its incarnation is the time of its
-// start, so a greater one is a later life, whoever tells of it first: list,
-// change, report, or a peer's copy. What is said of an earlier life counts no
-// more. That an endpoint leaves holds for the life it was said of and those
-// before it; where no life was told, for the one that is known. So that a late
-// word of an earlier life brings nothing back, lives are remembered for a while
-// after their entry has gone.
+// An endpoint may restart under its id. Its incarnation is its start time, so a
+// greater one is newer, whichever source reports it first: the list, a change,
+// a runner's report, or a peer's snapshot. State of an older incarnation is
+// ignored. A leaving mark holds for the incarnation it names and all older
+// ones; a mark without an incarnation holds for the known one. Incarnations are
+// remembered for a while after their entry is removed, so that a late message
+// about an old one does not bring it back.
 //
-// An entry that cannot be read, or tells no life where one was told before,
-// comes from another writer. It names no endpoint: what was known under its id
-// gets no new work until a good entry is back.
+// An entry that cannot be read, or that lacks an incarnation where one was
+// known, was written by some other program. The endpoint with that id gets no
+// new work until a valid entry is back.
 //
-// While the store is away entries may lapse though the endpoint lives. What is
-// missing right after the store is back is therefore kept for a short time;
-// what has not come back by then is gone. Copies for peers say which entries
-// those are: dropping one later is no change of the store's, so that no
-// version tells the peers of it.
+// While the store is unavailable, entries may lapse although the endpoint is
+// alive. Entries that are missing right after the store is back are therefore
+// kept for a short time, and removed if they are not back by then. Snapshots
+// for peers mark these entries: the later removal is no change in the store, so
+// no new list version announces it.
 //
-// A store that comes back from a copy lacks what was written last, and has
-// again what went. What is missing is kept as after an outage. What was gone
-// and stands in the copy, of the same life, gets no work until it is written
-// anew, or has stood there for longer than the store keeps who is silent. Both
-// are in copies for peers, too.
+// A store that was restored from a backup lacks the last writes and contains
+// entries that were removed since. Missing entries are kept as after an outage.
+// An entry of an incarnation that was removed is quarantined: it gets no work
+// until it is written again, or has outlasted the time after which the store
+// drops unresponsive endpoints. Snapshots for peers mark both kinds.
 
 #ifndef PINFORD_FORWARDING_ENDPOINT_DIRECTORY_H_
 #define PINFORD_FORWARDING_ENDPOINT_DIRECTORY_H_
@@ -46,78 +46,81 @@
 
 namespace pinford {
 
-// Of an endpoint that tells no life: its id names one life.
+// For endpoints that report no incarnation. Ids are then never reused.
 inline constexpr uint64_t kUnknownIncarnation = 1;
 inline bool IsKnownIncarnation(uint64_t incarnation) {
   return incarnation > kUnknownIncarnation;
 }
-// Whether `now` is another life than `before`. Where one of them is not told,
-// nobody knows.
+// Whether `now` is a newer incarnation than `before`. False if either is
+// unknown.
 inline bool IsNewerIncarnation(uint64_t before, uint64_t now) {
   return IsKnownIncarnation(before) && now > before;
 }
 
-// What a runner tells of itself.
+// A runner's own state.
 struct RunnerState {
-  std::string kind;     // of its accelerator
-  std::string version;  // of the weights it holds
+  std::string kind;     // accelerator kind
+  std::string version;  // version of its weights
   LayerRange holds;
-  uint64_t orders = 0;  // orders taken in this life
+  uint64_t orders = 0;  // orders accepted by this incarnation
   uint64_t incarnation = kUnknownIncarnation;
-  bool leaving = false;  // of a report: the list tells its state itself
+  bool leaving = false;  // set by reports only; list entries have `state`
 
   bool operator==(const RunnerState&) const = default;
 };
 
+// listed.name is the id. listed.incarnation is 0 in entries of a sender that
+// does not report incarnations.
 struct DirectoryEntry {
-  ListedEndpoint listed;  // its name is the id; 0 for its life: see Take
-  int slots = 1;          // requests it works on at a time
+  ListedEndpoint listed;
+  int slots = 1;  // concurrent requests
   std::optional<RunnerState> runner;
-  // In a copy for a peer: the entry is missing from the store and is dropped
-  // unless it is back within this.
+  // In snapshots: the entry is missing from the store and is removed unless it
+  // is back within this time.
   std::optional<Duration> lapses_in;
-  // In a copy for a peer: it was gone, and is back with the store's copy alone;
-  // it is not taken before this.
-  std::optional<Duration> doubted_for;
+  // In snapshots: the entry was removed before and is known from a restored
+  // backup only; it is not applied before this time.
+  std::optional<Duration> quarantined_for;
 };
 
-// The list as text for a peer, and back. Nothing for text that cannot be read.
+// Serializes the list for a peer and parses it. nullopt if malformed.
 std::string WriteDirectory(const std::vector<DirectoryEntry>& entries);
 std::optional<std::vector<DirectoryEntry>> ParseDirectory(
     std::string_view text);
 
-// What changed of a list: entries as they are now, and ids that went.
+// Changes to a list: current entries, and ids of removed ones.
 struct DirectoryChanges {
   std::vector<DirectoryEntry> entries;
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
 
-  bool empty() const { return entries.empty() && gone.empty(); }
+  bool empty() const { return entries.empty() && removed.empty(); }
 };
 std::string WriteChanges(const DirectoryChanges& changes);
 std::optional<DirectoryChanges> ParseChanges(std::string_view text);
 
-// Whether a runner of the pool can hold that.
+// Whether the runner's layers are within the pool's model.
 bool FitsPool(const EnginePool& pool, const RunnerState& runner);
 
 class EndpointDirectory {
  public:
   struct Options {
-    // The platform's word: entries that lapsed are back within about two
-    // seconds of the store's return. No longer: what left meanwhile must get
-    // no work once 3 s have passed.
+    // The platform guarantees that lapsed entries are back within about two
+    // seconds of the store's return. Not longer: an endpoint that left in the
+    // meantime must get no work after 3 s.
     Duration lapse_grace = milliseconds(2200);
-    // How long lives are remembered without an entry. Words that were held up
-    // come seconds late; a leaving endpoint lives for some tens of seconds.
-    Duration remember_lives = seconds(600);
-    // How long what was gone is doubted after the store's return from a copy.
-    // The store drops who has been silent for three heartbeats of 1.2 s.
-    Duration doubt = seconds(5);
+    // How long incarnations are remembered without an entry. Delayed messages
+    // arrive seconds late; a leaving endpoint runs for some tens of seconds.
+    Duration incarnation_retention = seconds(600);
+    // How long removed entries stay quarantined after the store was restored
+    // from a backup. The store drops endpoints that miss three heartbeats of
+    // 1.2 s.
+    Duration quarantine = seconds(5);
   };
   struct Events {
     std::function<void(const DirectoryEntry&)> on_joined;
     std::function<void(const std::string& id)> on_leaving;
     std::function<void(const std::string& id)> on_removed;
-    // It has started anew; what it said before counts no more.
+    // The endpoint has restarted; state of the incarnation `before` is invalid.
     std::function<void(const DirectoryEntry&, uint64_t before)> on_restarted;
     std::function<void(const std::string& id, std::string_view why)>
         on_rejected;
@@ -131,103 +134,110 @@
   void set_configuration(Time now,
                          std::shared_ptr<const ServiceConfiguration> config);
 
-  // The store is back after an outage: what is missing may only have lapsed.
-  // To a box that has no entries yet, none can have.
+  // The store is back after an outage: missing entries may only have lapsed. A
+  // directory without entries has none that could have.
   void OnStoreReachable(Time now) {
-    if (!entries_.empty()) settled_ = now + options_.lapse_grace;
+    if (!entries_.empty()) lapse_grace_end_ = now + options_.lapse_grace;
   }
-  // The store has come back from a copy. Call it before the copy's list.
+  // The store was restored from a backup. Call this before OnList with its
+  // list.
   void OnStoreRestored(Time now);
-  // The whole list, in place of what was known. `unreadable` are the ids of
-  // entries that are there but cannot be read.
+  // Replaces the whole list. `unreadable` are the ids of entries that exist but
+  // cannot be parsed.
   void OnList(Time now, const std::vector<DirectoryEntry>& entries,
               const std::vector<std::string>& unreadable = {});
-  // What changed of a peer's list since this box had it from there.
+  // Changes to a peer's list since this box last got it from that peer.
   void OnChanges(Time now, const DirectoryChanges& changes);
   void OnEntry(Time now, const DirectoryEntry& entry);
   void OnUnreadable(Time now, const std::string& id);
   void OnRemoved(Time now, const std::string& id);
-  // Somebody has it from the endpoint or the list that this life leaves.
+  // Some source reported that this incarnation is leaving.
   void OnLeaving(Time now, const std::string& id, uint64_t incarnation);
-  // What a runner itself said it holds, which may be ahead of the list.
+  // A runner reported its layers. The report may be ahead of the list.
   void OnRunnerState(Time now, const std::string& id, const RunnerState& state);
-  // Drops what has not come back in time. Call it often.
+  // Removes entries whose time is up. Call it often.
   void Tick(Time now);
 
   const std::map<std::string, DirectoryEntry>& entries() const {
     return entries_;
   }
   const DirectoryEntry* Find(const std::string& id) const;
-  // Grows with each entry that is taken or dropped, changed or not.
+  // Incremented whenever an entry is applied or removed, even if unchanged.
   uint64_t state() const { return state_; }
-  // Whether a copy of it changes as time passes: some entry is missing from the
-  // store and may come back, or is doubted.
+  // Whether a snapshot depends on the time: some entries are missing from the
+  // store and may come back, or are quarantined.
   bool has_timed_entries() const {
-    return !lapsed_.empty() || !doubted_.empty();
+    return !lapsed_.empty() || !quarantined_.empty();
   }
   // Entries of services that the configuration does not name, or of runners
-  // that say they hold what their pool does not have. They get no work.
+  // that report layers outside their pool's model. They get no work.
   size_t unusable() const { return unusable_.size(); }
   // All entries, for a peer.
   std::vector<DirectoryEntry> Snapshot(Time now) const;
-  // What changed after the moment `at` of this box's list, for a peer that has
-  // it as of then; nothing if that is not known any more.
+  // Changes after sequence number `at` of this list, for a peer that has the
+  // list as of then. nullopt if they are no longer known.
   uint64_t at() const { return changes_.at(); }
   std::optional<DirectoryChanges> ChangesSince(Time now, uint64_t at) const;
 
  private:
   EndpointRole RoleOf(const DirectoryEntry& entry) const;
   std::optional<Duration> LapsesIn(Time now, const std::string& id) const;
-  // What is known of the lives of one id.
-  struct Lives {
-    uint64_t newest = 0;  // 0: none yet
-    uint64_t left = 0;    // this one and those before it leave, or have left
-    bool gone = false;    // the entry went, as the store had it
-    Time heard{};
+  // What is known of the incarnations of one id.
+  struct Incarnations {
+    uint64_t newest = 0;       // 0: none yet
+    uint64_t max_leaving = 0;  // this and all older ones leave or have left
+    bool removed = false;      // the store removed the entry
+    Time updated{};
   };
 
-  Lives& LivesOf(Time now, const std::string& id);
-  // Settles which life the entry is of; 0 there means that the sender tells no
-  // lives, and that it is of the known one. False if the entry counts no more.
-  bool SettleLife(Time now, DirectoryEntry* entry);
+  Incarnations& IncarnationsOf(Time now, const std::string& id);
+  // Compares the entry's incarnation with the known ones and updates both. 0,
+  // of a sender that does not know incarnations, stands for the known one.
+  // Returns false if the entry is out of date or lacks a known incarnation.
+  bool ResolveIncarnation(Time now, DirectoryEntry* entry);
   bool Usable(const DirectoryEntry& entry) const;
-  void ForgetLives(Time now);
-  // One entry as a copy for a peer has it; nothing if there is none.
-  std::optional<DirectoryEntry> CopyOf(Time now, const std::string& id) const;
-  // An entry of a peer's copy. False if it is not there for this box.
-  bool TakeCopied(Time now, const DirectoryEntry& entry);
-  // Whether the entry says only what the store's copy holds of an endpoint that
-  // was gone.
-  bool Doubted(Time now, const DirectoryEntry& entry) const;
-  void Doubt(Time now, const DirectoryEntry& entry);
-  // False if the entry was not taken.
-  bool Take(Time now, DirectoryEntry entry);
+  void EraseOldIncarnations(Time now);
+  // One entry for a snapshot; nullopt if there is none.
+  std::optional<DirectoryEntry> SnapshotOf(Time now,
+                                           const std::string& id) const;
+  // Applies an entry of a full list or of a peer's changes. False if it counts
+  // as missing here.
+  bool ApplyListed(Time now, const DirectoryEntry& entry);
+  // Whether the entry is known from a restored backup only, and its endpoint
+  // was removed before.
+  bool MustQuarantine(Time now, const DirectoryEntry& entry) const;
+  void Quarantine(Time now, const DirectoryEntry& entry);
+  // Returns false if the entry was rejected.
+  bool Apply(Time now, DirectoryEntry entry);
+  // Removes the entry and records that the store removed it.
   void Drop(Time now, const std::string& id);
-  void Missing(Time now, const std::string& id);
+  // The entry is missing from the store: keeps it for a while if it may only
+  // have lapsed.
+  void OnMissing(Time now, const std::string& id);
   void Remove(const std::string& id);
-  // Hands all entries to the table, or what is known of one id.
-  void Refresh(Time now);
-  void RefreshOne(Time now, const std::string& id);
-  void Report(Time now, const DirectoryEntry& entry);
+  // Passes all entries to the table, or the state of one id.
+  void UpdateTable(Time now);
+  void UpdateTableEntry(Time now, const std::string& id);
+  void ReportToTable(Time now, const DirectoryEntry& entry);
 
   EndpointTable* table_;
   Options options_;
   Events events_;
   std::shared_ptr<const ServiceConfiguration> config_;
   std::map<std::string, DirectoryEntry> entries_;
-  std::map<std::string, Time> lapsed_;  // when each is to be dropped
-  struct DoubtedEntry {
+  std::map<std::string, Time> lapsed_;  // when each is removed
+  struct QuarantinedEntry {
     DirectoryEntry entry;
     Time until{};
   };
-  std::map<std::string, DoubtedEntry> doubted_;
-  Time doubt_until_{};
+  std::map<std::string, QuarantinedEntry> quarantined_;
+  Time quarantine_until_{};
   ListChanges changes_;
-  std::map<std::string, Lives> lives_;
-  Time next_forget_{};
+  std::map<std::string, Incarnations> incarnations_;
+  Time next_erase_{};
   std::set<std::string> unusable_;
   uint64_t state_ = 0;
-  Time settled_{};  // until then, entries may only have lapsed
+  Time lapse_grace_end_{};  // until then, missing entries may only have lapsed
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/endpoint_notice.cc
+++ b/pinford/forwarding/endpoint_notice.cc
@@ -9,7 +9,7 @@
   EndpointNotice notice;
   notice.backoff =
       RequestedBackoff(answer.status, answer.header(names.retry_after));
-  // 421 may come from another endpoint, to which the address went.
+  // 421 may come from another endpoint that the address was reassigned to.
   notice.leaving = answer.status != kMisdirected &&
                    ParseLeaving(answer.header(names.leaving));
   return notice;
--- a/pinford/forwarding/endpoint_notice.h
+++ b/pinford/forwarding/endpoint_notice.h
@@ -1,8 +1,8 @@
-// What an endpoint says of itself in the head of an answer, whatever becomes of
-// the request: how long it wants no more from this box, and that it leaves.
+// What an endpoint reports about itself in the head of a response, whatever the
+// outcome of the request: a requested backoff, and that it is leaving.
 //
-// It is read as soon as the head is there. A stream's end may be twenty seconds
-// away, and what an endpoint says holds from when it says it.
+// The head is read as soon as it arrives. A stream may end twenty seconds
+// later, and the notice holds from when it was sent.
 
 #ifndef PINFORD_FORWARDING_ENDPOINT_NOTICE_H_
 #define PINFORD_FORWARDING_ENDPOINT_NOTICE_H_
@@ -17,14 +17,14 @@
 namespace pinford {
 
 struct EndpointNotice {
-  // It turned the request away and wants nothing from this box for so long.
+  // It rejected the request and requests no more from this box for this long.
   std::optional<Duration> backoff;
   bool leaving = false;
 };
 
 EndpointNotice ReadNotice(const HttpHead& answer, const ForwardHeaders& names);
 
-// Whether the header by which endpoints say that they leave says so.
+// Parses the header by which endpoints announce that they are leaving.
 inline bool ParseLeaving(std::string_view text) { return text == "1"; }
 
 }  // namespace pinford
--- a/pinford/forwarding/endpoint_watch.cc
+++ b/pinford/forwarding/endpoint_watch.cc
@@ -8,7 +8,7 @@
 void EndpointWatch::OnBegin(Time now, const Chain& chain) {
   for (const Stage& stage : chain) {
     Row& row = rows_[stage.endpoint];
-    // Silence from before it had anything to do says nothing.
+    // Silence while it had no streams does not count.
     if (row.streams++ == 0) row.progress = std::max(row.progress, now);
   }
 }
@@ -18,49 +18,52 @@
     auto it = rows_.find(stage.endpoint);
     if (it == rows_.end()) continue;
     Row& row = it->second;
-    int& streams = row.lost > 0 ? row.lost : row.streams;
+    int& streams = row.stale_streams > 0 ? row.stale_streams : row.streams;
     if (streams > 0) streams--;
   }
 }
 
 void EndpointWatch::OnProgress(Time now, const Chain& chain) {
-  constexpr double kWeight = 0.1;  // of the newest interval
+  constexpr double kSmoothingFactor = 0.1;  // weight of the newest interval
   for (const Stage& stage : chain) {
     Row& row = rows_[stage.endpoint];
     const double interval = ToSeconds(now - row.progress);
     if (row.progress != Time{}) {
-      row.usual += (interval - row.usual) * (row.usual == 0 ? 1 : kWeight);
+      row.mean_interval += (interval - row.mean_interval) *
+                           (row.mean_interval == 0 ? 1 : kSmoothingFactor);
     }
     row.progress = now;
   }
 }
 
-bool EndpointWatch::Suspicious(Time now, const Row& row) const {
+bool EndpointWatch::IsSuspicious(Time now, const Row& row) const {
   if (row.streams == 0) return false;
-  const Duration usual = FromSeconds(row.usual * options_.usual_times);
-  return now - row.progress >= std::max(usual, options_.least_silence);
+  const Duration limit =
+      FromSeconds(row.mean_interval * options_.silence_factor);
+  return now - row.progress >= std::max(limit, options_.min_silence);
 }
 
-bool EndpointWatch::MayAsk(Time now, const Row& row) const {
-  if (row.asking) return false;
-  const Duration pause = row.down || row.slow ? options_.impaired_probe_interval
-                                              : options_.healthy_probe_interval;
-  return row.asked == Time{} || now - row.asked >= pause;
+bool EndpointWatch::MayProbe(Time now, const Row& row) const {
+  if (row.probing) return false;
+  const Duration min_pause = row.down || row.slow
+                                 ? options_.impaired_probe_interval
+                                 : options_.healthy_probe_interval;
+  return row.last_probe == Time{} || now - row.last_probe >= min_pause;
 }
 
 bool EndpointWatch::BeginProbe(Time now, const std::string& endpoint) {
   Row& row = rows_[endpoint];
-  if (!MayAsk(now, row)) return false;
-  row.asking = true;
-  row.asked = now;
+  if (!MayProbe(now, row)) return false;
+  row.probing = true;
+  row.last_probe = now;
   return true;
 }
 
 std::vector<std::string> EndpointWatch::EndpointsToProbe(Time now) {
   std::vector<std::string> out;
   for (const auto& [name, row] : rows_) {
-    if (!MayAsk(now, row)) continue;
-    if (row.down || row.slow || Suspicious(now, row)) out.push_back(name);
+    if (!MayProbe(now, row)) continue;
+    if (row.down || row.slow || IsSuspicious(now, row)) out.push_back(name);
   }
   for (const std::string& name : out) BeginProbe(now, name);
   return out;
@@ -72,8 +75,8 @@
   auto it = rows_.find(endpoint);
   if (it == rows_.end()) it = rows_.emplace(endpoint, Row()).first;
   Row& row = it->second;
-  row.asking = row.undecided = false;
-  const bool slow = works && slowdown >= options_.slow_pace;
+  row.probing = row.inconclusive = false;
+  const bool slow = works && slowdown >= options_.slow_threshold;
   const bool was_down = std::exchange(row.down, !works);
   const bool was_slow = std::exchange(row.slow, slow);
   if ((row.down && !was_down) || (row.slow && !was_slow)) {
@@ -85,17 +88,17 @@
 
 bool EndpointWatch::OnProbeInconclusive(const std::string& endpoint) {
   Row& row = rows_[endpoint];
-  row.asking = false;
-  row.undecided = !row.undecided;
-  if (row.undecided) row.asked = Time{};
-  return row.undecided;
+  row.probing = false;
+  row.inconclusive = !row.inconclusive;
+  if (row.inconclusive) row.last_probe = Time{};
+  return row.inconclusive;
 }
 
 void EndpointWatch::OnRestart(const std::string& endpoint) {
   const auto it = rows_.find(endpoint);
   if (it == rows_.end()) return;
   Row fresh;
-  fresh.lost = it->second.lost + it->second.streams;
+  fresh.stale_streams = it->second.stale_streams + it->second.streams;
   it->second = fresh;
 }
 
@@ -113,7 +116,7 @@
   const auto it = rows_.find(endpoint);
   if (it == rows_.end()) return false;
   const Row& row = it->second;
-  return row.down || row.asking || row.undecided;
+  return row.down || row.probing || row.inconclusive;
 }
 
 Time EndpointWatch::LastProgressOf(const std::string& endpoint) const {
--- a/pinford/forwarding/endpoint_watch.h
+++ b/pinford/forwarding/endpoint_watch.h
@@ -1,15 +1,14 @@
-// Notices endpoints that have stopped working, from the requests themselves.
+// Detects failed endpoints from the requests themselves.
 //
-// Whenever an event of a stream arrives, every stage of its chain has just
-// shown that it works. A stage that runs for several streams so shows it many
-// times in the time between two events of one of them; silence far beyond
-// what is usual for it is suspicious long before any single stream is late.
-// What is suspected is asked directly, and only its own answer, or none, makes
-// it count as down, slow or working. One that is down or slow is asked again
-// until it is well or leaves the list.
+// Every event of a stream shows that all stages of its chain work. A stage that
+// runs for several streams thus shows it many times between two events of one
+// of them, so a silence far beyond its usual interval is suspicious long before
+// any single stream is late. Suspects are probed, and only the result of a
+// probe, or its absence, marks an endpoint as down, slow or working. One that
+// is down or slow is probed until it recovers or leaves the list.
 //
-// No I/O: the owner asks whom EndpointsToProbe names and hands in what came of
-// it.
+// No I/O: the owner probes the endpoints that EndpointsToProbe returns and
+// passes in the results.
 
 #ifndef PINFORD_FORWARDING_ENDPOINT_WATCH_H_
 #define PINFORD_FORWARDING_ENDPOINT_WATCH_H_
@@ -26,46 +25,46 @@
 class EndpointWatch {
  public:
   struct Options {
-    // Silence beyond so many usual intervals is suspicious,
-    double usual_times = 4;
-    // ... but no shorter one: passes of a busy runner take up to 15 ms, and a
-    // prompt is read between them.
-    Duration least_silence = milliseconds(60);
-    // An endpoint that has answered is not asked again for so long, nor is
-    // one that is down or slow.
+    // Silence beyond this multiple of the mean interval is suspicious,
+    double silence_factor = 4;
+    // ... but never less than this: passes of a busy runner take up to 15 ms,
+    // and prefill runs in between.
+    Duration min_silence = milliseconds(60);
+    // Minimum time between two probes of an endpoint that works, and of one
+    // that is down or slow.
     Duration healthy_probe_interval = milliseconds(150);
     Duration impaired_probe_interval = milliseconds(400);
-    // A runner that takes so many times as long as it should is slow: its
-    // streams' pauses then come near what they may be.
-    double slow_pace = 2;
+    // A runner whose slowdown reaches this is slow: pauses in its streams are
+    // then close to their limit.
+    double slow_threshold = 2;
   };
 
   explicit EndpointWatch(const Options& options) : options_(options) {}
 
-  // Events of a stream begin, or end, to pass through these stages.
+  // Events of a stream start, or stop, to pass through these stages.
   void OnBegin(Time now, const Chain& chain);
   void OnEnd(const Chain& chain);
   void OnProgress(Time now, const Chain& chain);
 
-  // Whom to ask now. Each counts as asked.
+  // Endpoints to probe now. Marks each as being probed.
   std::vector<std::string> EndpointsToProbe(Time now);
-  // Whether one that is in doubt for another reason than its silence is to be
-  // asked now; it then counts as asked. False while an answer is awaited, and
-  // for a while after one: a full runner is doubted with each refusal.
+  // Whether an endpoint that is suspected for another reason than silence is to
+  // be probed now; marks it as being probed. False while a probe is outstanding
+  // and for a while after one: each refusal of a full runner makes it suspect.
   bool BeginProbe(Time now, const std::string& endpoint);
   enum class Change { kNone, kWorse, kBetter };
-  // What came of it: whether it works, and at what pace.
+  // The result of a probe: whether the endpoint works, and its slowdown.
   Change OnProbeResult(const std::string& endpoint, bool works,
                        double slowdown);
-  // Nothing came of it, and whether that is this box's own fault is open. True
-  // if it may be asked once more at once, else it has its turn later.
+  // A probe got no answer, possibly by this box's own fault. Returns true if it
+  // may be repeated at once; otherwise it is repeated in turn.
   bool OnProbeInconclusive(const std::string& endpoint);
   void Forget(const std::string& endpoint) { rows_.erase(endpoint); }
-  // It has started anew: what was seen of it is of a life that is over.
+  // The endpoint has restarted: drops what was observed of its old incarnation.
   void OnRestart(const std::string& endpoint);
 
   bool IsDown(const std::string& endpoint) const;
-  // It is down, is being asked, or did not answer of late.
+  // It is down, is being probed, or did not answer its last probe.
   bool IsSuspected(const std::string& endpoint) const;
   bool IsSlow(const std::string& endpoint) const;
   // When it last showed that it works; Time{} if never.
@@ -74,18 +73,18 @@
  private:
   struct Row {
     int streams = 0;
-    int lost = 0;  // streams of lives that are over, until they end
+    int stale_streams = 0;  // streams of old incarnations that have not ended
     Time progress{};
-    double usual = 0;  // seconds between signs of life
-    Time asked{};
-    bool asking = false;
-    bool undecided = false;  // by the last answer, or none
+    double mean_interval = 0;  // seconds between events
+    Time last_probe{};
+    bool probing = false;
+    bool inconclusive = false;  // the last probe may be repeated at once
     bool down = false;
     bool slow = false;
   };
 
-  bool MayAsk(Time now, const Row& row) const;
-  bool Suspicious(Time now, const Row& row) const;
+  bool MayProbe(Time now, const Row& row) const;
+  bool IsSuspicious(Time now, const Row& row) const;
 
   Options options_;
   std::unordered_map<std::string, Row> rows_;
--- a/pinford/forwarding/failure_gossip.h
+++ b/pinford/forwarding/failure_gossip.h
@@ -1,22 +1,23 @@
-// Passes on that runners are down or slow, from box to box.
+// Gossip between boxes about runners that are down or slow.
 //
-// Each box by itself notices a dead runner only when one of its own requests
-// meets it. Where a box sees few requests that costs a send a box and runner:
-// 64 boxes sent 778 requests to four dead runners until their entries lapsed.
-// So a box whose own question a runner did not answer tells a few peers, chosen
-// at random. A peer never believes it: it asks the runner itself, and tells
-// others only if it got no answer either. News that is true reaches all boxes
-// in a few rounds of questions (one that is slow answers, and says its pace);
-// news that is false (of a box that is late, cut off or at fault) ends with the
-// first box that hears it, and costs that many questions. No box is kept from a
-// working runner by another's word.
+// A box alone detects a dead runner only when one of its own requests meets it.
+// Where a box gets few requests, this costs one send per box and runner: 64
+// boxes sent 778 requests to four dead runners until their entries lapsed. So a
+// box whose own probe of a runner fails notifies a few random peers. A peer
+// does not trust the notice: it probes the runner itself, and notifies others
+// only if its own probe fails too. A true notice reaches all boxes within a few
+// rounds of probes (a slow runner answers and reports its slowdown). A false
+// one (from a box that is late, partitioned or faulty) ends with its first
+// receivers, at the cost of one probe each. No box stops using a working runner
+// because of a notice alone.
 //
-// What a box sends for a runner that is down is the same for any number of
-// boxes; the rounds grow with their logarithm. A lost datagram is made up for
-// by the others: with five peers each, six or seven boxes in 1,000 hear of it
-// from nobody, and find out by their own requests.
+// The messages that a box sends for one failed runner do not depend on the
+// number of boxes; the number of rounds grows with its logarithm. Lost
+// datagrams are made up for by other senders: with five peers each, six or
+// seven boxes in 1,000 get no notice and find out by their own requests.
 //
-// No I/O: the owner asks whom Heard names, and sends what Take gives.
+// No I/O: the owner probes the runners that OnNotice returns, and sends what
+// Take returns.
 
 #ifndef PINFORD_FORWARDING_FAILURE_GOSSIP_H_
 #define PINFORD_FORWARDING_FAILURE_GOSSIP_H_
@@ -32,27 +33,29 @@
 class FailureGossip {
  public:
   struct Options {
-    // Peers that are told. Of n boxes about n * exp(-peers) hear nothing.
+    // Peers notified. Of n boxes about n * exp(-fanout) receive nothing.
     size_t fanout = 5;
-    // What comes within so long goes out together: runners that fail at the
-    // same moment are noticed milliseconds apart.
+    // Notices within this time go out in one message: runners that fail
+    // together are detected milliseconds apart.
     Duration batch_window = milliseconds(3);
-    // A runner is told of, and asked for a peer's word, once in so long. Bounds
-    // what a box that is at fault can cause: a question a runner and second.
-    Duration again = seconds(1);
-    // Runners in a message; the rest are found out otherwise.
-    size_t most_told = 64;
+    // A runner is announced, and probed because of a notice, at most once in
+    // this time. Bounds the load that a faulty box can cause to one probe per
+    // runner and second.
+    Duration repeat_interval = seconds(1);
+    // Runners per message. Others are detected by requests.
+    size_t max_endpoints = 64;
   };
 
   explicit FailureGossip(const Options& options) : options_(options) {}
 
-  // This box's own question to the runner got no answer, or one that it is
-  // slow, for the first time.
-  // True if a message is to be sent after `gather`, because of it.
+  // This box's own probe of the runner failed, or showed that it is slow, for
+  // the first time. Returns true if a message is to be sent after
+  // `batch_window`.
   bool OnDown(Time now, const std::string& endpoint);
-  // The runners to tell of, once `gather` has passed.
+  // The runners to announce, once `batch_window` has passed. Clears them.
   std::vector<std::string> Take();
-  // A peer says that these are down: those that this box is to ask.
+  // A peer announced these runners as down. Returns those that this box is to
+  // probe.
   std::vector<std::string> OnNotice(Time now,
                                     const std::vector<std::string>& endpoints);
 
@@ -60,13 +63,13 @@
 
  private:
   using Times = std::unordered_map<std::string, Time>;
-  // Whether it is the first time within `again`; notes it if so.
-  bool IsNews(Time now, const std::string& endpoint, Times* times) const;
+  // Whether `endpoint` is new within `repeat_interval`; records it if so.
+  bool MarkIfNew(Time now, const std::string& endpoint, Times* times) const;
 
   Options options_;
   std::vector<std::string> pending_;
-  Times told_;
-  Times heard_;
+  Times announced_;
+  Times received_;
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/list_changes.cc
+++ b/pinford/forwarding/list_changes.cc
@@ -4,23 +4,23 @@
 
 namespace pinford {
 
-void ListChanges::Note(const std::string& id) {
-  const auto [it, first] = last_.try_emplace(id, 0);
+void ListChanges::Record(const std::string& id) {
+  const auto [it, first] = sequence_of_.try_emplace(id, 0);
   if (!first) ids_.erase(it->second);
   it->second = ++at_;
   ids_[at_] = id;
 }
 
-void ListChanges::Forget(const std::string& id) {
-  const auto it = last_.find(id);
-  if (it == last_.end()) return;
-  forgotten_ = std::max(forgotten_, it->second);
+void ListChanges::Erase(const std::string& id) {
+  const auto it = sequence_of_.find(id);
+  if (it == sequence_of_.end()) return;
+  last_erased_ = std::max(last_erased_, it->second);
   ids_.erase(it->second);
-  last_.erase(it);
+  sequence_of_.erase(it);
 }
 
 std::optional<std::vector<std::string>> ListChanges::Since(uint64_t at) const {
-  if (at > at_ || at < forgotten_) return std::nullopt;
+  if (at > at_ || at < last_erased_) return std::nullopt;
   std::vector<std::string> out;
   for (auto it = ids_.upper_bound(at); it != ids_.end(); ++it) {
     out.push_back(it->second);
--- a/pinford/forwarding/list_changes.h
+++ b/pinford/forwarding/list_changes.h
@@ -1,9 +1,9 @@
-// Which entries of a list changed after a moment, so that a peer that has the
-// list as of then is told of these alone.
+// Records which entries of a list changed, so that a peer that has the list as
+// of some sequence number gets only the changes since.
 //
-// Moments are counted by the changes of this list on this box; they mean
-// nothing elsewhere. Each id is kept once, at its last change, so that a change
-// costs the same however long the list is and however much it changes.
+// Sequence numbers count this box's changes to the list; they mean nothing
+// elsewhere. Each id is kept once, at its last change, so the cost of a change
+// does not depend on the length of the list or the number of changes.
 
 #ifndef PINFORD_FORWARDING_LIST_CHANGES_H_
 #define PINFORD_FORWARDING_LIST_CHANGES_H_
@@ -19,24 +19,23 @@
 
 class ListChanges {
  public:
-  // The entry of that id was taken, changed or dropped.
-  void Note(const std::string& id);
-  // Nobody needs to be told of it any more who has heard of what came later:
-  // who has not is not told changes, but the whole.
-  void Forget(const std::string& id);
+  // The entry with that id was added, changed or removed.
+  void Record(const std::string& id);
+  // Drops an old change. Peers that are not past it get the full list instead
+  // of changes.
+  void Erase(const std::string& id);
 
-  // Now.
+  // The current sequence number.
   uint64_t at() const { return at_; }
-  // The ids that changed after `at`, in the order of their last changes.
-  // Nothing if that is not known: it is no moment of this list, or so long ago
-  // that changes after it were forgotten.
+  // The ids that changed after `at`, ordered by their last changes. nullopt if
+  // `at` is no sequence number of this list, or changes after it were erased.
   std::optional<std::vector<std::string>> Since(uint64_t at) const;
 
  private:
   uint64_t at_ = 0;
-  uint64_t forgotten_ = 0;  // the last change that was
+  uint64_t last_erased_ = 0;  // greatest erased sequence number
   std::map<uint64_t, std::string> ids_;
-  std::unordered_map<std::string, uint64_t> last_;  // by id
+  std::unordered_map<std::string, uint64_t> sequence_of_;  // by id
 };
 
 }  // namespace pinford
--- a/pinford/forwarding/pool_client.h
+++ b/pinford/forwarding/pool_client.h
@@ -1,9 +1,9 @@
-// The seam to the runners of a pool, for whoever places layers on them.
+// Interface to the runners of a pool, for placing layers on them.
 //
 // An order names the number of orders that the runner is expected to have
-// taken: one that was held up on its way, and arrives after a newer one, does
-// not fit any more and is refused. The fence keeps out a planner that lost its
-// lease.
+// accepted so far. A delayed order that arrives after a newer one no longer
+// matches and is refused. The fence rejects orders of a planner that has lost
+// its lease.
 
 #ifndef PINFORD_FORWARDING_POOL_CLIENT_H_
 #define PINFORD_FORWARDING_POOL_CLIENT_H_
@@ -22,38 +22,37 @@
 
 namespace pinford {
 
-// What a runner reports; some hundred milliseconds old when it is read.
+// A runner's report, some hundred milliseconds old when it is read.
 struct RunnerReport {
   RunnerState state;
-  bool busy = false;  // an order is under way
-  int running = 0;    // requests whose first stage it is
-  int waiting = 0;    // ... that have not begun
-  double used = 0;    // memory taken by requests, thousands of tokens x layers
-  double slowdown = 1;  // over 1: it takes so many times as long as it should
+  bool busy = false;    // an order is in progress
+  int running = 0;      // requests whose first stage it is
+  int waiting = 0;      // ... that have not started
+  double used = 0;      // memory used by requests, thousands of tokens x layers
+  double slowdown = 1;  // times slower than nominal; 1: nominal
 };
 
-// What came of asking a runner for its report.
+// The result of requesting a runner's report.
 struct RunnerAnswer {
-  // Nothing came back in time. A refused connection is no silence: it comes
-  // from there, and shows that the way works.
+  // Nothing came back in time. A refused connection is an answer: it comes from
+  // the runner's host and shows that the path works.
   bool timed_out = true;
-  std::optional<RunnerReport> report;  // if what came back was one
+  std::optional<RunnerReport> report;  // if the answer contained one
 };
 
-// What a runner says when it is asked whether it works.
+// The result of probing a runner.
 struct RunnerHealth {
   bool answered = false;  // something came back in time
-  bool works = false;     // ... and it holds what the list says
-  double slowdown = 1;    // as RunnerReport::pace
+  bool works = false;     // ... and it holds the listed layers
+  double slowdown = 1;    // as RunnerReport::slowdown
   double used = 0;        // as RunnerReport::used
-  int entries = 0;        // requests there, running or waiting
+  int entries = 0;        // its requests, running or waiting
 };
 
-// What its report, or none, says of a runner that the list shows to hold
-// `listed`, as the life `incarnation`. Another life at the same address is not
-// the one that is meant, whatever it holds.
-// One that loads more layers holds them before the list, which is up to a
-// heartbeat late, says so.
+// Evaluates the answer of a runner that is listed as holding `listed`, as the
+// incarnation `incarnation`. Another incarnation at the same address does not
+// count as working, whatever it holds. A runner that loads more layers holds
+// them up to a heartbeat before the list shows it.
 RunnerHealth HealthOf(const LayerRange& listed, uint64_t incarnation,
                       const RunnerAnswer& answer);
 
@@ -65,19 +64,19 @@
 
 enum class LayerOrderStatus {
   kStarted,
-  kDone,      // it holds that already
-  kConflict,  // it has taken other orders, or is in another state
-  kFenced,    // a higher fence was seen
+  kDone,      // it holds the range already
+  kConflict,  // it has accepted other orders, or is in another state
+  kFenced,    // it has seen a higher fence
   kNotSent,
-  kUnknown,  // it may have been taken, or may be yet
+  kUnknown,  // may have been accepted, or may be later
 };
 
 std::string_view LayerOrderStatusName(LayerOrderStatus s);
 
 enum class RerouteStatus {
   kDone,
-  kNoRequest,       // the entry does not know the request
-  kRefusedByStage,  // a stage does not hold its part or has no room
+  kNoRequest,       // the first stage does not know the request
+  kRefusedByStage,  // a stage does not hold its layers or lacks memory
   kUnknown,         // no answer
 };
 
@@ -85,8 +84,7 @@
 
 struct RerouteResult {
   RerouteStatus status = RerouteStatus::kUnknown;
-  // Of kRefusedByStage: the address of the stage that refuses, "" if it is not
-  // named.
+  // For kRefusedByStage: the address of the refusing stage, "" if unknown.
   std::string at_fault;
 };
 
@@ -102,8 +100,8 @@
                               RerouteHandler on_reroute) {
   {c.Report(runner, limit, on_report)};
   {c.Order(runner, order, on_order)};
-  // Tells the entry of a running request's chain to go on with another one,
-  // whose first stage is the same.
+  // Asks the first stage of a running request to continue with another chain
+  // that has the same first stage.
   {c.Reroute(runner, request, chain, limit, on_reroute)};
 };
 
--- a/pinford/forwarding/probe_evidence.cc
+++ b/pinford/forwarding/probe_evidence.cc
@@ -6,11 +6,11 @@
 
 void ProbeEvidence::OnSent(Time now) {
   probes_.push_back({now, false});
-  if (probes_.size() > kMostKept) probes_.pop_front();
+  if (probes_.size() > kMaxProbes) probes_.pop_front();
 }
 
 void ProbeEvidence::OnAnswered(Time sent) {
-  in_doubt_ = false;
+  local_fault_suspected_ = false;
   const auto probe = std::find_if(
       probes_.begin(), probes_.end(),
       [sent](const Probe& p) { return p.sent == sent && !p.answered; });
@@ -18,16 +18,16 @@
 }
 
 bool ProbeEvidence::IndicatesFailure(Time sent) {
-  int together = 0;
+  int concurrent = 0;
   for (const Probe& probe : probes_) {
     const bool apart = probe.sent < sent - kConcurrentWindow ||
                        probe.sent > sent + kConcurrentWindow;
     if (apart) continue;
     if (probe.answered) return true;
-    together++;
+    concurrent++;
   }
-  in_doubt_ = in_doubt_ || together > 1;
-  return !in_doubt_;
+  local_fault_suspected_ = local_fault_suspected_ || concurrent > 1;
+  return !local_fault_suspected_;
 }
 
 }  // namespace pinford
--- a/pinford/forwarding/probe_evidence.h
+++ b/pinford/forwarding/probe_evidence.h
@@ -1,11 +1,11 @@
-// Whether a probe that got no answer speaks against its endpoint.
+// Decides whether an unanswered probe indicates that its endpoint has failed.
 //
-// Probes that are sent together share this box's way to all endpoints. If none
-// of them is answered, its own link or processor may be at fault, and nothing
-// is known of any endpoint. One answer among them shows that the way works, and
-// speaks against those that gave none. A probe that was sent alone has nothing
-// to be compared with, and speaks against its endpoint, unless nothing has been
-// answered since the way came into doubt.
+// Probes that are sent together share this box's path to all endpoints. If none
+// of them is answered, this box's own link or processor may be at fault, and
+// the endpoints' state is unknown. A single answer shows that the path works,
+// so the unanswered probes indicate failures. A probe that was sent alone
+// cannot be compared with others: it indicates a failure, unless the path is
+// suspect and nothing has been answered since.
 //
 // No I/O, no clock.
 
@@ -21,17 +21,17 @@
 
 class ProbeEvidence {
  public:
-  // Probes are sent together if one was not yet overdue when the other was
+  // Probes count as concurrent if one was not yet overdue when the other was
   // sent.
   static constexpr Duration kConcurrentWindow = milliseconds(30);
-  static constexpr size_t kMostKept = 64;
+  static constexpr size_t kMaxProbes = 64;
 
   // A probe was sent to an endpoint that is not known to be down.
   void OnSent(Time now);
-  // The one that was sent at `sent` has been answered.
+  // The probe that was sent at `sent` was answered.
   void OnAnswered(Time sent);
-  // Whether a probe of `sent`, which got no answer, speaks against its
-  // endpoint.
+  // Whether the unanswered probe of `sent` indicates that its endpoint has
+  // failed.
   bool IndicatesFailure(Time sent);
 
  private:
@@ -39,8 +39,8 @@
     Time sent;
     bool answered;
   };
-  std::deque<Probe> probes_;  // in the order in which they were sent
-  bool in_doubt_ = false;
+  std::deque<Probe> probes_;  // in order of sending
+  bool local_fault_suspected_ = false;
 };
 
 }  // namespace pinford
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -1,5 +1,3 @@
-// The list of endpoints as boxes believe it.
-
 #include "pinford/forwarding/endpoint_directory.h"
 
 #include <gtest/gtest.h>
@@ -48,55 +46,57 @@
   EndpointDirectory::Events Events() {
     EndpointDirectory::Events events;
     events.on_joined = [this](const DirectoryEntry& e) {
-      said.push_back("+" + e.listed.name);
+      events_seen.push_back("+" + e.listed.name);
     };
     events.on_leaving = [this](const std::string& id) {
-      said.push_back("~" + id);
+      events_seen.push_back("~" + id);
     };
     events.on_removed = [this](const std::string& id) {
-      said.push_back("-" + id);
+      events_seen.push_back("-" + id);
     };
     return events;
   }
-  std::vector<std::string> Said() { return std::exchange(said, {}); }
+  std::vector<std::string> TakeEvents() {
+    return std::exchange(events_seen, {});
+  }
 
-  std::vector<std::string> said;
+  std::vector<std::string> events_seen;
   EndpointTable table;
   EndpointDirectory directory;
 };
 
 using Strings = std::vector<std::string>;
 
-TEST(EndpointDirectory, WhatIsMissingFromAListIsGoneUnlessItMayHaveLapsed) {
+TEST(EndpointDirectory, RemovesMissingEntriesUnlessTheyMayHaveLapsed) {
   Fixture f;
   Time now = Time{} + seconds(100);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
-  EXPECT_EQ(f.Said(), (Strings{"+a", "+b"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "+b"}));
   f.directory.OnList(now, {Entry("a")});
-  EXPECT_EQ(f.Said(), (Strings{"-b"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"-b"}));
 
-  // The store has come back: its entries may have run out meanwhile.
+  // The store is back after an outage: its entries may have lapsed meanwhile.
   f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {});
   f.directory.Tick(now + seconds(1));
-  EXPECT_EQ(f.Said(), Strings{});
+  EXPECT_EQ(f.TakeEvents(), Strings{});
   EXPECT_TRUE(f.table.TakesNewWork(now, "a") ||
               f.directory.Find("a") != nullptr);
   f.directory.OnEntry(now + seconds(2), Entry("a"));
   f.directory.Tick(now + seconds(4));
-  EXPECT_EQ(f.Said(), Strings{}) << "it came back in time";
+  EXPECT_EQ(f.TakeEvents(), Strings{}) << "it came back in time";
 
   f.directory.OnStoreReachable(now + seconds(10));
   f.directory.OnRemoved(now + seconds(10), "a");
   f.directory.Tick(now + seconds(11));
-  EXPECT_EQ(f.Said(), Strings{});
+  EXPECT_EQ(f.TakeEvents(), Strings{});
   f.directory.Tick(now + seconds(13));
-  EXPECT_EQ(f.Said(), (Strings{"-a"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"-a"}));
 }
 
-// A peer that gets the list of a box which still waits for an entry drops it
-// when that box does: the list's version says nothing of it any more.
-TEST(EndpointDirectory, APeerDropsWhatMayHaveLapsedWhenItsSourceDoes) {
+// A peer that has the list of a box that still waits for an entry removes the
+// entry when that box does: no new list version announces the removal.
+TEST(EndpointDirectory, PeerRemovesLapsedEntriesWhenItsSourceDoes) {
   Fixture source;
   Fixture peer;
   const Time now = Time{} + seconds(100);
@@ -104,16 +104,16 @@
   peer.directory.OnList(now, source.directory.Snapshot(now));
   source.directory.OnStoreReachable(now);
   source.directory.OnRemoved(now, "b");
-  const Time asked = now + milliseconds(500);
+  const Time fetched = now + milliseconds(500);
   const auto copy =
-      ParseDirectory(WriteDirectory(source.directory.Snapshot(asked)));
+      ParseDirectory(WriteDirectory(source.directory.Snapshot(fetched)));
   ASSERT_TRUE(copy);
-  peer.directory.OnList(asked, *copy);
-  EXPECT_EQ(peer.Said(), (Strings{"+a", "+b"}));
+  peer.directory.OnList(fetched, *copy);
+  EXPECT_EQ(peer.TakeEvents(), (Strings{"+a", "+b"}));
   peer.directory.Tick(now + milliseconds(2100));
-  EXPECT_EQ(peer.Said(), Strings{});
+  EXPECT_EQ(peer.TakeEvents(), Strings{});
   peer.directory.Tick(now + milliseconds(2200));
-  EXPECT_EQ(peer.Said(), (Strings{"-b"}));
+  EXPECT_EQ(peer.TakeEvents(), (Strings{"-b"}));
 
   // An entry that is back is back for the peer, too.
   const Time later = now + seconds(10);
@@ -124,45 +124,45 @@
   source.directory.OnEntry(later, Entry("a"));
   peer.directory.OnList(later, source.directory.Snapshot(later));
   peer.directory.Tick(later + seconds(5));
-  EXPECT_EQ(peer.Said(), Strings{});
+  EXPECT_EQ(peer.TakeEvents(), Strings{});
 }
 
-// Time left for an entry never grows by going from peer to peer.
-TEST(EndpointDirectory, CopiesOfCopiesDoNotKeepAnEntryForLonger) {
+// The time left for an entry does not grow when snapshots are passed on.
+TEST(EndpointDirectory, ForwardedSnapshotsDoNotExtendALapse) {
   Fixture boxes[2];
   Time now = Time{} + seconds(100);
   for (Fixture& box : boxes) box.directory.OnList(now, {Entry("a")});
   boxes[0].directory.OnStoreReachable(now);
   boxes[0].directory.OnRemoved(now, "a");
-  const Time over = now + milliseconds(2200);
-  for (int i = 0; now < over; i++, now += milliseconds(100)) {
+  const Time deadline = now + milliseconds(2200);
+  for (int i = 0; now < deadline; i++, now += milliseconds(100)) {
     boxes[(i + 1) % 2].directory.OnList(now,
                                         boxes[i % 2].directory.Snapshot(now));
   }
   for (Fixture& box : boxes) {
-    box.directory.Tick(over);
+    box.directory.Tick(deadline);
     EXPECT_TRUE(box.directory.entries().empty());
   }
 }
 
-// A box that the store had refused for a while waits for entries that others
-// saw go, and its list is newer than theirs.
-TEST(EndpointDirectory, ACopyBringsNothingBackThatMayHaveLapsed) {
-  Fixture late;
+// A box that the store refused for a while still keeps entries that others saw
+// removed, and its list is newer than theirs.
+TEST(EndpointDirectory, SnapshotDoesNotRestoreLapsedEntries) {
+  Fixture lagging;
   Fixture peer;
   const Time now = Time{} + seconds(100);
-  late.directory.OnList(now, {Entry("a"), Entry("b")});
+  lagging.directory.OnList(now, {Entry("a"), Entry("b")});
   peer.directory.OnList(now, {Entry("a"), Entry("b")});
   peer.directory.OnRemoved(now, "b");
-  late.directory.OnStoreReachable(now);
-  late.directory.OnList(now, {Entry("a")});
-  peer.directory.OnList(now, late.directory.Snapshot(now));
-  EXPECT_EQ(peer.Said(), (Strings{"+a", "+b", "-b"}));
+  lagging.directory.OnStoreReachable(now);
+  lagging.directory.OnList(now, {Entry("a")});
+  peer.directory.OnList(now, lagging.directory.Snapshot(now));
+  EXPECT_EQ(peer.TakeEvents(), (Strings{"+a", "+b", "-b"}));
   EXPECT_FALSE(peer.table.TakesNewWork(now, "b"));
 }
 
-// What a runner or a peer says of an entry does not put it back into the store.
-TEST(EndpointDirectory, OnlyTheStoreBringsALapsedEntryBack) {
+// Reports of runners and peers do not put an entry back into the store.
+TEST(EndpointDirectory, OnlyTheStoreRestoresALapsedEntry) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
@@ -174,36 +174,36 @@
   EXPECT_TRUE(f.directory.entries().empty());
 }
 
-// A box that has just started knows of no entry that could have lapsed.
-TEST(EndpointDirectory, ANewBoxTakesTheStoresWordAtOnce) {
+// A box that has just started knows no entry that could have lapsed.
+TEST(EndpointDirectory, EmptyDirectoryHasNoLapsedEntries) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {Entry("a"), Entry("b")});
   f.directory.OnRemoved(now + seconds(1), "b");
-  EXPECT_EQ(f.Said(), (Strings{"+a", "+b", "-b"}));
+  EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "+b", "-b"}));
 }
 
-TEST(EndpointDirectory, LeavingIsBelievedFromWhoeverSaysItAndForGood) {
-  for (int way = 0; way < 3; way++) {
+TEST(EndpointDirectory, LeavingIsAcceptedFromAnySourceAndNotRevoked) {
+  for (int source_kind = 0; source_kind < 3; source_kind++) {
     Fixture f;
     const Time now = Time{} + seconds(100);
     f.directory.OnList(now, {Entry("a", false, {0, 8})});
     EXPECT_TRUE(f.table.TakesNewWork(now, "a"));
-    if (way == 0) f.directory.OnLeaving(now, "a", 1);
-    if (way == 1) f.directory.OnEntry(now, Entry("a", true, {0, 8}));
-    if (way == 2) f.directory.OnList(now, {Entry("a", true, {0, 8})});
-    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << way;
-    EXPECT_EQ(f.Said(), (Strings{"+a", "~a"})) << way;
-    // An older word that it is there changes nothing.
+    if (source_kind == 0) f.directory.OnLeaving(now, "a", 1);
+    if (source_kind == 1) f.directory.OnEntry(now, Entry("a", true, {0, 8}));
+    if (source_kind == 2) f.directory.OnList(now, {Entry("a", true, {0, 8})});
+    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << source_kind;
+    EXPECT_EQ(f.TakeEvents(), (Strings{"+a", "~a"})) << source_kind;
+    // An older update does not revoke it.
     f.directory.OnEntry(now, Entry("a", false, {0, 8}));
     f.directory.OnList(now, {Entry("a", false, {0, 8})});
-    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << way;
-    EXPECT_EQ(f.Said(), Strings{}) << way;
+    EXPECT_FALSE(f.table.TakesNewWork(now, "a")) << source_kind;
+    EXPECT_EQ(f.TakeEvents(), Strings{}) << source_kind;
   }
 }
 
-TEST(EndpointDirectory, RunnersGetTheirPaceAndRoomFromTheConfiguration) {
+TEST(EndpointDirectory, SpeedAndFreeMemoryComeFromTheConfiguration) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   DirectoryEntry plain = Entry("p");
@@ -218,12 +218,12 @@
   EXPECT_DOUBLE_EQ(report.layer_seconds, 0.002 / 8);
   // 10,000 MB less 6 layers, at 1 MB a token and layer, in thousands.
   EXPECT_DOUBLE_EQ(report.memory_capacity, 4);
-  // Its own word is ahead of the list.
+  // The runner's own report is ahead of the list.
   f.directory.OnRunnerState(now, "a", {"big", "1", {0, 4}, 3});
   EXPECT_EQ(f.table.rows().at("a").report->holds, (LayerRange{0, 4}));
 }
 
-TEST(EndpointDirectory, TheListForAPeerReadsBackAsItWas) {
+TEST(EndpointDirectory, SerializedListRoundTrips) {
   std::vector<DirectoryEntry> list = {Entry("a", true, {0, 4}), Entry("b")};
   list[1].runner.reset();
   const auto read = ParseDirectory(WriteDirectory(list));
@@ -238,19 +238,19 @@
   }
 }
 
-// --- lives under one id, and entries of another writer ----------------------
+// --- incarnations under one id, and entries of other writers -----------------
 
-DirectoryEntry LifeOf(uint64_t life, bool leaving = false,
-                      LayerRange holds = {0, 8}) {
+DirectoryEntry WithIncarnation(uint64_t incarnation, bool leaving = false,
+                               LayerRange holds = {0, 8}) {
   DirectoryEntry e = Entry("a", leaving, holds);
-  e.listed.incarnation = e.runner->incarnation = life;
+  e.listed.incarnation = e.runner->incarnation = incarnation;
   return e;
 }
 
-TEST(EndpointDirectory, ALaterLifeBeginsWithNothingOfTheOneBefore) {
+TEST(EndpointDirectory, NewIncarnationStartsWithoutEarlierState) {
   Fixture f;
   const Time now = Time{} + seconds(100);
-  f.directory.OnList(now, {LifeOf(1000)});
+  f.directory.OnList(now, {WithIncarnation(1000)});
   f.table.OnSent("a", 3);
   f.table.OnEntry("a");
   f.table.SetDown("a", true);
@@ -259,13 +259,13 @@
   f.table.OnFailure(now, "a", now);
   f.table.OnObserved(now, "a", 50, 4);
   const Time later = now + milliseconds(10);
-  f.directory.OnEntry(later, LifeOf(2000, false, {}));
+  f.directory.OnEntry(later, WithIncarnation(2000, false, {}));
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
   EXPECT_EQ(f.table.LoadOf("a"), 0);
   EXPECT_EQ(f.table.MemoryUtilizationOf(later, "a"), 0);
   EXPECT_TRUE(f.table.rows().at("a").report->holds.empty());
   EXPECT_EQ(f.table.rows().at("a").slowdown, 1);
-  // What was sent before fails now, and ends.
+  // Failures and ends of requests to the old incarnation do not count.
   f.table.OnFailure(later, "a", now);
   EXPECT_TRUE(f.table.TakesNewWork(later, "a"));
   f.table.OnSent("a", 2);
@@ -277,8 +277,8 @@
   EXPECT_EQ(f.table.LoadOf("a"), 0);
 }
 
-// Words of three lives, of all sources, in any order; and of nobody's.
-TEST(EndpointDirectory, LivesAreToldApartInAnyOrder) {
+// Updates of three incarnations from all sources, in random order.
+TEST(EndpointDirectory, SeparatesIncarnationsInAnyOrder) {
   for (int seed = 0; seed < 400; seed++) {
     Random random(seed);
     Fixture f;
@@ -286,48 +286,49 @@
     f.directory.OnList(now, {Entry("b")});
     bool present = false;
     uint64_t newest = 0;
-    uint64_t left = 0;
+    uint64_t max_leaving = 0;
     LayerRange holds;
     for (int step = 0; step < 40; step++) {
       now += milliseconds(100);
-      const uint64_t life = 1000 * (1 + random() % 3);
+      const uint64_t incarnation = 1000 * (1 + random() % 3);
       const bool leaving = random() % 6 == 0;
       const int to = 1 + static_cast<int>(random() % 8);
-      const DirectoryEntry word = LifeOf(life, leaving, {0, to});
+      const DirectoryEntry update =
+          WithIncarnation(incarnation, leaving, {0, to});
       const int source = static_cast<int>(random() % 8);
-      if (source == 0) f.directory.OnList(now, {word, Entry("b")});
-      if (source == 1) f.directory.OnEntry(now, word);
+      if (source == 0) f.directory.OnList(now, {update, Entry("b")});
+      if (source == 1) f.directory.OnEntry(now, update);
       if (source == 2) {
-        const auto copy = ParseDirectory(WriteDirectory({word, Entry("b")}));
+        const auto copy = ParseDirectory(WriteDirectory({update, Entry("b")}));
         f.directory.OnList(now, *copy);
       }
       if (source <= 2) {
-        if (leaving) left = std::max(left, life);
-        if (life >= newest) {
-          newest = life;
+        if (leaving) max_leaving = std::max(max_leaving, incarnation);
+        if (incarnation >= newest) {
+          newest = incarnation;
           present = true;
           holds = {0, to};
         }
       }
       if (source == 3) {
-        RunnerState state = *word.runner;
+        RunnerState state = *update.runner;
         state.leaving = leaving;
         f.directory.OnRunnerState(now, "a", state);
-        if (leaving) left = std::max(left, life);
-        if (present && life >= newest) {
-          newest = life;
+        if (leaving) max_leaving = std::max(max_leaving, incarnation);
+        if (present && incarnation >= newest) {
+          newest = incarnation;
           holds = {0, to};
         }
       }
       if (source == 4 && random() % 3 == 0) {
-        f.directory.OnLeaving(now, "a", life);
-        left = std::max(left, life);
+        f.directory.OnLeaving(now, "a", incarnation);
+        max_leaving = std::max(max_leaving, incarnation);
       }
       if (source == 5) f.directory.OnUnreadable(now, "a");
       if (source == 6) f.directory.OnList(now, {Entry("b")}, {"a"});
       if (source == 7) f.directory.OnRemoved(now, "a");
       if (source >= 5) present = false;
-      ASSERT_EQ(f.table.TakesNewWork(now, "a"), present && newest > left)
+      ASSERT_EQ(f.table.TakesNewWork(now, "a"), present && newest > max_leaving)
           << seed << " " << step;
       ASSERT_TRUE(f.table.TakesNewWork(now, "b")) << seed;
       ASSERT_EQ(f.directory.Find("a") != nullptr, present) << seed;
@@ -342,61 +343,66 @@
   }
 }
 
-// Where a word tells no life, leaving is believed and a life stays known.
-TEST(EndpointDirectory, WhereLivesCannotBeToldApart) {
-  using Word = std::function<void(Time, EndpointDirectory*)>;
-  const auto entry = [](uint64_t life, bool leaving = false) -> Word {
+// An update without an incarnation may mark an endpoint as leaving; the known
+// incarnation stays known.
+TEST(EndpointDirectory, UnknownIncarnations) {
+  using Update = std::function<void(Time, EndpointDirectory*)>;
+  const auto entry = [](uint64_t incarnation, bool leaving = false) -> Update {
     return [=](Time now, EndpointDirectory* d) {
-      d->OnEntry(now, LifeOf(life, leaving));
+      d->OnEntry(now, WithIncarnation(incarnation, leaving));
     };
   };
-  const auto copy = [](uint64_t life) -> Word {
-    return
-        [=](Time now, EndpointDirectory* d) { d->OnList(now, {LifeOf(life)}); };
+  const auto copy = [](uint64_t incarnation) -> Update {
+    return [=](Time now, EndpointDirectory* d) {
+      d->OnList(now, {WithIncarnation(incarnation)});
+    };
   };
-  const auto mark = [](uint64_t life) -> Word {
-    return
-        [=](Time now, EndpointDirectory* d) { d->OnLeaving(now, "a", life); };
+  const auto mark = [](uint64_t incarnation) -> Update {
+    return [=](Time now, EndpointDirectory* d) {
+      d->OnLeaving(now, "a", incarnation);
+    };
   };
   const struct {
     const char* what;
-    std::vector<Word> words;
+    std::vector<Update> updates;
     bool works;
   } cases[] = {
-      {"a mark without a life", {entry(1000), mark(1)}, false},
-      {"a mark of the life before", {entry(2000), mark(1000)}, true},
-      {"a mark of a life to come", {entry(1000), mark(2000)}, false},
-      {"... which comes", {entry(1000), mark(2000), entry(2000)}, false},
-      {"... and the next", {mark(2000), entry(2000), entry(3000)}, true},
+      {"a mark without an incarnation", {entry(1000), mark(1)}, false},
+      {"a mark of an older incarnation", {entry(2000), mark(1000)}, true},
+      {"a mark of a newer incarnation", {entry(1000), mark(2000)}, false},
+      {"... which then starts", {entry(1000), mark(2000), entry(2000)}, false},
+      {"... and one after that", {mark(2000), entry(2000), entry(3000)}, true},
       {"a mark before its entry", {mark(1000), entry(1000)}, false},
-      {"a mark without a life, first", {entry(1), mark(1), entry(1000)}, false},
-      {"... does not hold for the next",
+      {"a mark without an incarnation, first",
+       {entry(1), mark(1), entry(1000)},
+       false},
+      {"... does not hold for the next one",
        {entry(1), mark(1), entry(1000), entry(2000)},
        true},
-      {"an entry without a life where one was told",
+      {"an entry without an incarnation after one with it",
        {entry(1000), entry(1)},
        false},
-      {"... and a good one again", {entry(1000), entry(1), entry(1000)}, true},
-      {"... that said it leaves",
+      {"... and a valid one again", {entry(1000), entry(1), entry(1000)}, true},
+      {"... that was leaving",
        {entry(1000), entry(1, true), entry(1000)},
        true},
-      {"a copy of a box that tells no lives", {entry(1000), copy(0)}, true},
-      {"... of one that leaves", {entry(1000, true), copy(0)}, false},
-      {"no lives at all", {entry(1), entry(1)}, true},
+      {"a snapshot without incarnations", {entry(1000), copy(0)}, true},
+      {"... of a leaving endpoint", {entry(1000, true), copy(0)}, false},
+      {"no incarnations at all", {entry(1), entry(1)}, true},
   };
   for (const auto& c : cases) {
     Fixture f;
     Time now = Time{} + seconds(100);
-    for (const Word& word : c.words) {
-      word(now, &f.directory);
+    for (const Update& update : c.updates) {
+      update(now, &f.directory);
       now += milliseconds(10);
     }
     EXPECT_EQ(f.table.TakesNewWork(now, "a"), c.works) << c.what;
   }
 }
 
-// Right after the store is back, too, when what is missing may have lapsed.
-TEST(EndpointDirectory, AnUnreadableEntryEndsNewWorkAtOnceAndNothingElse) {
+// Also right after the store is back, when missing entries may have lapsed.
+TEST(EndpointDirectory, UnreadableEntryStopsOnlyNewWorkAtOnce) {
   for (const bool by_list : {false, true}) {
     Fixture f;
     const Time now = Time{} + seconds(100);
@@ -407,14 +413,14 @@
     if (!by_list) f.directory.OnUnreadable(now, "a");
     EXPECT_FALSE(f.table.TakesNewWork(now, "a"));
     EXPECT_TRUE(f.table.TakesNewWork(now, "b"));
-    EXPECT_TRUE(f.table.AddressOf("a")) << "what runs there finishes";
+    EXPECT_TRUE(f.table.AddressOf("a")) << "running requests may finish";
     f.directory.OnEntry(now, Entry("a"));
     EXPECT_TRUE(f.table.TakesNewWork(now, "a"));
   }
 }
 
-// Ranges that the pool does not have, and services that nobody named.
-TEST(EndpointDirectory, WhatTheConfigurationDoesNotNameGetsNoWork) {
+// Layer ranges outside the pool's model, and services that are not configured.
+TEST(EndpointDirectory, UnconfiguredEndpointsGetNoWork) {
   Fixture f;
   const Time now = Time{} + seconds(100);
   DirectoryEntry other = Entry("o");
@@ -432,42 +438,44 @@
   c->version = 2;
   c->services = {{"unnamed", 0, {}}};
   f.directory.set_configuration(now, c);
-  EXPECT_TRUE(f.table.TakesNewWork(now, "o")) << "named by now";
+  EXPECT_TRUE(f.table.TakesNewWork(now, "o")) << "configured now";
   EXPECT_FALSE(f.table.TakesNewWork(now, "b"));
 }
 
-// The store is back from a copy in which "a" stands, which had gone before.
-TEST(EndpointDirectory, WhatWasGoneComesBackWithTheCopyOnlyIfItIsThere) {
+// The store was restored from a backup that contains "a", which was removed.
+TEST(EndpointDirectory, RemovedEntryInABackupIsQuarantined) {
   const Time now = Time{} + seconds(100);
   const Time written = now + seconds(2);
   const struct {
     const char* name;
     std::function<void(EndpointDirectory*)> then;
-    Duration works_from;  // after the restore; none if that is 0
+    Duration works_from;  // after the restore; 0: never
   } cases[] = {
-      {"it stands there", [](EndpointDirectory*) {}, seconds(5)},
+      {"it stays in the store", [](EndpointDirectory*) {}, seconds(5)},
       {"it is written again",
-       [&](EndpointDirectory* d) { d->OnEntry(written, LifeOf(1000)); },
+       [&](EndpointDirectory* d) {
+         d->OnEntry(written, WithIncarnation(1000));
+       },
        seconds(2)},
-      {"it has started anew",
+      {"it has restarted",
        [&](EndpointDirectory* d) {
-         d->OnList(written, {LifeOf(2000), Entry("b")});
+         d->OnList(written, {WithIncarnation(2000), Entry("b")});
        },
        seconds(2)},
       {"it lapses", [&](EndpointDirectory* d) { d->OnRemoved(written, "a"); },
        Duration(0)},
-      {"it is in the next list, too",
+      {"it is in the next list",
        [&](EndpointDirectory* d) {
-         d->OnList(written, {LifeOf(1000), Entry("b")});
+         d->OnList(written, {WithIncarnation(1000), Entry("b")});
        },
        seconds(5)},
       {"it is in no later list",
        [&](EndpointDirectory* d) { d->OnList(written, {Entry("b")}); },
        Duration(0)},
-      {"it was said to leave",
+      {"it was reported as leaving",
        [&](EndpointDirectory* d) {
          d->OnLeaving(written, "a", 1000);
-         d->OnEntry(written, LifeOf(1000));
+         d->OnEntry(written, WithIncarnation(1000));
        },
        Duration(0)},
   };
@@ -475,25 +483,26 @@
     for (const bool by_peer : {false, true}) {
       Fixture f;
       Fixture source;
-      f.directory.OnList(now - seconds(9), {LifeOf(1000), Entry("b")});
+      f.directory.OnList(now - seconds(9), {WithIncarnation(1000), Entry("b")});
       f.directory.OnRemoved(now - seconds(8), "a");
       f.directory.OnStoreRestored(now);
       if (by_peer) {
-        // A box that has just started hears of it from one that doubts it.
-        source.directory.OnList(now - seconds(9), {LifeOf(1000), Entry("b")});
+        // A box that has just started gets it from one that quarantines it.
+        source.directory.OnList(now - seconds(9),
+                                {WithIncarnation(1000), Entry("b")});
         source.directory.OnRemoved(now - seconds(8), "a");
         source.directory.OnStoreRestored(now);
-        source.directory.OnList(now, {LifeOf(1000), Entry("b")});
+        source.directory.OnList(now, {WithIncarnation(1000), Entry("b")});
         const auto copy =
             ParseDirectory(WriteDirectory(source.directory.Snapshot(now)));
         ASSERT_TRUE(copy);
         f.directory.OnList(now, *copy);
       } else {
-        f.directory.OnList(now, {LifeOf(1000), Entry("b")});
+        f.directory.OnList(now, {WithIncarnation(1000), Entry("b")});
       }
-      bool told = false;
+      bool done = false;
       for (Duration d{}; d < seconds(7); d += milliseconds(100)) {
-        if (!std::exchange(told, told || d >= seconds(2)) && d >= seconds(2)) {
+        if (!std::exchange(done, done || d >= seconds(2)) && d >= seconds(2)) {
           c.then(&f.directory);
         }
         f.directory.Tick(now + d);
@@ -506,15 +515,16 @@
   }
 }
 
-// What the copy lacks is kept as after an outage, and what leaves, or has begun
-// a later life, does not come back as it was.
-TEST(EndpointDirectory, TheCopyTakesBackNothingThatIsKnown) {
+// Entries missing from the backup are kept as after an outage. Leaving marks
+// and newer incarnations are not reverted.
+TEST(EndpointDirectory, BackupDoesNotRevertKnownState) {
   const Time now = Time{} + seconds(100);
   Fixture f;
-  f.directory.OnList(now - seconds(9), {LifeOf(2000), Entry("b"), Entry("c")});
+  f.directory.OnList(now - seconds(9),
+                     {WithIncarnation(2000), Entry("b"), Entry("c")});
   f.directory.OnLeaving(now - seconds(8), "b", 1);
   f.directory.OnStoreRestored(now);
-  f.directory.OnList(now, {LifeOf(1000), Entry("b")});
+  f.directory.OnList(now, {WithIncarnation(1000), Entry("b")});
   EXPECT_EQ(f.directory.Find("a")->listed.incarnation, 2000);
   EXPECT_TRUE(f.table.TakesNewWork(now, "a"));
   EXPECT_FALSE(f.table.TakesNewWork(now, "b"));
@@ -525,45 +535,46 @@
   EXPECT_EQ(f.directory.Find("c"), nullptr);
 }
 
-TEST(ListChanges, AreThoseSinceAMomentThatIsKnown) {
+TEST(ListChanges, ReturnsChangesSinceAKnownSequenceNumber) {
   ListChanges changes;
   EXPECT_EQ(changes.Since(0), Strings{});
   EXPECT_EQ(changes.Since(1), std::nullopt);
-  changes.Note("a");
-  changes.Note("b");
+  changes.Record("a");
+  changes.Record("b");
   const uint64_t then = changes.at();
-  changes.Note("a");
-  changes.Note("c");
-  changes.Note("a");
+  changes.Record("a");
+  changes.Record("c");
+  changes.Record("a");
   EXPECT_EQ(changes.Since(0), (Strings{"b", "c", "a"}));
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
   EXPECT_EQ(changes.Since(changes.at()), Strings{});
-  changes.Forget("b");
-  EXPECT_EQ(changes.Since(0), std::nullopt) << "it would not hear of b";
+  changes.Erase("b");
+  EXPECT_EQ(changes.Since(0), std::nullopt) << "it would miss the change of b";
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
-  changes.Forget("unknown");
+  changes.Erase("unknown");
   EXPECT_EQ(changes.Since(then), (Strings{"c", "a"}));
 }
 
-// A peer that is told of changes alone believes what one does that is given the
-// whole list, whatever happens to the list and however seldom they ask.
-TEST(EndpointDirectory, ChangesMakeOfAPeersListWhatTheWholeListDoes) {
-  int partial = 0;
+// A peer that gets changes only ends up in the same state as one that gets the
+// full list, for random events and intervals between fetches.
+TEST(EndpointDirectory, ChangesAndFullListGiveTheSameResult) {
+  int incremental_updates = 0;
   for (int seed = 0; seed < 400; seed++) {
     Random random(seed);
-    // Entries hold until they change, as on forwarding boxes.
+    // Reports stay valid until they change, as on forwarding boxes.
     Fixture source(hours(1));
-    Fixture whole(hours(1));
-    Fixture part(hours(1));
-    std::optional<uint64_t> had;  // of the source's moments
+    Fixture full(hours(1));
+    Fixture incremental(hours(1));
+    std::optional<uint64_t> known_at;  // in the source's sequence
     Time now = Time{} + seconds(100);
-    const auto some = [&random] {
+    const auto random_id = [&random] {
       return std::string(1, static_cast<char>('a' + random() % 6));
     };
     const auto entry = [&] {
-      DirectoryEntry e = LifeOf(1000 * (1 + random() % 2), random() % 5 == 0,
-                                {0, 1 + static_cast<int>(random() % 8)});
-      e.listed.name = some();
+      DirectoryEntry e =
+          WithIncarnation(1000 * (1 + random() % 2), random() % 5 == 0,
+                          {0, 1 + static_cast<int>(random() % 8)});
+      e.listed.name = random_id();
       return e;
     };
     for (int step = 0; step < 60; step++) {
@@ -575,57 +586,58 @@
           source.directory.OnEntry(now, entry());
           break;
         case 3:
-          source.directory.OnRemoved(now, some());
+          source.directory.OnRemoved(now, random_id());
           break;
         case 4:
           source.directory.OnList(now, {entry(), entry(), entry(), entry()},
-                                  {some()});
+                                  {random_id()});
           break;
         case 5:
           if (random() % 3 == 0) source.directory.OnStoreReachable(now);
           break;
         case 6:
           if (random() % 3 > 0) break;
-          for (Fixture* f : {&source, &whole, &part}) {
+          for (Fixture* f : {&source, &full, &incremental}) {
             f->directory.OnStoreRestored(now);
           }
           break;
         case 7:
-          source.directory.OnLeaving(now, some(), 1000);
+          source.directory.OnLeaving(now, random_id(), 1000);
           break;
         default:
           break;
       }
-      for (Fixture* f : {&source, &whole, &part}) f->directory.Tick(now);
+      for (Fixture* f : {&source, &full, &incremental}) f->directory.Tick(now);
       if (random() % 3 > 0) continue;
       const auto copy =
           ParseDirectory(WriteDirectory(source.directory.Snapshot(now)));
       ASSERT_TRUE(copy);
-      whole.directory.OnList(now, *copy);
-      const auto since =
-          had ? source.directory.ChangesSince(now, *had) : std::nullopt;
+      full.directory.OnList(now, *copy);
+      const auto since = known_at
+                             ? source.directory.ChangesSince(now, *known_at)
+                             : std::nullopt;
       if (since) {
         const auto changes = ParseChanges(WriteChanges(*since));
         ASSERT_TRUE(changes);
-        part.directory.OnChanges(now, *changes);
-        partial++;
+        incremental.directory.OnChanges(now, *changes);
+        incremental_updates++;
       } else {
-        part.directory.OnList(now, *copy);
+        incremental.directory.OnList(now, *copy);
       }
-      had = source.directory.at();
-      // What is left of a time is told in whole milliseconds.
-      for (Fixture* f : {&whole, &part}) f->directory.Tick(now);
-      ASSERT_EQ(WriteDirectory(part.directory.Snapshot(now)),
-                WriteDirectory(whole.directory.Snapshot(now)))
+      known_at = source.directory.at();
+      // Remaining times are sent in whole milliseconds.
+      for (Fixture* f : {&full, &incremental}) f->directory.Tick(now);
+      ASSERT_EQ(WriteDirectory(incremental.directory.Snapshot(now)),
+                WriteDirectory(full.directory.Snapshot(now)))
           << seed << " " << step;
-      for (const auto& [id, kept] : whole.directory.entries()) {
-        ASSERT_EQ(part.table.TakesNewWork(now, id),
-                  whole.table.TakesNewWork(now, id))
+      for (const auto& [id, stored] : full.directory.entries()) {
+        ASSERT_EQ(incremental.table.TakesNewWork(now, id),
+                  full.table.TakesNewWork(now, id))
             << seed << " " << step << " " << id;
       }
     }
   }
-  EXPECT_GT(partial, 5000);
+  EXPECT_GT(incremental_updates, 5000);
 }
 
 }  // namespace
--- a/pinford/testing/pool_planner_test.cc
+++ b/pinford/testing/pool_planner_test.cc
@@ -1,5 +1,5 @@
-// Orders to the runners of a pool: planners that are paused or killed, orders
-// that are lost or carried out seconds later, runners that come back empty.
+// Planners that are paused or killed, orders that are lost or carried out
+// seconds later, and runners that come back empty.
 
 #include "pinford/forwarding/pool_planner.h"
 
@@ -15,9 +15,9 @@
 
 constexpr char kService[] = "pool";
 
-// The runners, as they are. An order raises the count of orders, takes its
-// time to load, and is refused if its fence is lower than one seen or if it
-// expects another count.
+// The state of the runners. An order increments the order count, takes time to
+// load, and is refused if its fence is lower than one seen or if it expects
+// another count.
 class FakePool {
  public:
   struct Row {
@@ -44,8 +44,7 @@
     rows[port] = row;
   }
 
-  // The list, which shows what a runner holds, and some number that is not its
-  // count of orders.
+  // The list. It shows the layers of each runner, but not its real order count.
   std::map<std::string, DirectoryEntry> List() {
     std::map<std::string, DirectoryEntry> out;
     for (auto& [port, row] : rows) {
@@ -69,7 +68,7 @@
     return r;
   }
 
-  LayerOrderStatus Take(uint16_t port, const LayerOrder& order) {
+  LayerOrderStatus Accept(uint16_t port, const LayerOrder& order) {
     orders++;
     auto it = rows.find(port);
     if (it == rows.end()) return LayerOrderStatus::kNotSent;
@@ -96,8 +95,8 @@
     return LayerOrderStatus::kStarted;
   }
 
-  // Crashes and comes back empty, under another id.
-  void Restart(uint16_t port) {
+  // The runner crashes and comes back empty, under another id.
+  void RestartWithNewId(uint16_t port) {
     Row& row = rows.at(port);
     const std::string id = row.entry.listed.name + "'";
     const std::string hall = row.entry.listed.hall;
@@ -105,8 +104,8 @@
     Add(id, hall, kind, port);
   }
 
-  // Crashes and comes back empty, under its id.
-  void StartAnew(uint16_t port) {
+  // The runner crashes and comes back empty, under its id.
+  void RestartWithSameId(uint16_t port) {
     Row fresh;
     fresh.entry = rows.at(port).entry;
     fresh.entry.runner->holds = {};
@@ -120,7 +119,7 @@
   int loads = 0;
   int refused = 0;
   int fenced = 0;
-  int overwritten = 0;  // orders that took away what a runner held
+  int overwritten = 0;  // orders that removed layers from a runner
 
  private:
   void Settle(Row* row) {
@@ -139,32 +138,32 @@
 
   void Report(const Address& at, Duration limit,
               std::function<void(RunnerAnswer)> fn) {
-    questions++;
-    Begin();
+    queries++;
+    BeginCall();
     if (Chance(lose)) {
       Reply(limit, [fn] { fn({}); });
       return;
     }
-    // As it was some time ago.
+    // The state when the query was sent.
     const auto report = pool_->Report(at.port);
     Reply(milliseconds(5), [fn, report] { fn({!report, report}); });
   }
 
   void Order(const Address& at, const LayerOrder& order,
              std::function<void(LayerOrderStatus)> fn) {
-    Begin();
+    BeginCall();
     if (Chance(lose)) {
       Reply(milliseconds(800), [fn] { fn(LayerOrderStatus::kUnknown); });
       return;
     }
     if (Chance(late)) {
-      const Duration there = milliseconds(2000 + (*random_)() % 10000);
-      box_->clock()->After(there,
-                           [this, at, order] { pool_->Take(at.port, order); });
+      const Duration arrival = milliseconds(2000 + (*random_)() % 10000);
+      box_->clock()->After(
+          arrival, [this, at, order] { pool_->Accept(at.port, order); });
       Reply(milliseconds(800), [fn] { fn(LayerOrderStatus::kUnknown); });
       return;
     }
-    const LayerOrderStatus status = pool_->Take(at.port, order);
+    const LayerOrderStatus status = pool_->Accept(at.port, order);
     Reply(milliseconds(3), [fn, status] { fn(status); });
   }
 
@@ -174,17 +173,17 @@
 
   double lose = 0;
   double late = 0;
-  int questions = 0;
-  int most_under_way = 0;
+  int queries = 0;
+  int max_in_flight = 0;
 
  private:
-  void Begin() { most_under_way = std::max(most_under_way, ++under_way_); }
+  void BeginCall() { max_in_flight = std::max(max_in_flight, ++in_flight_); }
   bool Chance(double p) {
     return std::uniform_real_distribution<double>(0, 1)(*random_) < p;
   }
   void Reply(Duration d, std::function<void()> fn) {
     box_->clock()->After(d, [this, fn] {
-      under_way_--;
+      in_flight_--;
       box_->Deliver(fn);
     });
   }
@@ -192,7 +191,7 @@
   FakeBox* box_;
   FakePool* pool_;
   Random* random_;
-  int under_way_ = 0;
+  int in_flight_ = 0;
 };
 
 static_assert(PoolClient<FakePoolClient>);
@@ -200,11 +199,13 @@
 using TestPlanner = PoolPlanner<FakeStoreClient, FakePoolClient, FakeBox>;
 
 struct World {
-  // By default nothing is moved, so that whatever takes layers away is wrong.
-  explicit World(uint64_t seed, int most_moves = 0, bool take_over_ask = true)
+  // By default no moves are made, so any order that removes layers is wrong.
+  explicit World(uint64_t seed, int max_moves = 0,
+                 bool check_after_takeover = true)
       : random(seed), store(&clock, seed), pool(&clock) {
-    options.most_moves = most_moves;
-    if (!take_over_ask) options.mechanisms.Add(Mechanism::kTakeoverProbe);
+    options.max_moves = max_moves;
+    if (!check_after_takeover)
+      options.mechanisms.Add(Mechanism::kTakeoverProbe);
     auto c = std::make_shared<ServiceConfiguration>();
     c->version = 1;
     EnginePool engine;
@@ -232,12 +233,12 @@
     // Each box has its own copy of the list.
     lists.push_back(std::make_unique<std::map<std::string, DirectoryEntry>>());
     auto* list = lists.back().get();
-    events.entries = [this, list, made = Time{}]() mutable
+    events.entries = [this, list, updated = Time{}]() mutable
         -> const std::map<std::string, DirectoryEntry>& {
-      // What runners hold changes with the time alone.
-      if (made != clock.now() || list->size() != pool.rows.size()) {
+      // Layers change only as time passes.
+      if (updated != clock.now() || list->size() != pool.rows.size()) {
         *list = pool.List();
-        made = clock.now();
+        updated = clock.now();
       }
       return *list;
     };
@@ -245,7 +246,7 @@
     events.on_state = [](const std::string&, const RunnerState&) {};
     events.on_lease = [this, i](uint64_t token) {
       if (token == 0) return;
-      // Its own again, or above each one before.
+      // The same lease again; otherwise tokens must increase.
       if (token == highest_token && i == highest_box) return;
       EXPECT_GT(token, highest_token);
       highest_token = token;
@@ -276,13 +277,13 @@
     return *std::min_element(holders.begin(), holders.end()) >= 2;
   }
 
-  // Advances until all runners hold something, or gives up.
+  // Advances until all runners hold something, or `limit` has passed.
   Duration TimeToPlace(Duration limit) {
-    const Time begun = clock.now();
-    while (!AllPlaced() && clock.now() - begun < limit) {
+    const Time start = clock.now();
+    while (!AllPlaced() && clock.now() - start < limit) {
       clock.Advance(milliseconds(100));
     }
-    return clock.now() - begun;
+    return clock.now() - start;
   }
 
   PoolPlannerOptions options;
@@ -298,22 +299,22 @@
   std::vector<std::unique_ptr<std::map<std::string, DirectoryEntry>>> lists;
   std::vector<std::unique_ptr<TestPlanner>> planners;
   std::vector<uint64_t> fences;
-  uint64_t highest_token = 0;  // that some planner has held
+  uint64_t highest_token = 0;  // held by any planner
   int highest_box = -1;
 };
 
-TEST(RunnerHealth, WhatIsHeldAgainstWhatIsListed) {
+TEST(RunnerHealth, ComparesHeldAndListedLayers) {
   const struct {
     LayerRange listed;
     std::optional<LayerRange> held;
     bool works;
-    uint64_t life = 1000;  // listed: 1000
+    uint64_t incarnation = 1000;  // listed: 1000
   } cases[] = {
       {{10, 20}, std::nullopt, false},  // no answer
       {{10, 20}, LayerRange{10, 20}, true},
       {{10, 20}, LayerRange{10, 28}, true},  // it has loaded more since
       {{10, 20}, LayerRange{5, 20}, true},
-      {{10, 20}, LayerRange{0, 0}, false},  // another life
+      {{10, 20}, LayerRange{0, 0}, false},  // it has restarted
       {{10, 20}, LayerRange{10, 20}, false, 1001},
       {{10, 20}, LayerRange{12, 22}, false},
       {{0, 0}, LayerRange{0, 0}, true},
@@ -323,7 +324,7 @@
     if (c.held) {
       report.emplace();
       report->state.holds = *c.held;
-      report->state.incarnation = c.life;
+      report->state.incarnation = c.incarnation;
       report->running = 2;
       report->waiting = 1;
     }
@@ -334,7 +335,7 @@
   }
 }
 
-TEST(PoolPlanner, PlacesAnEmptyPoolOnceAndRestsThen) {
+TEST(PoolPlanner, PlacesAnEmptyPoolOnce) {
   World w(1);
   EXPECT_LE(w.TimeToPlace(seconds(20)), seconds(6));
   EXPECT_EQ(w.pool.loads, 12);
@@ -346,55 +347,55 @@
   EXPECT_EQ(planning, 1);
 }
 
-// What the list tells of an empty runner is enough to order it; many are
-// ordered one after the other, a bounded number at a time.
-TEST(PoolPlanner, AnEmptyRunnerCostsOneCall) {
+// The list suffices to order an empty runner. Many runners are ordered with a
+// bounded number of calls at a time.
+TEST(PoolPlanner, OrdersAnEmptyRunnerWithOneCall) {
   for (const int runners : {300, 3000}) {
     World w(3);
     for (int i = 12; i < runners; i++) {
       w.pool.Add("r" + std::to_string(i), "h" + std::to_string(i % 2), "small",
                  static_cast<uint16_t>(1 + i));
     }
-    const Time begun = w.clock.now();
-    while (w.pool.loads < runners && w.clock.now() - begun < seconds(10)) {
+    const Time start = w.clock.now();
+    while (w.pool.loads < runners && w.clock.now() - start < seconds(10)) {
       w.clock.Advance(milliseconds(20));
     }
     EXPECT_EQ(w.pool.loads, runners);
-    // 1.5 s of them for the list to fill up; 64 calls of 3 ms at a time.
-    EXPECT_LE(w.clock.now() - begun, milliseconds(2000 + runners / 10));
-    int questions = 0;
+    // 1.5 s of this is for the list to fill up; 64 calls of 3 ms at a time.
+    EXPECT_LE(w.clock.now() - start, milliseconds(2000 + runners / 10));
+    int queries = 0;
     for (const auto& client : w.orders) {
-      questions += client->questions;
-      EXPECT_LE(client->most_under_way, w.options.most_calls);
+      queries += client->queries;
+      EXPECT_LE(client->max_in_flight, w.options.max_calls);
     }
-    EXPECT_EQ(questions, 0);
+    EXPECT_EQ(queries, 0);
     EXPECT_EQ(w.pool.refused, 0);
   }
 }
 
-// It has taken an order, which the list does not show: it refuses, is asked,
-// and gets no second order for what it loads.
-// The first that refuses shows that somebody planned before: where that counts
-// the other is asked at once.
-TEST(PoolPlanner, TheListsWordIsCheckedByTheRunner) {
-  for (const bool asks : {false, true}) {
-    World w(4, 0, asks);
+// Two runners have accepted an order that the list does not show: they refuse,
+// are queried, and get no second order for what they load. With the check after
+// a takeover, the first refusal shows that somebody planned before, and the
+// second runner is queried at once.
+TEST(PoolPlanner, RunnerRefusesAnOrderBasedOnAStaleList) {
+  for (const bool check_first : {false, true}) {
+    World w(4, 0, check_first);
     w.pool.rows.at(1).orders = 1;
     w.pool.rows.at(2).orders = 1;
     w.pool.rows.at(2).loading = {0, 5};
     w.pool.rows.at(2).loaded = w.clock.now() + seconds(6);
     EXPECT_LE(w.TimeToPlace(seconds(20)), seconds(9));
     EXPECT_EQ(w.pool.loads, 11);
-    EXPECT_EQ(w.pool.refused, asks ? 1 : 2);
+    EXPECT_EQ(w.pool.refused, check_first ? 1 : 2);
     EXPECT_EQ(w.pool.overwritten, 0);
   }
 }
 
-TEST(PoolPlanner, ARunnerThatComesBackEmptyIsFilledAgain) {
+TEST(PoolPlanner, RefillsARunnerThatComesBackEmpty) {
   World w(2);
   w.TimeToPlace(seconds(20));
-  w.pool.Restart(3);
-  w.pool.Restart(7);
+  w.pool.RestartWithNewId(3);
+  w.pool.RestartWithNewId(7);
   EXPECT_LE(w.TimeToPlace(seconds(20)), seconds(4));
   w.clock.Advance(seconds(10));
   // The large one is filled in two steps.
@@ -404,18 +405,18 @@
   }
 }
 
-// It restarts under its id, in the middle of a load or after it: it is ordered
-// anew, as one that has taken no order, once.
-TEST(PoolPlanner, ARunnerThatStartsAnewUnderItsIdIsOrderedAnewOnce) {
+// A runner that restarts under its id, during a load or after it, is ordered
+// once more, as one that has accepted no order.
+TEST(PoolPlanner, RefillsARunnerThatRestartsUnderItsIdOnce) {
   for (const uint16_t port : {1, 7}) {
     for (int ms = 0; ms < 4000; ms += 100) {
       World w(ms);
       while (w.pool.loads < 12) w.clock.Advance(milliseconds(10));
       w.clock.Advance(milliseconds(ms));
-      w.pool.StartAnew(port);
+      w.pool.RestartWithSameId(port);
       EXPECT_LE(w.TimeToPlace(seconds(20)), seconds(4)) << ms;
       w.clock.Advance(seconds(20));
-      // The large one is filled in two steps where the pool serves.
+      // The large one is filled in two steps if the pool is serving.
       EXPECT_LE(w.pool.loads, port == 1 ? 14 : 13) << ms;
       EXPECT_EQ(w.pool.refused, 0) << ms;
       EXPECT_EQ(w.pool.overwritten, 0) << ms;
@@ -423,11 +424,11 @@
   }
 }
 
-// A part of a large range serves before all of it is there.
+// A part of a large range serves requests before all of it is loaded.
 TEST(PoolPlanner, ALargeRangeIsLoadedInSteps) {
   World w(4);
   w.TimeToPlace(seconds(20));
-  w.pool.Restart(1);
+  w.pool.RestartWithNewId(1);
   std::vector<int> sizes = {0};
   LayerRange held;
   for (int i = 0; i < 100; i++) {
@@ -441,11 +442,12 @@
   EXPECT_EQ(sizes, (std::vector<int>{0, 3, 5}));
 }
 
-// A step is all that a planner left behind: the next one goes on from there.
-TEST(PoolPlanner, AnotherGoesOnWhereAStepEnded) {
+// A planner that is killed has left one step of a load; the next planner
+// continues from there.
+TEST(PoolPlanner, SuccessorContinuesAPartialLoad) {
   World w(5);
   w.TimeToPlace(seconds(20));
-  w.pool.Restart(1);
+  w.pool.RestartWithNewId(1);
   while (w.pool.rows.at(1).loading.empty()) w.clock.Advance(milliseconds(50));
   for (size_t i = 0; i < w.boxes.size(); i++) {
     if (w.planners[i]->planning()) w.boxes[i]->Kill();
@@ -456,8 +458,8 @@
   EXPECT_EQ(w.pool.overwritten, 0);
 }
 
-// Pools of different sizes, each of which lost layers for good.
-TEST(PoolPlanner, PoolsAreArrangedEachForItself) {
+// Pools of different sizes, each of which lost layers permanently.
+TEST(PoolPlanner, PlansPoolsIndependently) {
   World w(8, 1);
   auto c = std::make_shared<ServiceConfiguration>(*w.config);
   c->services.push_back(c->services.front());
@@ -479,13 +481,13 @@
   EXPECT_GE(holders["other"], 1);
 }
 
-// A runner that crashed is listed for seconds; one that comes back meanwhile
-// covers what was lost with it.
-TEST(PoolPlanner, WhatARunnerThatDoesNotAnswerHeldCountsAsLost) {
+// A crashed runner stays listed for seconds; one that comes back in the
+// meantime covers its layers.
+TEST(PoolPlanner, LayersOfAnUnresponsiveRunnerCountAsLost) {
   World w(6);
   w.TimeToPlace(seconds(20));
   const LayerRange lost = w.pool.rows.at(1).holds;
-  // All that hold the same layers in its hall, so that the place is clear.
+  // The only holder of these layers in its hall, so the result is unique.
   w.down = {"r0"};
   FakePool::Row back = w.pool.rows.at(1);
   w.pool.Add("r0'", "h0", "big", 50);
@@ -495,12 +497,12 @@
   EXPECT_EQ(w.pool.rows.at(1).holds, back.holds) << "it gets no order";
 }
 
-// Layers that lost their holders for good are covered by runners that others
-// can spare, once, and then nothing moves any more.
-TEST(PoolPlanner, LayersThatWereLostForGoodAreCoveredByMoves) {
+// Layers without holders are covered by runners that other layers can spare,
+// once; after that nothing moves.
+TEST(PoolPlanner, MovesCoverPermanentlyLostLayers) {
   World w(7, 1);
   w.TimeToPlace(seconds(20));
-  // Whoever holds the last layers is gone.
+  // Removes all holders of the last layers.
   std::erase_if(w.pool.rows,
                 [](const auto& entry) { return entry.second.holds.end == 8; });
   const auto holders = [&w] {
@@ -523,9 +525,9 @@
   EXPECT_EQ(w.pool.loads, after) << "nothing moves to and fro";
 }
 
-// In a large pool something always joins or leaves, and several layers may be
-// short at once.
-TEST(PoolPlanner, LossesAreCoveredWhileOthersComeAndGo) {
+// In a large pool runners join and leave all the time, and several layers may
+// lack memory at once.
+TEST(PoolPlanner, MovesCoverLossesDuringChurn) {
   World w(9, 4);
   for (uint16_t i = 0; i < 40; i++) {
     w.pool.Add("s" + std::to_string(i), "h0", "small",
@@ -545,8 +547,8 @@
     return entry.second.holds.end == 8 || entry.second.holds.begin == 0;
   });
   ASSERT_EQ(holders().front() + holders().back(), 0);
-  // One that can hold nothing joins and leaves every two seconds: the pool
-  // never rests.
+  // A runner that can hold nothing joins and leaves every two seconds, so the
+  // pool never settles.
   for (uint16_t i = 0; i < 16; i++) {
     w.pool.Add("t" + std::to_string(i), "h0", "tiny", 300 + i);
     w.clock.Advance(seconds(1));
@@ -558,7 +560,7 @@
   EXPECT_EQ(w.pool.fenced, 0);
 }
 
-TEST(PoolPlanner, AnotherTakesOverFromOneThatIsKilledInTheMiddle) {
+TEST(PoolPlanner, SuccessorTakesOverFromAKilledPlanner) {
   for (int ms = 1500; ms < 4000; ms += 50) {
     World w(ms);
     w.clock.Advance(milliseconds(ms));
@@ -570,20 +572,20 @@
   }
 }
 
-// A planner sleeps past its lease with orders in mind; another plans
-// meanwhile. What it does when it wakes is fenced off or fits.
-TEST(PoolPlanner, OneThatWakesUpLateDoesNoHarm) {
+// A planner is paused past its lease with orders pending while another plans.
+// After it resumes, its orders are fenced off or match the runners' state.
+TEST(PoolPlanner, ResumedPlannerDoesNoHarm) {
   for (int ms = 1500; ms < 3500; ms += 20) {
     World w(ms);
     w.clock.Advance(milliseconds(ms));
-    size_t slept = w.boxes.size();
+    size_t paused = w.boxes.size();
     for (size_t i = 0; i < w.boxes.size(); i++) {
-      if (w.planners[i]->planning()) slept = i;
+      if (w.planners[i]->planning()) paused = i;
     }
-    if (slept == w.boxes.size()) continue;
-    w.boxes[slept]->Pause();
+    if (paused == w.boxes.size()) continue;
+    w.boxes[paused]->Pause();
     w.clock.Advance(seconds(8));
-    w.boxes[slept]->Resume();
+    w.boxes[paused]->Resume();
     EXPECT_LE(w.TimeToPlace(seconds(40)), seconds(12)) << ms;
     w.clock.Advance(seconds(30));
     EXPECT_EQ(w.pool.overwritten, 0) << ms;
@@ -591,22 +593,22 @@
   }
 }
 
-// 99 empty runners; the planner is lost once it has given some two thirds of
-// its orders. The next one, and the first where it wakes up, give none again
-// that is under way. With loads that outlast the hand-over nothing in the list
-// shows that anybody planned before.
-TEST(PoolPlanner, AHandOverGivesNoOrderTwice) {
+// 99 empty runners; the planner fails after sending about two thirds of its
+// orders. Neither its successor nor the planner itself, if it resumes, repeats
+// an order that is in progress. If loads outlast the takeover, the list does
+// not show that anybody planned before.
+TEST(PoolPlanner, TakeoverRepeatsNoOrder) {
   const struct {
-    bool wakes;
+    bool resumes;
     Duration load;
-    bool asks;
-    int most_refused;
+    bool check_first;
+    int max_refused;
   } cases[] = {{false, seconds(2), true, 0},   {false, seconds(7), true, 1},
                {false, seconds(20), true, 1},  {true, seconds(2), true, 0},
                {true, seconds(7), true, 1},    {true, seconds(20), true, 1},
                {false, seconds(7), false, 99}, {false, seconds(20), false, 99}};
   for (const auto& c : cases) {
-    World w(3, 0, c.asks);
+    World w(3, 0, c.check_first);
     for (int i = 12; i < 99; i++) {
       w.pool.Add("r" + std::to_string(i), "h" + std::to_string(i % 2), "small",
                  static_cast<uint16_t>(1 + i));
@@ -617,30 +619,30 @@
     size_t first = 0;
     while (!w.planners[first]->planning()) first++;
     w.boxes[first]->Pause();
-    if (!c.wakes) w.boxes[first]->Kill();
+    if (!c.resumes) w.boxes[first]->Kill();
     w.clock.Advance(seconds(8));
     w.boxes[first]->Resume();
     EXPECT_LE(w.TimeToPlace(seconds(60)), seconds(30));
     w.clock.Advance(seconds(30));
-    int questions = 0;
-    for (const auto& client : w.orders) questions += client->questions;
+    int queries = 0;
+    for (const auto& client : w.orders) queries += client->queries;
     std::cout << "load " << ToSeconds(c.load) << " s, "
-              << (c.wakes ? "paused" : "killed")
-              << (c.asks ? "" : ", not asked") << ": " << w.pool.orders
+              << (c.resumes ? "paused" : "killed")
+              << (c.check_first ? "" : ", not asked") << ": " << w.pool.orders
               << " orders, " << w.pool.loads << " loads, " << w.pool.refused
-              << " refused, " << w.pool.fenced << " fenced, " << questions
+              << " refused, " << w.pool.fenced << " fenced, " << queries
               << " questions\n";
     EXPECT_EQ(w.pool.loads, 99);
-    EXPECT_LE(w.pool.refused + w.pool.fenced, c.most_refused);
+    EXPECT_LE(w.pool.refused + w.pool.fenced, c.max_refused);
     EXPECT_EQ(w.pool.overwritten, 0);
-    // One of each at first, and while they load one in 1.5 s.
-    EXPECT_LE(questions, 99 * (2 + ToSeconds(c.load) / 1.5));
+    // One each at first, and one per 1.5 s while they load.
+    EXPECT_LE(queries, 99 * (2 + ToSeconds(c.load) / 1.5));
   }
 }
 
-// Random schedules of everything: lost and late orders, lost and late writes,
-// outages, pauses, kills, restarts. Nothing that a runner holds is ever
-// replaced, and the pool is whole again soon after the trouble ends.
+// Random schedules of lost and late orders, lost and late writes, outages,
+// pauses, kills and restarts. No layers that a runner holds are ever replaced,
+// and the pool is complete again soon after the faults end.
 TEST(PoolPlanner, SurvivesAnySchedule) {
   for (int run = 0; run < 300; run++) {
     const bool same_id = run >= 150;  // runners restart under their id
@@ -665,9 +667,10 @@
           break;
         case 3:
           if (same_id) {
-            w.pool.StartAnew(static_cast<uint16_t>(1 + w.random() % 12));
+            w.pool.RestartWithSameId(
+                static_cast<uint16_t>(1 + w.random() % 12));
           } else {
-            w.pool.Restart(static_cast<uint16_t>(1 + w.random() % 12));
+            w.pool.RestartWithNewId(static_cast<uint16_t>(1 + w.random() % 12));
           }
           break;
         case 4:
@@ -690,24 +693,24 @@
   }
 }
 
-// The store comes back from a copy that lacks the present holder's lease, or
-// holds another's: who planned stops at the first answer, somebody plans again
-// soon, and runners take those orders, however high the fences before were.
-TEST(PoolPlanner, AfterARestoreOrdersAreTakenAtOnce) {
+// The store is restored from a backup that lacks the current holder's lease, or
+// contains another's. The planner stops at the first answer, some box plans
+// again soon, and runners accept its orders whatever fences they saw before.
+TEST(PoolPlanner, OrdersAreAcceptedRightAfterARestore) {
   for (const Duration age : {milliseconds(200), milliseconds(2000),
                              milliseconds(6000), milliseconds(60'000)}) {
     World w(7);
     w.TimeToPlace(seconds(20));
-    // Another box takes over, under a higher token that the copy may lack.
+    // Another box takes over, with a higher token that the backup may lack.
     for (size_t i = 0; i < w.planners.size(); i++) {
       if (w.planners[i]->planning()) w.boxes[i]->Kill();
     }
     w.clock.Advance(seconds(6));
-    w.pool.StartAnew(3);
+    w.pool.RestartWithSameId(3);
     w.clock.Advance(milliseconds(700));
     const uint64_t before = w.highest_token;
     w.store.Restore(age);
-    w.pool.StartAnew(5);
+    w.pool.RestartWithSameId(5);
     EXPECT_LE(w.TimeToPlace(seconds(20)), seconds(9)) << ToMillis(age);
     EXPECT_GT(w.highest_token, before);
     EXPECT_EQ(w.pool.fenced, 0);
@@ -720,7 +723,7 @@
   }
 }
 
-// All that may go wrong, and restores beside it, two in a row among them.
+// All of these faults and restores, sometimes two in a row.
 TEST(PoolPlanner, SurvivesAnyScheduleOfRestores) {
   int restores = 0;
   for (int run = 0; run < 300; run++) {
@@ -740,7 +743,7 @@
           box->Resume();
           break;
         case 3:
-          w.pool.StartAnew(static_cast<uint16_t>(1 + w.random() % 12));
+          w.pool.RestartWithSameId(static_cast<uint16_t>(1 + w.random() % 12));
           break;
         case 4:
           w.store.faults.down = w.random() % 2 == 0;
--- a/pinford/testing/probe_evidence_test.cc
+++ b/pinford/testing/probe_evidence_test.cc
@@ -9,7 +9,7 @@
 
 Time At(int ms) { return Time{} + milliseconds(ms); }
 
-TEST(ProbeEvidence, WhatAnUnansweredProbeSays) {
+TEST(ProbeEvidence, UnansweredProbes) {
   const struct {
     const char* name;
     std::vector<int> sent;      // ms, the first without an answer
@@ -17,12 +17,12 @@
     bool blames;
   } cases[] = {
       {"alone", {100}, {}, true},
-      {"all of a chain are silent", {100, 100, 100}, {}, false},
+      {"none of a chain answers", {100, 100, 100}, {}, false},
       {"another answers", {100, 100, 100}, {100}, true},
       {"another, sent a little later, answers", {100, 120}, {120}, true},
-      {"another, sent a little earlier, is silent", {100, 80}, {}, false},
+      {"another, sent a little earlier, does not answer", {100, 80}, {}, false},
       {"another answered long before", {100, 60}, {60}, true},
-      {"... and one with it did not", {100, 100, 60}, {60}, false},
+      {"... and a concurrent one did not", {100, 100, 60}, {60}, false},
   };
   for (const auto& c : cases) {
     ProbeEvidence evidence;
@@ -32,15 +32,15 @@
   }
 }
 
-TEST(ProbeEvidence, KeepsSoManyAtMost) {
+TEST(ProbeEvidence, KeepsABoundedNumberOfProbes) {
   ProbeEvidence evidence;
   evidence.OnSent(At(0));
   evidence.OnAnswered(At(0));
-  for (size_t i = 0; i < ProbeEvidence::kMostKept; i++) evidence.OnSent(At(1));
+  for (size_t i = 0; i < ProbeEvidence::kMaxProbes; i++) evidence.OnSent(At(1));
   EXPECT_FALSE(evidence.IndicatesFailure(At(1)));
 }
 
-TEST(ProbeEvidence, ADoubtLastsUntilSomethingIsAnswered) {
+TEST(ProbeEvidence, LocalFaultIsSuspectedUntilAnAnswer) {
   ProbeEvidence evidence;
   evidence.OnSent(At(0));
   evidence.OnSent(At(0));
