--- a/deploy/policy.lua
+++ b/deploy/policy.lua
@@ -1,7 +1,7 @@
--- The policy of forwarding boxes unless their settings name another file.
+-- The policy of forwarding boxes whose settings name no other file.
 --
--- The operator's configuration gives each customer, or else each route, a
--- priority: 0 is the most urgent. Engines let more urgent requests in first.
+-- The operator's configuration assigns a priority to each customer, or else to
+-- each route; 0 is the most urgent. Engines admit more urgent requests first.
 
 local TIERS = {[0] = "critical", "critical", "high", "high", "standard",
                "standard", "standard"}
@@ -10,7 +10,7 @@
   return {tier = TIERS[request.priority] or "background"}
 end
 
--- Halls are used alike; chains stay inside a hall where they can.
+-- All halls have the same weight. Chains stay within a hall if possible.
 function share(pool, halls, hour)
   local weights = {}
   for hall in pairs(halls) do
--- a/examples/tablewise.lua
+++ b/examples/tablewise.lua
@@ -1,8 +1,9 @@
 -- Tablewise: bookings of restaurant tables across Jamaica.
 --
--- Hosts at the door and diners on the phone wait for an answer; kitchen
--- summaries can wait a little, and overnight work can wait till morning.
--- Lunch and dinner are busy, and a family at the host stand comes first.
+-- Hosts at the door and diners on the phone wait for an answer. Kitchen
+-- summaries can wait a little, and overnight reports until the morning.
+-- Lunch and dinner are the peak hours. Hosts at the door have the highest
+-- priority.
 
 local LUNCH = {from = 11.5, to = 14.5}
 local DINNER = {from = 17.5, to = 21.5}
@@ -15,7 +16,7 @@
   return within(hour, LUNCH) or within(hour, DINNER)
 end
 
--- Chains of restaurants are larger customers than single houses.
+-- Restaurant chains get a larger share than single restaurants.
 local WEIGHTS = {["island-grill"] = 4, ["harbour-house"] = 2}
 
 function classify(request)
@@ -26,7 +27,7 @@
     class.tier, class.deadline = "standard", 60
   elseif request.kind == "report" then
     class.tier, class.deadline = "background", 6 * 3600
-    -- Reports never start in the middle of a meal.
+    -- Reports are refused during peak hours.
     class.refuse = busy(request.hour)
   else
     class.tier, class.deadline = "high", 10
@@ -34,13 +35,13 @@
   return class
 end
 
--- Looking is repeatable; booking, changing and cancelling are not.
+-- Read calls may be retried; booking, changing and cancelling may not.
 function repeatable(call)
   return call.method == "GET"
 end
 
--- At meals every hall takes what it can. In quiet hours the load is drawn
--- together in the hall with the most capacity, so that the others can rest.
+-- In peak hours all halls have the same weight. In quiet hours the hall with the
+-- most capacity gets most of the load, so that the others are nearly idle.
 function share(pool, halls, hour)
   local weights, best = {}, nil
   for hall, h in pairs(halls) do
--- a/examples/turbine-watch.lua
+++ b/examples/turbine-watch.lua
@@ -1,8 +1,8 @@
 -- Turbine Watch: wind turbines across northern British Columbia.
 --
--- Two teams work days only. Alarms arrive at night too, and their digests
--- must be ready by the morning, with nobody watching. By day, technicians in
--- the field and the operations desk come first.
+-- Both teams work in the daytime only. Alarms also arrive at night, when nobody
+-- is watching, and their digests must be ready by the morning. In the daytime,
+-- technicians in the field and the operations desk have priority.
 
 local DAY = {from = 6, to = 18}
 
@@ -10,15 +10,15 @@
   return hour >= DAY.from and hour < DAY.to
 end
 
--- Seconds from `hour` until the day shift begins.
+-- Seconds from `hour` to the start of the day shift.
 local function until_morning(hour)
   return ((DAY.from - hour) % 24) * 3600
 end
 
 function classify(request)
   if request.kind == "alarm" then
-    -- By day someone acts on an alarm at once. At night its digest joins the
-    -- backlog, due by morning: throughput counts, not the single answer.
+    -- In the daytime someone acts on an alarm immediately. At night its digest
+    -- is due by the morning: throughput matters rather than latency.
     if daytime(request.hour) then
       return {tier = "critical", deadline = 10, weight = 2}
     end
@@ -35,15 +35,16 @@
   return {tier = "standard", deadline = 60}
 end
 
--- SCADA look-ups may be repeated whatever their method; work orders and
--- crews may not.
+-- SCADA lookups may be retried whatever their method. Calls that change work
+-- orders or crews may not.
 function repeatable(call)
   if call.service == "scada" then return true end
   return call.method == "GET"
 end
 
--- All halls carry the night's backlog evenly by their capacity. The chain
--- choice already weighs load, so equal weights are right at any hour.
+-- All halls share the nightly backlog in proportion to their capacity. The
+-- chain choice already takes load into account, so equal weights fit at any
+-- hour.
 function share(pool, halls, hour)
   local weights = {}
   for hall in pairs(halls) do weights[hall] = 1 end
--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Runs all benchmarks, one after the other, and prints their tables. Those on
-# a paused clock give the same figures on each run; the last three measure
-# this machine.
+# Runs all benchmarks in sequence and prints their tables. Those on a paused
+# clock give the same results on every run; the last three depend on the machine.
 set -euo pipefail
 . "$(dirname "$0")/lib.sh"
 
--- a/tools/lib.sh
+++ b/tools/lib.sh
@@ -1,9 +1,9 @@
-# Shared by the scripts of this folder; sourced, not run.
+# Functions shared by the scripts in this directory, which source this file.
 
 ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 BUILD=${BUILD:-$ROOT/build}
 
-# Installs the packages of tools/packages.txt that are missing.
+# Installs the missing packages of tools/packages.txt.
 install_packages() {
   local missing=()
   local package
@@ -25,8 +25,9 @@
   cmake --build "$BUILD" "$@"
 }
 
-# Runs a command and gives its exit code. With end_child_with_script before it
-# the command is told to end, and waited for, when the script ends or is told to.
+# Runs a command and returns its exit code. If end_child_with_script was called
+# before, the command is terminated and waited for when the script exits or is
+# interrupted.
 run_child() {
   local code=0
   "$@" &
--- a/tools/quickstart.sh
+++ b/tools/quickstart.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Builds pinford and runs it on loopback: stand-ins, three boxes, a policy, a
-# diner's request, a booking, the time line; then stops everything in order.
-# With --keep it leaves all running until Enter is pressed.
+# Builds pinford and runs it on loopback with stand-ins and three boxes: submits
+# a policy, sends a diner's request and a booking, prints the time line, and
+# stops everything in order. With --keep, everything keeps running until Enter
+# is pressed.
 set -euo pipefail
 . "$(dirname "$0")/lib.sh"
 
@@ -11,7 +12,7 @@
 RUN=$(mktemp -d)
 PIDS=()
 stop_all() {
-  # The boxes first, each as a planned stop; the stand-ins last.
+  # The boxes first, with a planned stop each; the stand-ins last.
   local pid
   for pid in "${PIDS[@]:5:3}" "${PIDS[@]}"; do
     kill "$pid" 2>/dev/null || continue
@@ -28,8 +29,8 @@
   PIDS+=($!)
 }
 
-# A platform store, three engines that hold a third of the model each, and a
-# service that records bookings.
+# A platform store, three engines that each hold about a third of the model, and
+# a service that records bookings.
 cat >"$RUN/list.json" <<JSON
 [{"name":"runner-a","role":"runner","hall":"kingston-1","address":"$(at 1)"},
  {"name":"runner-b","role":"runner","hall":"kingston-2","address":"$(at 2)"},
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Checks everything: format, build with warnings as errors, all tests, and
-# with --tidy the linter too. The last line is ctest's own.
+# Checks the format, builds with warnings as errors, and runs all tests; with
+# --tidy it also runs the linter. The tests listed in KNOWN-RED.txt are printed
+# and not run. The output ends with ctest's summary.
 set -euo pipefail
 . "$(dirname "$0")/lib.sh"
 
