--- a/pinford/testing/balancer_standin.cc
+++ b/pinford/testing/balancer_standin.cc
@@ -10,7 +10,7 @@
 namespace pinford {
 
 // The two ends of one connection that is passed on.
-struct BalancerStandin::Pair {
+struct BalancerStandin::ConnectionPair {
   bufferevent* ends[2];
 
   bufferevent* OtherOf(bufferevent* bev) const {
@@ -48,12 +48,12 @@
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, kBacklog, sa, size);
   if (listener_ == nullptr) return false;
-  Look();
-  loop_->Every(interval_, [this] { Look(); });
+  CheckReadiness();
+  loop_->Every(interval_, [this] { CheckReadiness(); });
   return true;
 }
 
-void BalancerStandin::Look() {
+void BalancerStandin::CheckReadiness() {
   for (size_t i = 0; i < boxes_.size(); i++) {
     HttpCall call;
     call.to = boxes_[i];
@@ -69,7 +69,7 @@
   for (size_t tried = 0; tried < boxes_.size(); tried++) {
     const size_t i = next_++ % boxes_.size();
     if (!ready_[i]) continue;
-    auto* pair = new Pair;
+    auto* pair = new ConnectionPair;
     sockaddr_storage at;
     int size = sizeof(at);
     auto* sa = reinterpret_cast<sockaddr*>(&at);
@@ -89,14 +89,14 @@
 }
 
 void BalancerStandin::OnRead(bufferevent* bev, void* arg) {
-  auto* pair = static_cast<Pair*>(arg);
+  auto* pair = static_cast<ConnectionPair*>(arg);
   evbuffer_add_buffer(bufferevent_get_output(pair->OtherOf(bev)),
                       bufferevent_get_input(bev));
 }
 
 void BalancerStandin::OnEvent(bufferevent* bev, short what, void* arg) {
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
-  auto* pair = static_cast<Pair*>(arg);
+  auto* pair = static_cast<ConnectionPair*>(arg);
   bufferevent* other = pair->OtherOf(bev);
   // What one side sent before it closed still reaches the other.
   if (evbuffer_get_length(bufferevent_get_output(other)) == 0) {
@@ -106,8 +106,10 @@
   bufferevent_disable(bev, EV_READ);
   bufferevent_setcb(
       other, nullptr,
-      [](bufferevent*, void* p) { static_cast<Pair*>(p)->Free(); },
-      [](bufferevent*, short, void* p) { static_cast<Pair*>(p)->Free(); },
+      [](bufferevent*, void* p) { static_cast<ConnectionPair*>(p)->Free(); },
+      [](bufferevent*, short, void* p) {
+        static_cast<ConnectionPair*>(p)->Free();
+      },
       pair);
   bufferevent_setcb(bev, nullptr, nullptr, nullptr, nullptr);
 }
--- a/pinford/testing/balancer_standin.h
+++ b/pinford/testing/balancer_standin.h
@@ -26,9 +26,9 @@
   bool Listen(const Address& address);
 
  private:
-  struct Pair;
+  struct ConnectionPair;
 
-  void Look();
+  void CheckReadiness();
   void Accept(int fd);
   static void OnRead(bufferevent* bev, void* arg);
   static void OnEvent(bufferevent* bev, short what, void* arg);
--- a/pinford/testing/engine_standin.cc
+++ b/pinford/testing/engine_standin.cc
@@ -8,7 +8,7 @@
 
 namespace pinford {
 
-static constexpr double kFurtherPosition = 1.0 / 16;
+static constexpr double kExtraPositionCost = 1.0 / 16;
 
 static HttpServer::Options EngineOptions() {
   HttpServer::Options options;
@@ -25,8 +25,8 @@
 
 void EngineStandin::OnRequest(ExchangePtr exchange) {
   if (exchange->path() == "/faults") {
-    SetFaults(exchange);
-  } else if (!faults_.Hold(exchange)) {
+    HandleFaults(exchange);
+  } else if (!faults_.HoldIfFrozen(exchange)) {
     Serve(exchange);
   }
 }
@@ -34,22 +34,22 @@
 void EngineStandin::Serve(const ExchangePtr& exchange) {
   const std::string& path = exchange->path();
   if (path == "/v1/steps") {
-    Step(exchange);
+    HandleStep(exchange);
   } else if (path == "/v1/tokenize") {
-    Tokenize(exchange);
+    HandleTokenize(exchange);
   } else if (path == "/v1/load") {
-    Load(exchange);
+    HandleLoad(exchange);
   } else if (path == "/v1/sessions") {
     const uint32_t session = atoi(exchange->query("session").c_str());
     sessions_.erase({exchange->query("request"), session});
     ApplyOrder();
     exchange->Reply(200, kJsonType, "{}");
   } else if (path == "/records") {
-    Records(exchange);
+    HandleRecords(exchange);
   } else if (path == "/v1/orders") {
-    TakeOrder(exchange);
+    HandleOrder(exchange);
   } else if (path == "/offers") {
-    Offers(exchange);
+    HandleOffers(exchange);
   } else {
     exchange->Reply(404, kJsonType, "{}");
   }
@@ -61,7 +61,7 @@
                   WriteError(refusal.code, StepStatusName(status)));
 }
 
-void EngineStandin::Step(const ExchangePtr& exchange) {
+void EngineStandin::HandleStep(const ExchangePtr& exchange) {
   const std::optional<StepRequest> step = ParseStepRequest(exchange->body());
   if (!step) {
     Refuse(exchange, StepStatus::kRejected);
@@ -75,14 +75,15 @@
   }
   const ToyModel::SessionKey key(step->id.request, step->id.session);
   if (!sessions_.contains(key)) {
-    const bool no_room = static_cast<int>(sessions_.size()) >= options_.slots;
+    const bool no_free_slot =
+        static_cast<int>(sessions_.size()) >= options_.slots;
     if (faults_.leaving()) {
       offers_++;
       last_offer_ = loop_->now();
       Refuse(exchange, StepStatus::kRefusedLeaving);
       return;
     }
-    if (faults_.full() || no_room || ordered_) {
+    if (faults_.full() || no_free_slot || pending_order_) {
       Refuse(exchange, StepStatus::kRefusedBusy);
       return;
     }
@@ -94,36 +95,36 @@
     Refuse(exchange, StepStatus::kRefusedCache);
     return;
   }
-  const double positions = 1 + kFurtherPosition * (step->inputs() - 1);
-  const Duration took = Duration(
+  const double positions = 1 + kExtraPositionCost * (step->inputs() - 1);
+  const Duration duration = Duration(
       static_cast<int64_t>(static_cast<double>(options_.layer_time.count()) *
                            step->id.range.size() * positions));
-  loop_->After(took + faults_.delay(),
-               [this, exchange, reply] { Answer(exchange, *reply); });
+  loop_->After(duration + faults_.delay(),
+               [this, exchange, reply] { SendReply(exchange, *reply); });
 }
 
-void EngineStandin::Answer(const ExchangePtr& exchange,
-                           const StepReply& reply) {
-  if (faults_.LoseReply()) {
+void EngineStandin::SendReply(const ExchangePtr& exchange,
+                              const StepReply& reply) {
+  if (faults_.ShouldLoseReply()) {
     exchange->Abort();
     return;
   }
   if (faults_.frozen()) {
     loop_->After(milliseconds(10),
-                 [this, exchange, reply] { Answer(exchange, reply); });
+                 [this, exchange, reply] { SendReply(exchange, reply); });
     return;
   }
   exchange->Reply(200, kJsonType, WriteStepReply(reply));
 }
 
-void EngineStandin::Tokenize(const ExchangePtr& exchange) {
+void EngineStandin::HandleTokenize(const ExchangePtr& exchange) {
   const Json v = ParseJson(exchange->body());
   exchange->Reply(200, kJsonType,
                   WriteTokens(options_.model.Tokenize(
                       JsonField<std::string>(v, "text", ""))));
 }
 
-LoadReport EngineStandin::Report() const {
+LoadReport EngineStandin::CurrentReport() const {
   LoadReport r;
   r.incarnation = incarnation_;
   r.leaving = faults_.leaving();
@@ -138,16 +139,16 @@
   return r;
 }
 
-void EngineStandin::Load(const ExchangePtr& exchange) {
+void EngineStandin::HandleLoad(const ExchangePtr& exchange) {
   const Time now = loop_->now();
-  reports_.emplace_back(now, Report());
+  reports_.emplace_back(now, CurrentReport());
   while (reports_.size() > 1 && reports_[1].first + report_lag_ <= now) {
     reports_.pop_front();
   }
   exchange->Reply(200, kJsonType, WriteLoadReport(reports_.front().second));
 }
 
-void EngineStandin::Records(const ExchangePtr& exchange) {
+void EngineStandin::HandleRecords(const ExchangePtr& exchange) {
   Json list = Json::array();
   for (const LayerRun& r : runs_) {
     list.push_back({r.request, r.session, r.layer, r.position, r.recomputed});
@@ -155,7 +156,7 @@
   exchange->Reply(200, kJsonType, DumpJson(list));
 }
 
-void EngineStandin::TakeOrder(const ExchangePtr& exchange) {
+void EngineStandin::HandleOrder(const ExchangePtr& exchange) {
   const std::optional<Order> order = ParseOrder(exchange->body());
   if (!order) {
     exchange->Reply(400, kJsonType, "{}");
@@ -166,34 +167,34 @@
     return;
   }
   highest_token_ = std::max(highest_token_, order->token);
-  ordered_ = order->hold;
+  pending_order_ = order->hold;
   ApplyOrder();
   exchange->Reply(200, kJsonType, "{}");
 }
 
 void EngineStandin::ApplyOrder() {
-  if (!ordered_ || !sessions_.empty()) return;
-  options_.model.name = ordered_->model;
-  options_.model.version = ordered_->version;
-  options_.holds = ordered_->range;
-  ordered_.reset();
+  if (!pending_order_ || !sessions_.empty()) return;
+  options_.model.name = pending_order_->model;
+  options_.model.version = pending_order_->version;
+  options_.holds = pending_order_->range;
+  pending_order_.reset();
 }
 
-void EngineStandin::Offers(const ExchangePtr& exchange) {
+void EngineStandin::HandleOffers(const ExchangePtr& exchange) {
   exchange->Reply(
       200, kJsonType,
       DumpJson(Json{{"offers", offers_},
                     {"last_ms", ToMillis(last_offer_ - leaving_since_)}}));
 }
 
-void EngineStandin::SetFaults(const ExchangePtr& exchange) {
+void EngineStandin::HandleFaults(const ExchangePtr& exchange) {
   const Json v = ParseJson(exchange->body());
   if (!faults_.leaving()) leaving_since_ = last_offer_ = loop_->now();
   faults_.Set(exchange->body());
   report_lag_ = milliseconds(
       JsonField<int64_t>(v, "report_lag_ms", ToMillis(report_lag_)));
   exchange->Reply(200, kJsonType, "{}");
-  for (const ExchangePtr& e : faults_.TakeHeld()) Serve(e);
+  for (const ExchangePtr& e : faults_.ReleaseHeld()) Serve(e);
 }
 
 }  // namespace pinford
--- a/pinford/testing/engine_standin.h
+++ b/pinford/testing/engine_standin.h
@@ -49,17 +49,17 @@
  private:
   void OnRequest(ExchangePtr exchange);
   void Serve(const ExchangePtr& exchange);
-  void Step(const ExchangePtr& exchange);
-  void Answer(const ExchangePtr& exchange, const StepReply& reply);
-  void Tokenize(const ExchangePtr& exchange);
-  void Load(const ExchangePtr& exchange);
-  void Records(const ExchangePtr& exchange);
-  void TakeOrder(const ExchangePtr& exchange);
+  void HandleStep(const ExchangePtr& exchange);
+  void SendReply(const ExchangePtr& exchange, const StepReply& reply);
+  void HandleTokenize(const ExchangePtr& exchange);
+  void HandleLoad(const ExchangePtr& exchange);
+  void HandleRecords(const ExchangePtr& exchange);
+  void HandleOrder(const ExchangePtr& exchange);
   // Takes up what was ordered once the last session has ended.
   void ApplyOrder();
-  void Offers(const ExchangePtr& exchange);
-  void SetFaults(const ExchangePtr& exchange);
-  LoadReport Report() const;
+  void HandleOffers(const ExchangePtr& exchange);
+  void HandleFaults(const ExchangePtr& exchange);
+  LoadReport CurrentReport() const;
 
   EventLoop* loop_;
   Options options_;
@@ -73,7 +73,7 @@
   Time last_offer_{};
   int offers_ = 0;  // of new sessions, since it began to leave
   uint64_t highest_token_ = 0;
-  std::optional<Holding> ordered_;
+  std::optional<Holding> pending_order_;
   std::deque<std::pair<Time, LoadReport>> reports_;
 };
 
--- a/pinford/testing/free_ports_standin.cc
+++ b/pinford/testing/free_ports_standin.cc
@@ -16,9 +16,9 @@
 
 namespace pinford {
 
-static constexpr int kLowest = 11000;
-static constexpr int kBlock = 250;
-static constexpr int kBlocks = 80;
+static constexpr int kFirstPort = 11000;
+static constexpr int kPortsPerBlock = 250;
+static constexpr int kBlockCount = 80;
 
 static bool CanBind(int port, int type) {
   const int fd = socket(AF_INET, type, 0);
@@ -32,7 +32,7 @@
 }
 
 // Takes block `k` for this process. The lock goes when the process ends.
-static bool TakeBlock(int k) {
+static bool LockBlock(int k) {
   const std::string file = std::filesystem::temp_directory_path() /
                            ("pinford-ports-" + std::to_string(k));
   const int fd = open(file.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0666);
@@ -43,23 +43,23 @@
 }
 
 // The ports of the blocks that this process has taken, not yet handed out.
-static std::vector<int>& LeftOver() {
+static std::vector<int>& AvailablePorts() {
   static std::vector<int> ports;
   return ports;
 }
 
 // Takes one more block. False if others hold all of them.
-static bool TakeAnotherBlock() {
+static bool LockAnotherBlock() {
   std::random_device device;
   std::mt19937 random(device());
-  const int first = static_cast<int>(random() % kBlocks);
-  for (int i = 0; i < kBlocks; i++) {
-    const int k = (first + i) % kBlocks;
-    if (!TakeBlock(k)) continue;
+  const int first = static_cast<int>(random() % kBlockCount);
+  for (int i = 0; i < kBlockCount; i++) {
+    const int k = (first + i) % kBlockCount;
+    if (!LockBlock(k)) continue;
     // Handed out from the end.
-    for (int port = kLowest + (k + 1) * kBlock - 1;
-         port >= kLowest + k * kBlock; port--) {
-      LeftOver().push_back(port);
+    for (int port = kFirstPort + (k + 1) * kPortsPerBlock - 1;
+         port >= kFirstPort + k * kPortsPerBlock; port--) {
+      AvailablePorts().push_back(port);
     }
     return true;
   }
@@ -69,9 +69,9 @@
 std::vector<int> FreePorts(int count) {
   std::vector<int> ports;
   while (static_cast<int>(ports.size()) < count) {
-    if (LeftOver().empty() && !TakeAnotherBlock()) break;
-    const int port = LeftOver().back();
-    LeftOver().pop_back();
+    if (AvailablePorts().empty() && !LockAnotherBlock()) break;
+    const int port = AvailablePorts().back();
+    AvailablePorts().pop_back();
     if (CanBind(port, SOCK_STREAM) && CanBind(port, SOCK_DGRAM)) {
       ports.push_back(port);
     }
--- a/pinford/testing/service_standin.cc
+++ b/pinford/testing/service_standin.cc
@@ -15,8 +15,8 @@
 
 void ServiceStandin::OnRequest(ExchangePtr exchange) {
   if (exchange->path() == "/faults") {
-    SetFaults(exchange);
-  } else if (!faults_.Hold(exchange)) {
+    HandleFaults(exchange);
+  } else if (!faults_.HoldIfFrozen(exchange)) {
     Serve(exchange);
   }
 }
@@ -38,7 +38,7 @@
     return;
   }
   if (exchange->path() == "/records") {
-    Records(exchange);
+    HandleRecords(exchange);
     return;
   }
   if (faults_.leaving()) {
@@ -58,7 +58,7 @@
                                          {"run", runs_.size()},
                                          {"body", exchange->body()}});
   loop_->After(faults_.delay(), [this, exchange, body] {
-    if (faults_.LoseReply()) {
+    if (faults_.ShouldLoseReply()) {
       exchange->Abort();
       return;
     }
@@ -66,7 +66,7 @@
   });
 }
 
-void ServiceStandin::Records(const ExchangePtr& exchange) {
+void ServiceStandin::HandleRecords(const ExchangePtr& exchange) {
   Json list = Json::array();
   for (const Run& r : runs_) {
     list.push_back({{"request", r.request},
@@ -77,12 +77,12 @@
   exchange->Reply(200, kJsonType, DumpJson(list));
 }
 
-void ServiceStandin::SetFaults(const ExchangePtr& exchange) {
+void ServiceStandin::HandleFaults(const ExchangePtr& exchange) {
   const Json v = ParseJson(exchange->body());
   faults_.Set(exchange->body());
   fail_ = JsonField(v, "fail", fail_);
   exchange->Reply(200, kJsonType, "{}");
-  for (const ExchangePtr& e : faults_.TakeHeld()) Serve(e);
+  for (const ExchangePtr& e : faults_.ReleaseHeld()) Serve(e);
 }
 
 }  // namespace pinford
--- a/pinford/testing/service_standin.h
+++ b/pinford/testing/service_standin.h
@@ -33,8 +33,8 @@
 
   void OnRequest(ExchangePtr exchange);
   void Serve(const ExchangePtr& exchange);
-  void Records(const ExchangePtr& exchange);
-  void SetFaults(const ExchangePtr& exchange);
+  void HandleRecords(const ExchangePtr& exchange);
+  void HandleFaults(const ExchangePtr& exchange);
 
   EventLoop* loop_;
   std::string name_;
--- a/pinford/testing/standin_faults.h
+++ b/pinford/testing/standin_faults.h
@@ -22,12 +22,12 @@
   void Set(const std::string& json);
 
   // Takes the exchange if requests are held now.
-  bool Hold(const ExchangePtr& exchange);
+  bool HoldIfFrozen(const ExchangePtr& exchange);
   // Those held, once it is thawed; empty while it is frozen.
-  std::vector<ExchangePtr> TakeHeld();
+  std::vector<ExchangePtr> ReleaseHeld();
 
   // Whether to cut this answer.
-  bool LoseReply();
+  bool ShouldLoseReply();
 
   bool frozen() const { return frozen_; }
   bool leaving() const { return leaving_; }
@@ -39,7 +39,7 @@
   bool leaving_ = false;
   bool full_ = false;
   Duration delay_{};
-  int lose_replies_ = 0;
+  int replies_to_lose_ = 0;
   std::vector<ExchangePtr> held_;
 };
 
--- a/pinford/testing/standin_faults_standin.cc
+++ b/pinford/testing/standin_faults_standin.cc
@@ -9,23 +9,23 @@
   leaving_ = JsonField(v, "leaving", leaving_);
   full_ = JsonField(v, "full", full_);
   delay_ = milliseconds(JsonField<int64_t>(v, "delay_ms", ToMillis(delay_)));
-  lose_replies_ = JsonField(v, "lose_replies", lose_replies_);
+  replies_to_lose_ = JsonField(v, "lose_replies", replies_to_lose_);
 }
 
-bool StandinFaults::Hold(const ExchangePtr& exchange) {
+bool StandinFaults::HoldIfFrozen(const ExchangePtr& exchange) {
   if (frozen_) held_.push_back(exchange);
   return frozen_;
 }
 
-std::vector<ExchangePtr> StandinFaults::TakeHeld() {
+std::vector<ExchangePtr> StandinFaults::ReleaseHeld() {
   std::vector<ExchangePtr> held;
   if (!frozen_) held.swap(held_);
   return held;
 }
 
-bool StandinFaults::LoseReply() {
-  if (lose_replies_ == 0) return false;
-  lose_replies_--;
+bool StandinFaults::ShouldLoseReply() {
+  if (replies_to_lose_ == 0) return false;
+  replies_to_lose_--;
   return true;
 }
 
--- a/pinford/testing/standin_main.cc
+++ b/pinford/testing/standin_main.cc
@@ -64,8 +64,8 @@
   return static_cast<int>(args.at(name).asLong());
 }
 
-int Listening(bool ok, EventLoop* loop) {
-  if (!ok) {
+int RunUntilStopped(bool listening, EventLoop* loop) {
+  if (!listening) {
     std::cerr << "cannot listen\n";
     return 1;
   }
@@ -81,7 +81,7 @@
     store.Put(kEndpointListKey, {std::istreambuf_iterator<char>(in),
                                  std::istreambuf_iterator<char>()});
   }
-  return Listening(store.Listen(at), loop);
+  return RunUntilStopped(store.Listen(at), loop);
 }
 
 int RunEngine(const Arguments& args, EventLoop* loop, const Address& at) {
@@ -96,7 +96,7 @@
   options.layer_time = microseconds(Number(args, "--layer-us"));
   options.records = !args.at("--no-records").asBool();
   EngineStandin engine(loop, options);
-  return Listening(engine.Listen(at), loop);
+  return RunUntilStopped(engine.Listen(at), loop);
 }
 
 int RunPoolRunner(const Arguments& args, EventLoop* loop, const Address& at) {
@@ -112,7 +112,7 @@
   options.layers = Number(args, "--layers");
   options.linger = milliseconds(Number(args, "--linger-ms"));
   platform::PoolRunnerStandin runner(loop, options);
-  if (!runner.Start()) return Listening(false, loop);
+  if (!runner.Start()) return RunUntilStopped(false, loop);
   loop->OnSignal(SIGTERM, [&runner] { runner.BeginLeaving(); });
   loop->Run();
   return 0;
@@ -125,7 +125,7 @@
     std::cerr << "cannot listen: " << link << "\n";
     return 1;
   }
-  return Listening(proxies.Listen(at), loop);
+  return RunUntilStopped(proxies.Listen(at), loop);
 }
 
 int Main(int argc, char** argv) {
@@ -148,11 +148,11 @@
   if (args.at("proxies").asBool()) return RunProxies(args, &loop, *at);
   if (args.at("metadata-store").asBool()) {
     platform::MetadataStoreStandin store(&loop);
-    return Listening(store.Listen(*at), &loop);
+    return RunUntilStopped(store.Listen(*at), &loop);
   }
   if (args.at("service").asBool()) {
     ServiceStandin service(&loop, args.at("--name").asString());
-    return Listening(service.Listen(*at), &loop);
+    return RunUntilStopped(service.Listen(*at), &loop);
   }
   std::vector<Address> boxes;
   for (const std::string& text : args.at("BOX").asStringList()) {
@@ -161,7 +161,7 @@
   }
   BalancerStandin balancer(&loop, boxes,
                            milliseconds(Number(args, "--look-ms")));
-  return Listening(balancer.Listen(*at), &loop);
+  return RunUntilStopped(balancer.Listen(*at), &loop);
 }
 
 }  // namespace
--- a/pinford/testing/store_standin.cc
+++ b/pinford/testing/store_standin.cc
@@ -17,7 +17,7 @@
 
 void StoreStandin::OnRequest(ExchangePtr exchange) {
   if (exchange->path() == "/faults") {
-    SetFaults(exchange);
+    HandleFaults(exchange);
     return;
   }
   if (down_) {
@@ -35,15 +35,15 @@
   const std::string& path = exchange->path();
   counts_[path]++;
   if (path == "/v1/kv") {
-    Get(exchange);
+    HandleGet(exchange);
   } else if (path == "/v1/cas") {
-    Swap(exchange);
+    HandleSwap(exchange);
   } else if (path == "/v1/lease") {
-    TakeLease(exchange);
+    HandleLease(exchange);
   } else if (path == "/put") {
-    PutAll(exchange);
+    HandlePut(exchange);
   } else if (path == "/counts") {
-    Counts(exchange);
+    HandleCounts(exchange);
   } else {
     exchange->Reply(404, kJsonType, "{}");
   }
@@ -56,7 +56,7 @@
       DumpJson(Json{{"value", row.value}, {"revision", row.revision}}));
 }
 
-void StoreStandin::Get(const ExchangePtr& exchange) {
+void StoreStandin::HandleGet(const ExchangePtr& exchange) {
   const std::string key = exchange->query("key");
   const std::string after = exchange->query("after");
   auto it = rows_.find(key);
@@ -82,7 +82,7 @@
   });
 }
 
-void StoreStandin::WakeWatches(const std::string& key) {
+void StoreStandin::NotifyWatches(const std::string& key) {
   const Row& row = rows_.at(key);
   for (auto it = watches_.begin(); it != watches_.end();) {
     if (it->key == key && row.revision > it->after) {
@@ -107,10 +107,10 @@
 
 void StoreStandin::Put(const std::string& key, const std::string& value) {
   rows_[key] = {value, ++revision_};
-  WakeWatches(key);
+  NotifyWatches(key);
 }
 
-void StoreStandin::Swap(const ExchangePtr& exchange) {
+void StoreStandin::HandleSwap(const ExchangePtr& exchange) {
   const Json v = ParseJson(exchange->body());
   const std::string key = JsonField<std::string>(v, "key", "");
   const uint64_t revision = JsonField<uint64_t>(v, "revision", 0);
@@ -119,8 +119,8 @@
     return;
   }
   auto it = rows_.find(key);
-  const uint64_t present = it == rows_.end() ? 0 : it->second.revision;
-  if (present != revision) {
+  const uint64_t current = it == rows_.end() ? 0 : it->second.revision;
+  if (current != revision) {
     ReplyRow(exchange, 409, it == rows_.end() ? Row() : it->second);
     return;
   }
@@ -129,17 +129,17 @@
              DumpJson(Json{{"revision", rows_.at(key).revision}}));
 }
 
-void StoreStandin::TakeLease(const ExchangePtr& exchange) {
+void StoreStandin::HandleLease(const ExchangePtr& exchange) {
   const Json v = ParseJson(exchange->body());
   const std::string holder = JsonField<std::string>(v, "holder", "");
   const Duration ttl = milliseconds(JsonField<int64_t>(v, "ttl_ms", 0));
   Lease& lease = leases_[JsonField<std::string>(v, "key", "")];
-  const bool free = lease.until <= loop_->now();
+  const bool free = lease.expires <= loop_->now();
   const bool granted = free || lease.holder == holder;
   if (granted) {
     if (free) lease.token = ++revision_;
     lease.holder = holder;
-    lease.until = loop_->now() + ttl;
+    lease.expires = loop_->now() + ttl;
   }
   const std::string body =
       DumpJson(Json{{"token", lease.token}, {"holder", lease.holder}});
@@ -150,12 +150,12 @@
   }
 }
 
-void StoreStandin::PutAll(const ExchangePtr& exchange) {
+void StoreStandin::HandlePut(const ExchangePtr& exchange) {
   Put(exchange->query("key"), exchange->body());
   exchange->Reply(200, kJsonType, "{}");
 }
 
-void StoreStandin::SetFaults(const ExchangePtr& exchange) {
+void StoreStandin::HandleFaults(const ExchangePtr& exchange) {
   const Json v = ParseJson(exchange->body());
   down_ = JsonField(v, "down", down_);
   delay_ = milliseconds(JsonField<int64_t>(v, "delay_ms", ToMillis(delay_)));
@@ -169,7 +169,7 @@
   watches_.clear();
 }
 
-void StoreStandin::Counts(const ExchangePtr& exchange) {
+void StoreStandin::HandleCounts(const ExchangePtr& exchange) {
   exchange->Reply(200, kJsonType, DumpJson(Json(counts_)));
 }
 
--- a/pinford/testing/store_standin.h
+++ b/pinford/testing/store_standin.h
@@ -34,7 +34,7 @@
   };
   struct Lease {
     std::string holder;
-    Time until{};
+    Time expires{};
     uint64_t token = 0;
   };
   struct Watch {
@@ -46,17 +46,17 @@
 
   void OnRequest(ExchangePtr exchange);
   void Serve(const ExchangePtr& exchange);
-  void Get(const ExchangePtr& exchange);
-  void Swap(const ExchangePtr& exchange);
-  void TakeLease(const ExchangePtr& exchange);
-  void PutAll(const ExchangePtr& exchange);
-  void SetFaults(const ExchangePtr& exchange);
-  void Counts(const ExchangePtr& exchange);
+  void HandleGet(const ExchangePtr& exchange);
+  void HandleSwap(const ExchangePtr& exchange);
+  void HandleLease(const ExchangePtr& exchange);
+  void HandlePut(const ExchangePtr& exchange);
+  void HandleFaults(const ExchangePtr& exchange);
+  void HandleCounts(const ExchangePtr& exchange);
   void ReplyRow(const ExchangePtr& exchange, int status, const Row& row);
   // Answers a write, or loses the answer.
   void ReplyWrite(const ExchangePtr& exchange, int status,
                   const std::string& body);
-  void WakeWatches(const std::string& key);
+  void NotifyWatches(const std::string& key);
 
   EventLoop* loop_;
   HttpServer server_;
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -27,7 +27,7 @@
 
 install_packages
 build --target soak pinford standin >/dev/null
-SECONDS_OF_TROUBLE=$(awk -v m="$MINUTES" 'BEGIN { print int(m * 60 + 0.5) }')
+FAULT_SECONDS=$(awk -v m="$MINUTES" 'BEGIN { print int(m * 60 + 0.5) }')
 RUNNERS=$((BOXES / 2 + 5))
 HALLS=$((BOXES < 20 ? 2 : 5))
 OUT=$ROOT/run/soak
@@ -40,7 +40,7 @@
 found=()
 for seed in $(seq "$FIRST" $((FIRST + SEEDS - 1))); do
   rm -rf "${OUT:?}/$seed"
-  if run_child "$BUILD/soak" --seed="$seed" --seconds="$SECONDS_OF_TROUBLE" \
+  if run_child "$BUILD/soak" --seed="$seed" --seconds="$FAULT_SECONDS" \
     --boxes="$BOXES" --runners="$RUNNERS" --halls="$HALLS" \
     --callers=$((4 * BOXES)) --directory="$OUT/$seed" \
     --counts="$COUNTS"; then
--- a/tools/soak_mutations.sh
+++ b/tools/soak_mutations.sh
@@ -7,8 +7,8 @@
 set -euo pipefail
 . "$(dirname "$0")/lib.sh"
 
-MOST_SEEDS=10
-SECONDS_OF_TROUBLE=30
+MAX_SEEDS=10
+FAULT_SECONDS=30
 MUTATIONS=$ROOT/platform/testing/soak/mutations
 
 APPLIES=
@@ -43,9 +43,9 @@
 # Sets FOUND_BY to the first seed with a finding of the check, or to nothing.
 first_seed_that_finds() {
   local check=$1 out=$2 seed
-  for seed in $(seq "$MOST_SEEDS"); do
+  for seed in $(seq "$MAX_SEEDS"); do
     run_child "$COPY/build/soak" --seed="$seed" \
-      --seconds="$SECONDS_OF_TROUBLE" >"$out" 2>&1 || true
+      --seconds="$FAULT_SECONDS" >"$out" 2>&1 || true
     if grep -q "^seed $seed: $check: " "$out"; then
       FOUND_BY=$seed
       return
@@ -63,7 +63,7 @@
   if [ -n "$FOUND_BY" ]; then
     echo "$name: found by \"$check\" with seed $FOUND_BY"
   else
-    echo "$name: not found by \"$check\" in $MOST_SEEDS seeds"
+    echo "$name: not found by \"$check\" in $MAX_SEEDS seeds"
     failed=1
   fi
   patch -d "$COPY" -p1 -s -f -R <"$MUTATIONS/$name.patch"
