--- a/pinford/testing/balancer_standin.cc
+++ b/pinford/testing/balancer_standin.cc
@@ -9,7 +9,7 @@
 
 namespace pinford {
 
-// The two ends of one connection that is passed on.
+// The caller's and the box's side of one forwarded connection.
 struct BalancerStandin::ConnectionPair {
   bufferevent* ends[2];
 
@@ -98,7 +98,7 @@
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
   auto* pair = static_cast<ConnectionPair*>(arg);
   bufferevent* other = pair->OtherOf(bev);
-  // What one side sent before it closed still reaches the other.
+  // The other side still receives what this one sent before it closed.
   if (evbuffer_get_length(bufferevent_get_output(other)) == 0) {
     pair->Free();
     return;
--- a/pinford/testing/balancer_standin.h
+++ b/pinford/testing/balancer_standin.h
@@ -1,5 +1,5 @@
-// A small stand-in for the platform's balancer: passes connections on, one
-// after the other, to the boxes that were ready when it last looked.
+// A small stand-in for the platform's load balancer: forwards connections
+// round-robin to the boxes that were ready at the last check.
 
 #ifndef PINFORD_TESTING_BALANCER_STANDIN_H_
 #define PINFORD_TESTING_BALANCER_STANDIN_H_
@@ -18,7 +18,7 @@
 
 class BalancerStandin {
  public:
-  // Looks at each box's /readyz every `interval`.
+  // Polls each box's /readyz every `interval`.
   BalancerStandin(EventLoop* loop, std::vector<Address> boxes,
                   Duration interval);
   ~BalancerStandin();
--- a/pinford/testing/engine_standin.cc
+++ b/pinford/testing/engine_standin.cc
@@ -12,7 +12,7 @@
 
 static HttpServer::Options EngineOptions() {
   HttpServer::Options options;
-  options.max_body_bytes = 64 << 20;  // a long prompt's activations
+  options.max_body_bytes = 64 << 20;  // activations of a long prompt
   return options;
 }
 
--- a/pinford/testing/engine_standin.h
+++ b/pinford/testing/engine_standin.h
@@ -1,14 +1,14 @@
 // A small stand-in for a model engine, over HTTP.
 //
-// It speaks what engine_protocol.h describes and computes the toy model over
-// the layers that it holds. A step takes layers * layer_us, and a sixteenth of
-// that for each further position, whatever else runs: as with continuous
-// batching, up to `slots` sessions share the machine. GET /records gives every
-// layer run, GET /offers the new sessions offered since it began to leave and
-// how long after that the last one came. Faults are set by POST /faults, as
-// standin_faults.h says, and:
-//   report_lag_ms reports are as they were so long ago
-// An order to hold other layers is taken up when the last session has ended;
+// It implements the protocol of engine_protocol.h and computes the toy model
+// over the layers that it holds. A step takes layers * layer_us, plus 1/16 of
+// that for each further position, independently of other sessions: as with
+// continuous batching, up to `slots` sessions share the machine. GET /records
+// returns every layer run. GET /offers returns the number of new sessions that
+// were offered since it started leaving, and how long after that the last one
+// arrived. POST /faults sets the faults of standin_faults.h, and:
+//   report_lag_ms  how old the load reports are that it returns
+// An order to hold other layers takes effect once the last session has ended;
 // until then new sessions are refused as busy.
 
 #ifndef PINFORD_TESTING_ENGINE_STANDIN_H_
@@ -55,7 +55,7 @@
   void HandleLoad(const ExchangePtr& exchange);
   void HandleRecords(const ExchangePtr& exchange);
   void HandleOrder(const ExchangePtr& exchange);
-  // Takes up what was ordered once the last session has ended.
+  // Applies the pending order if no session is left.
   void ApplyOrder();
   void HandleOffers(const ExchangePtr& exchange);
   void HandleFaults(const ExchangePtr& exchange);
@@ -71,7 +71,7 @@
   Duration report_lag_{};
   Time leaving_since_{};
   Time last_offer_{};
-  int offers_ = 0;  // of new sessions, since it began to leave
+  int offers_ = 0;  // of new sessions, since it started leaving
   uint64_t highest_token_ = 0;
   std::optional<Holding> pending_order_;
   std::deque<std::pair<Time, LoadReport>> reports_;
--- a/pinford/testing/free_ports.h
+++ b/pinford/testing/free_ports.h
@@ -1,4 +1,4 @@
-// Loopback ports that are free now, for tests and scripts.
+// Allocation of free loopback ports for tests and scripts.
 
 #ifndef PINFORD_TESTING_FREE_PORTS_H_
 #define PINFORD_TESTING_FREE_PORTS_H_
@@ -7,11 +7,11 @@
 
 namespace pinford {
 
-// `count` different ports of 127.0.0.1 on which neither TCP nor UDP listens;
-// fewer if there are not so many. They lie below the range from which the
-// kernel gives ports to outgoing connections, so that none of those takes one
-// before it is used. No other process gets them by this function before this
-// one has ended.
+// Returns `count` different ports of 127.0.0.1 that are bound for neither TCP
+// nor UDP, or fewer if not enough are free. They lie below the kernel's
+// ephemeral port range, so that no outgoing connection can take one before it
+// is used. This function returns none of them to another process until this one
+// exits.
 std::vector<int> FreePorts(int count);
 
 }  // namespace pinford
--- a/pinford/testing/free_ports_standin.cc
+++ b/pinford/testing/free_ports_standin.cc
@@ -1,6 +1,6 @@
-// Ports come in blocks. A process takes whole blocks, by a lock on a file
-// that it keeps until it ends, so that tests which run side by side never
-// take each other's ports between looking and listening.
+// Ports are allocated in blocks. A process reserves a whole block by locking a
+// file until it exits, so that concurrent tests cannot take each other's ports
+// between checking that a port is free and listening on it.
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -31,7 +31,7 @@
   return ok;
 }
 
-// Takes block `k` for this process. The lock goes when the process ends.
+// Reserves block `k` for this process. The lock is released when it exits.
 static bool LockBlock(int k) {
   const std::string file = std::filesystem::temp_directory_path() /
                            ("pinford-ports-" + std::to_string(k));
@@ -42,13 +42,13 @@
   return false;
 }
 
-// The ports of the blocks that this process has taken, not yet handed out.
+// The ports of this process's blocks that have not been returned yet.
 static std::vector<int>& AvailablePorts() {
   static std::vector<int> ports;
   return ports;
 }
 
-// Takes one more block. False if others hold all of them.
+// Reserves one more block. Returns false if all of them are reserved.
 static bool LockAnotherBlock() {
   std::random_device device;
   std::mt19937 random(device());
@@ -56,7 +56,7 @@
   for (int i = 0; i < kBlockCount; i++) {
     const int k = (first + i) % kBlockCount;
     if (!LockBlock(k)) continue;
-    // Handed out from the end.
+    // Ports are returned from the end of the vector.
     for (int port = kFirstPort + (k + 1) * kPortsPerBlock - 1;
          port >= kFirstPort + k * kPortsPerBlock; port--) {
       AvailablePorts().push_back(port);
--- a/pinford/testing/service_standin.h
+++ b/pinford/testing/service_standin.h
@@ -1,9 +1,9 @@
 // A small stand-in for a plain service, such as one that records bookings.
 //
-// It checks no fence and no key: whatever reaches it runs, and is recorded.
-// GET /records gives every run. Faults are set by POST /faults, as
-// standin_faults.h says, and:
-//   fail          answers 500 after running
+// It checks neither fencing tokens nor idempotency keys: every request that
+// reaches it runs and is recorded. GET /records returns every run. POST /faults
+// sets the faults of standin_faults.h, and:
+//   fail  answers 500 after running
 
 #ifndef PINFORD_TESTING_SERVICE_STANDIN_H_
 #define PINFORD_TESTING_SERVICE_STANDIN_H_
--- a/pinford/testing/standin_faults.h
+++ b/pinford/testing/standin_faults.h
@@ -1,9 +1,10 @@
-// The faults that stand-ins of endpoints share, as POST /faults sets them:
-//   frozen        takes requests and answers none until it is thawed
-//   leaving       refuses new work, and says so in its report
+// Faults common to the endpoint stand-ins. POST /faults sets them:
+//   frozen        accepts requests but answers none until it is cleared
+//   leaving       refuses new work, and reports that it is leaving
 //   full          refuses new work as busy
-//   delay_ms      every answer takes so much longer
-//   lose_replies  so many requests run and are cut instead of answered
+//   delay_ms      added to the time of each answer
+//   lose_replies  number of requests that run and whose connection is then
+//                 closed instead of answered
 
 #ifndef PINFORD_TESTING_STANDIN_FAULTS_H_
 #define PINFORD_TESTING_STANDIN_FAULTS_H_
@@ -18,15 +19,16 @@
 
 class StandinFaults {
  public:
-  // Reads the body of POST /faults.
+  // Applies the body of a POST /faults request.
   void Set(const std::string& json);
 
-  // Takes the exchange if requests are held now.
+  // Holds the exchange and returns true if the endpoint is frozen.
   bool HoldIfFrozen(const ExchangePtr& exchange);
-  // Those held, once it is thawed; empty while it is frozen.
+  // Returns the exchanges that were held; none while the endpoint is frozen.
   std::vector<ExchangePtr> ReleaseHeld();
 
-  // Whether to cut this answer.
+  // Whether to abort this exchange instead of answering it. Counts down
+  // lose_replies.
   bool ShouldLoseReply();
 
   bool frozen() const { return frozen_; }
--- a/pinford/testing/standin_main.cc
+++ b/pinford/testing/standin_main.cc
@@ -1,4 +1,4 @@
-// The stand-ins for what surrounds pinford, as one test program.
+// One test program with the stand-ins for the systems around pinford.
 
 #include <docopt/docopt.h>
 #include <signal.h>
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr char kUsage[] =
-    R"(Stand-ins for what surrounds pinford. For tests and trials only.
+    R"(Stand-ins for the systems around pinford. For tests and trials only.
 
 Usage:
   standin store --listen=ADDRESS [--list=FILE]
@@ -36,26 +36,26 @@
   standin proxies --listen=ADDRESS LINK...
   standin ports COUNT
 
-metadata-store and pool-runner speak the users' platform's protocol. LINK is
-NAME,ADDRESS,ADDRESS: what to listen on, and what is behind it. The last prints
-COUNT loopback ports that are free now, for scripts.
+metadata-store and pool-runner speak the protocol of the users' platform. LINK
+is NAME,ADDRESS,ADDRESS: the address to listen on and the one to forward to.
+`ports` prints COUNT free loopback ports, for scripts.
 
 Options:
   --list=FILE         The platform's list of endpoints, as JSON.
   --layers=N          Layers of the whole model; 0 for a plain service
                       [default: 8].
-  --service=NAME      What the endpoint is listed as.
-  --store=ADDRESS     The metadata store that lists it.
+  --service=NAME      The service under which the endpoint is listed.
+  --store=ADDRESS     The metadata store in which it is listed.
   --model=NAME        [default: toy]
   --model-version=V   [default: v1]
-  --slots=N           Sessions held at once [default: 64].
-  --layer-us=N        Microseconds a layer takes [default: 200].
+  --slots=N           Maximum number of sessions [default: 64].
+  --layer-us=N        Microseconds per layer [default: 200].
   --end-every=N       The answer ends at a token that is a multiple of N;
                       0 for never [default: 0].
-  --no-records        Keeps no record of what ran.
-  --linger-ms=N       How long a runner serves on once it leaves
+  --no-records        Do not record layer runs.
+  --linger-ms=N       How long a runner keeps serving once it leaves
                       [default: 1500].
-  --look-ms=N         How often the balancer looks at /readyz [default: 300].
+  --look-ms=N         How often the balancer polls /readyz [default: 300].
 )";
 
 using Arguments = std::map<std::string, docopt::value>;
--- a/pinford/testing/store_standin.cc
+++ b/pinford/testing/store_standin.cc
@@ -6,7 +6,7 @@
 
 static HttpServer::Options StoreOptions() {
   HttpServer::Options options;
-  options.max_body_bytes = 2 << 20;  // a value of a megabyte, escaped
+  options.max_body_bytes = 2 << 20;  // a 1 MB value with JSON escapes
   return options;
 }
 
--- a/pinford/testing/store_standin.h
+++ b/pinford/testing/store_standin.h
@@ -1,10 +1,11 @@
 // A small stand-in for the platform's key-value service, over HTTP.
 //
-// It speaks what store_client.h describes. Faults are set by POST /faults:
-//   down          every connection is cut at its first request
-//   delay_ms      every answer waits
-//   lose_replies  so many writes take effect and are cut instead of answered
-// GET /counts gives the calls by kind.
+// It implements the protocol of store_client.h. POST /faults sets faults:
+//   down          closes each connection at its first request
+//   delay_ms      added to the time of each answer
+//   lose_replies  number of writes that take effect and whose connection is
+//                 then closed instead of answered
+// GET /counts returns the number of calls by path.
 
 #ifndef PINFORD_TESTING_STORE_STANDIN_H_
 #define PINFORD_TESTING_STORE_STANDIN_H_
@@ -24,7 +25,7 @@
   explicit StoreStandin(EventLoop* loop);
 
   bool Listen(const Address& address) { return server_.Listen(address); }
-  // Writes `key` whatever its revision.
+  // Writes `key` regardless of its revision.
   void Put(const std::string& key, const std::string& value);
 
  private:
@@ -53,7 +54,7 @@
   void HandleFaults(const ExchangePtr& exchange);
   void HandleCounts(const ExchangePtr& exchange);
   void ReplyRow(const ExchangePtr& exchange, int status, const Row& row);
-  // Answers a write, or loses the answer.
+  // Answers a write, or aborts the exchange if replies are to be lost.
   void ReplyWrite(const ExchangePtr& exchange, int status,
                   const std::string& body);
   void NotifyWatches(const std::string& key);
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Plays faults against forwarding boxes as real processes, seed by seed:
+# Runs fault soaks of forwarding boxes as real processes, one for each seed:
 #   tools/soak.sh [--seeds N] [--first S] [--minutes M] [--boxes N]
-# Prints a line for each finding and each seed, how many calls, faults, checks
-# and findings there were in all by kind, and how many seeds found something. Logs
-# of those stay in run/soak/SEED; the others' are removed. What a seed does:
-# build/soak schedule --seed=S. Ends only what it started, also when it is
-# interrupted.
+# Prints a line for each finding and each seed, then the total number of calls,
+# faults, checks and findings by kind, and how many seeds had findings. Keeps the
+# logs of those seeds in run/soak/SEED and removes the others'. To list the
+# faults of a seed: build/soak schedule --seed=S. Terminates only processes that
+# it has started, also when it is interrupted.
 set -euo pipefail
 . "$(dirname "$0")/lib.sh"
 
--- a/tools/soak_mutations.sh
+++ b/tools/soak_mutations.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Shows that the soak can fail: puts each fault of platform/testing/soak/mutations
-# into a copy of the tree, one at a time, and plays seeds until the check that
-# the patch names finds it:
+# Mutation tests of the soak: applies each patch of platform/testing/soak/mutations
+# to a copy of the tree, one at a time, and runs seeds until the check that the
+# patch names reports a finding:
 #   tools/soak_mutations.sh [--applies] [NAME...]
-# With --applies it only looks whether the patches still fit the tree.
+# With --applies it only checks that the patches apply to the tree.
 set -euo pipefail
 . "$(dirname "$0")/lib.sh"
 
@@ -40,7 +40,7 @@
 
 end_child_with_script
 
-# Sets FOUND_BY to the first seed with a finding of the check, or to nothing.
+# Sets FOUND_BY to the first seed with a finding of the check, or to the empty string.
 first_seed_that_finds() {
   local check=$1 out=$2 seed
   for seed in $(seq "$MAX_SEEDS"); do
