--- a/pinford/testing/free_ports_standin.cc
+++ b/pinford/testing/free_ports_standin.cc
@@ -1,6 +1,6 @@
-// Ports come in blocks. A process takes whole blocks, by a lock on a file
-// that it keeps until it ends, so that tests which run side by side never
-// take each other's ports between looking and listening.
+// Ports are allocated in blocks. A process reserves a whole block by locking a
+// file until it exits, so that concurrent tests cannot take each other's ports
+// between checking that a port is free and listening on it.
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -16,9 +16,9 @@
 
 namespace pinford {
 
-static constexpr int kLowest = 11000;
-static constexpr int kBlock = 250;
-static constexpr int kBlocks = 80;
+static constexpr int kFirstPort = 11000;
+static constexpr int kPortsPerBlock = 250;
+static constexpr int kBlockCount = 80;
 
 static bool CanBind(int port, int type) {
   const int fd = socket(AF_INET, type, 0);
@@ -31,8 +31,8 @@
   return ok;
 }
 
-// Takes block `k` for this process. The lock goes when the process ends.
-static bool TakeBlock(int k) {
+// Reserves block `k` for this process. The lock is released when it exits.
+static bool LockBlock(int k) {
   const std::string file = std::filesystem::temp_directory_path() /
                            ("pinford-ports-" + std::to_string(k));
   const int fd = open(file.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0666);
@@ -42,24 +42,24 @@
   return false;
 }
 
-// The ports of the blocks that this process has taken, not yet handed out.
-static std::vector<int>& LeftOver() {
+// The ports of this process's blocks that have not been returned yet.
+static std::vector<int>& AvailablePorts() {
   static std::vector<int> ports;
   return ports;
 }
 
-// Takes one more block. False if others hold all of them.
-static bool TakeAnotherBlock() {
+// Reserves one more block. Returns false if all of them are reserved.
+static bool LockAnotherBlock() {
   std::random_device device;
   std::mt19937 random(device());
-  const int first = static_cast<int>(random() % kBlocks);
-  for (int i = 0; i < kBlocks; i++) {
-    const int k = (first + i) % kBlocks;
-    if (!TakeBlock(k)) continue;
-    // Handed out from the end.
-    for (int port = kLowest + (k + 1) * kBlock - 1;
-         port >= kLowest + k * kBlock; port--) {
-      LeftOver().push_back(port);
+  const int first = static_cast<int>(random() % kBlockCount);
+  for (int i = 0; i < kBlockCount; i++) {
+    const int k = (first + i) % kBlockCount;
+    if (!LockBlock(k)) continue;
+    // Ports are returned from the end of the vector.
+    for (int port = kFirstPort + (k + 1) * kPortsPerBlock - 1;
+         port >= kFirstPort + k * kPortsPerBlock; port--) {
+      AvailablePorts().push_back(port);
     }
     return true;
   }
@@ -69,9 +69,9 @@
 std::vector<int> FreePorts(int count) {
   std::vector<int> ports;
   while (static_cast<int>(ports.size()) < count) {
-    if (LeftOver().empty() && !TakeAnotherBlock()) break;
-    const int port = LeftOver().back();
-    LeftOver().pop_back();
+    if (AvailablePorts().empty() && !LockAnotherBlock()) break;
+    const int port = AvailablePorts().back();
+    AvailablePorts().pop_back();
     if (CanBind(port, SOCK_STREAM) && CanBind(port, SOCK_DGRAM)) {
       ports.push_back(port);
     }
--- a/pinford/testing/standin_main.cc
+++ b/pinford/testing/standin_main.cc
@@ -1,4 +1,4 @@
-// The stand-ins for what surrounds pinford, as one test program.
+// One test program with the stand-ins for the systems around pinford.
 
 #include <docopt/docopt.h>
 #include <signal.h>
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr char kUsage[] =
-    R"(Stand-ins for what surrounds pinford. For tests and trials only.
+    R"(Stand-ins for the systems around pinford. For tests and trials only.
 
 Usage:
   standin store --listen=ADDRESS [--list=FILE]
@@ -36,26 +36,26 @@
   standin proxies --listen=ADDRESS LINK...
   standin ports COUNT
 
-metadata-store and pool-runner speak the users' platform's protocol. LINK is
-NAME,ADDRESS,ADDRESS: what to listen on, and what is behind it. The last prints
-COUNT loopback ports that are free now, for scripts.
+metadata-store and pool-runner speak the protocol of the users' platform. LINK
+is NAME,ADDRESS,ADDRESS: the address to listen on and the one to forward to.
+`ports` prints COUNT free loopback ports, for scripts.
 
 Options:
   --list=FILE         The platform's list of endpoints, as JSON.
   --layers=N          Layers of the whole model; 0 for a plain service
                       [default: 8].
-  --service=NAME      What the endpoint is listed as.
-  --store=ADDRESS     The metadata store that lists it.
+  --service=NAME      The service under which the endpoint is listed.
+  --store=ADDRESS     The metadata store in which it is listed.
   --model=NAME        [default: toy]
   --model-version=V   [default: v1]
-  --slots=N           Sessions held at once [default: 64].
-  --layer-us=N        Microseconds a layer takes [default: 200].
+  --slots=N           Maximum number of sessions [default: 64].
+  --layer-us=N        Microseconds per layer [default: 200].
   --end-every=N       The answer ends at a token that is a multiple of N;
                       0 for never [default: 0].
-  --no-records        Keeps no record of what ran.
-  --linger-ms=N       How long a runner serves on once it leaves
+  --no-records        Do not record layer runs.
+  --linger-ms=N       How long a runner keeps serving once it leaves
                       [default: 1500].
-  --look-ms=N         How often the balancer looks at /readyz [default: 300].
+  --look-ms=N         How often the balancer polls /readyz [default: 300].
 )";
 
 using Arguments = std::map<std::string, docopt::value>;
@@ -64,8 +64,8 @@
   return static_cast<int>(args.at(name).asLong());
 }
 
-int Listening(bool ok, EventLoop* loop) {
-  if (!ok) {
+int RunUntilStopped(bool listening, EventLoop* loop) {
+  if (!listening) {
     std::cerr << "cannot listen\n";
     return 1;
   }
@@ -81,7 +81,7 @@
     store.Put(kEndpointListKey, {std::istreambuf_iterator<char>(in),
                                  std::istreambuf_iterator<char>()});
   }
-  return Listening(store.Listen(at), loop);
+  return RunUntilStopped(store.Listen(at), loop);
 }
 
 int RunEngine(const Arguments& args, EventLoop* loop, const Address& at) {
@@ -96,7 +96,7 @@
   options.layer_time = microseconds(Number(args, "--layer-us"));
   options.records = !args.at("--no-records").asBool();
   EngineStandin engine(loop, options);
-  return Listening(engine.Listen(at), loop);
+  return RunUntilStopped(engine.Listen(at), loop);
 }
 
 int RunPoolRunner(const Arguments& args, EventLoop* loop, const Address& at) {
@@ -112,7 +112,7 @@
   options.layers = Number(args, "--layers");
   options.linger = milliseconds(Number(args, "--linger-ms"));
   platform::PoolRunnerStandin runner(loop, options);
-  if (!runner.Start()) return Listening(false, loop);
+  if (!runner.Start()) return RunUntilStopped(false, loop);
   loop->OnSignal(SIGTERM, [&runner] { runner.BeginLeaving(); });
   loop->Run();
   return 0;
@@ -125,7 +125,7 @@
     std::cerr << "cannot listen: " << link << "\n";
     return 1;
   }
-  return Listening(proxies.Listen(at), loop);
+  return RunUntilStopped(proxies.Listen(at), loop);
 }
 
 int Main(int argc, char** argv) {
@@ -148,11 +148,11 @@
   if (args.at("proxies").asBool()) return RunProxies(args, &loop, *at);
   if (args.at("metadata-store").asBool()) {
     platform::MetadataStoreStandin store(&loop);
-    return Listening(store.Listen(*at), &loop);
+    return RunUntilStopped(store.Listen(*at), &loop);
   }
   if (args.at("service").asBool()) {
     ServiceStandin service(&loop, args.at("--name").asString());
-    return Listening(service.Listen(*at), &loop);
+    return RunUntilStopped(service.Listen(*at), &loop);
   }
   std::vector<Address> boxes;
   for (const std::string& text : args.at("BOX").asStringList()) {
@@ -161,7 +161,7 @@
   }
   BalancerStandin balancer(&loop, boxes,
                            milliseconds(Number(args, "--look-ms")));
-  return Listening(balancer.Listen(*at), &loop);
+  return RunUntilStopped(balancer.Listen(*at), &loop);
 }
 
 }  // namespace
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Plays faults against forwarding boxes as real processes, seed by seed:
+# Runs fault soaks of forwarding boxes as real processes, one for each seed:
 #   tools/soak.sh [--seeds N] [--first S] [--minutes M] [--boxes N]
-# Prints a line for each finding and each seed, how many calls, faults, checks
-# and findings there were in all by kind, and how many seeds found something. Logs
-# of those stay in run/soak/SEED; the others' are removed. What a seed does:
-# build/soak schedule --seed=S. Ends only what it started, also when it is
-# interrupted.
+# Prints a line for each finding and each seed, then the total number of calls,
+# faults, checks and findings by kind, and how many seeds had findings. Keeps the
+# logs of those seeds in run/soak/SEED and removes the others'. To list the
+# faults of a seed: build/soak schedule --seed=S. Terminates only processes that
+# it has started, also when it is interrupted.
 set -euo pipefail
 . "$(dirname "$0")/lib.sh"
 
@@ -27,7 +27,7 @@
 
 install_packages
 build --target soak pinford standin >/dev/null
-SECONDS_OF_TROUBLE=$(awk -v m="$MINUTES" 'BEGIN { print int(m * 60 + 0.5) }')
+FAULT_SECONDS=$(awk -v m="$MINUTES" 'BEGIN { print int(m * 60 + 0.5) }')
 RUNNERS=$((BOXES / 2 + 5))
 HALLS=$((BOXES < 20 ? 2 : 5))
 OUT=$ROOT/run/soak
@@ -40,7 +40,7 @@
 found=()
 for seed in $(seq "$FIRST" $((FIRST + SEEDS - 1))); do
   rm -rf "${OUT:?}/$seed"
-  if run_child "$BUILD/soak" --seed="$seed" --seconds="$SECONDS_OF_TROUBLE" \
+  if run_child "$BUILD/soak" --seed="$seed" --seconds="$FAULT_SECONDS" \
     --boxes="$BOXES" --runners="$RUNNERS" --halls="$HALLS" \
     --callers=$((4 * BOXES)) --directory="$OUT/$seed" \
     --counts="$COUNTS"; then
