--- a/pinford/box.cc
+++ b/pinford/box.cc
@@ -150,9 +150,8 @@
   for (const auto& [endpoint, incarnation] : digest.leaving) {
     if (!context_.table.OnLeaving(endpoint, incarnation)) continue;
     changed = true;
-    context_.timeline.Add(
-        EventKind::kEndpointLeaving, "",
-        endpoint + " (reported by " + digest.sender.name + ")");
+    context_.timeline.Add(EventKind::kEndpointLeaving, "",
+                          endpoint + ", as " + digest.sender.name + " says");
   }
   // A box that receives an announcement from another hall relays it in its own.
   const bool from_other_hall = digest.sender.hall != context_.settings.hall;
--- a/pinford/caller_api.cc
+++ b/pinford/caller_api.cc
@@ -108,7 +108,7 @@
   if (!request) {
     const std::string body =
         WriteCallerError(c->id, OutcomeName(Outcome::kNotRun), "request",
-                         "the request is invalid", findings);
+                         "the request has faults", findings);
     exchange->Reply(400, kJsonType, body,
                     ResponseHeaders(c->id, Outcome::kNotRun));
     Close(c.get(), Outcome::kNotRun, "bad request");
@@ -248,8 +248,8 @@
     context_->timeline.Add(
         EventKind::kStageRepaired, p->id,
         repair.endpoint + " " + std::string(StepStatusName(repair.cause)) +
-            ", interrupted for " +
-            std::to_string(ToMillis(repair.interruption)) + " ms");
+            ", silent for " + std::to_string(ToMillis(repair.interruption)) +
+            " ms");
   };
   events.on_leaving = context_->announce_leaving;
   c->driver = std::make_unique<Driver>(
--- a/pinford/forwarding/forwarder.cc
+++ b/pinford/forwarding/forwarder.cc
@@ -66,8 +66,7 @@
 
 void Forwarder::Enqueue(const CallerExchangePtr& exchange) {
   if (!start_queue_.Add(context_->loop->now(), exchange)) {
-    Refuse(exchange,
-           {503, "starting", "too many requests wait for a configuration"});
+    Refuse(exchange, {503, "starting", "too many wait for a configuration"});
     return;
   }
   if (context_->on_caller_waiting) context_->on_caller_waiting();
@@ -89,18 +88,17 @@
   }
   if (head.CountOf("Host") != 1 || head.target.empty() ||
       head.target[0] != '/') {
-    Refuse(exchange, {400, "malformed",
-                      "exactly one Host header and a path are required"});
+    Refuse(exchange, {400, "malformed", "one Host and a path are needed"});
     return;
   }
   if (head.CountOf(names.request_id) != 1) {
-    Refuse(exchange, {400, "malformed", "exactly one request id is required"});
+    Refuse(exchange, {400, "malformed", "one request id is needed"});
     return;
   }
   const bool config_fresh = context_->config_is_fresh();
   const Route* route = routes_->Find(head.header("Host"), head.target);
   if (route == nullptr && config_fresh) {
-    Refuse(exchange, {404, "no_route", "no route matches this host and path"});
+    Refuse(exchange, {404, "no_route", "no route has this host and path"});
     return;
   }
   const std::string_view key = head.header(names.key);
@@ -116,7 +114,7 @@
     return;
   }
   if (!EndsBeforeStop(*route, context_->loop->now())) {
-    Refuse(exchange, {503, "stopping", "this box is stopping"});
+    Refuse(exchange, {503, "stopping", "this box stops"});
     return;
   }
   AdmittedRequest admitted;
@@ -136,7 +134,7 @@
   exchange->set_log_id(admitted.id);
   admitted.request_class = context_->classify(FactsOf(admitted));
   if (admitted.request_class.refuse) {
-    Refuse(exchange, {503, "policy", "refused by the policy"});
+    Refuse(exchange, {503, "policy", "the policy refuses it now"});
     return;
   }
   Duration limit = route->timeout;
--- a/pinford/operator_api.cc
+++ b/pinford/operator_api.cc
@@ -53,7 +53,7 @@
     return;
   }
   if (known_path) {
-    ReplyError(exchange, 405, "method", "method not allowed");
+    ReplyError(exchange, 405, "method", "no such method here");
   } else {
     ReplyError(exchange, 404, "path", "no such path");
   }
@@ -90,7 +90,7 @@
 
 static void ReplyFindings(const ExchangePtr& exchange,
                           const Findings& findings) {
-  Json error{{"code", "policy"}, {"message", "the policy is invalid"}};
+  Json error{{"code", "policy"}, {"message", "the policy has faults"}};
   for (const Finding& f : findings.list()) {
     error["findings"].push_back(f.ToString());
   }
@@ -163,7 +163,7 @@
 void OperatorApi::ShowSubmission(ExchangePtr exchange) {
   const std::string id = exchange->query("id");
   if (id.empty()) {
-    ReplyError(exchange, 400, "id", "id is required");
+    ReplyError(exchange, 400, "id", "id must be given");
     return;
   }
   // The store has every accepted submission; this box may not have the latest.
--- a/pinford/policy.cc
+++ b/pinford/policy.cc
@@ -60,7 +60,7 @@
 };
 
 static void StopAtLimit(lua_State* lua, lua_Debug*) {
-  luaL_error(lua, "the call ran too many instructions");
+  luaL_error(lua, "the call runs for too many instructions");
 }
 
 static int RunInvocation(lua_State* lua) {
@@ -120,7 +120,7 @@
 
 static std::string ErrorText(lua_State* lua) {
   const char* text = lua_tostring(lua, -1);
-  return text != nullptr ? text : "unknown error";
+  return text != nullptr ? text : "an error without a text";
 }
 
 bool Policy::Run(Invocation* invocation) {
@@ -412,7 +412,7 @@
                                      Findings* findings) {
   std::unique_ptr<Policy> policy(new Policy(options));
   if (!policy->Open()) {
-    findings->Add("policy", 0, "not enough memory for the Lua interpreter");
+    findings->Add("policy", 0, "no memory for the policy's interpreter");
     return nullptr;
   }
   Findings own;
--- a/pinford/service_api.cc
+++ b/pinford/service_api.cc
@@ -42,7 +42,7 @@
     exchange->Reply(
         405, kJsonType,
         WriteCallerError(id, OutcomeName(Outcome::kNotRun), "method",
-                         "services accept GET, POST, PUT and DELETE"),
+                         "a service takes GET, POST, PUT and DELETE"),
         ResponseHeaders(id, Outcome::kNotRun));
     return;
   }
