--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -196,7 +196,8 @@
 
 void EndpointTable::OnTransferSent(Time now, double tokens) {
   if (!enabled(Mechanism::kTransferLoad)) return;
-  transfer_load_.Add(now, tokens * crossing_seconds_, options_.load_window);
+  transfer_load_.Add(now, tokens * transfer_seconds_per_token_,
+                     options_.load_window);
 }
 
 void EndpointTable::OnTransferDone(double tokens) {
@@ -212,10 +213,10 @@
   const int links = pairs ? std::max(1, halls * (halls - 1) / 2) : 1;
   const double utilization =
       boxes_ * transfer_load_.At(now, span) / ToSeconds(span) / links;
-  const double queue_seconds =
-      enabled(Mechanism::kPrefillBacklog)
-          ? boxes_ * queued_transfer_tokens_ * crossing_seconds_ / links
-          : 0;
+  const double queue_seconds = enabled(Mechanism::kPrefillBacklog)
+                                   ? boxes_ * queued_transfer_tokens_ *
+                                         transfer_seconds_per_token_ / links
+                                   : 0;
   return options_.cross_hall_seconds * QueueFactor(queue_seconds) /
          std::max(kMinIdle, 1 - utilization);
 }
--- a/pinford/endpoint_table.h
+++ b/pinford/endpoint_table.h
@@ -157,7 +157,9 @@
   void OnPrefillQueued(const std::string& name, double tokens);
   void OnPrefillDone(const std::string& name, double tokens);
   // Link seconds for one token between two halls; 0 if unknown.
-  void set_transfer_seconds_per_token(double s) { crossing_seconds_ = s; }
+  void set_transfer_seconds_per_token(double s) {
+    transfer_seconds_per_token_ = s;
+  }
   // `tokens` are sent from one hall to another.
   void OnTransferSent(Time now, double tokens);
   // Tokens are queued for a cross-hall link; they have been transferred, or
@@ -205,7 +207,9 @@
   double LayerWorkOf(Time now, const std::string& name) const;
   // Seconds for a step of `layers` layers there, at its slowdown if `paced`.
   double StepSecondsOf(const std::string& name, int layers, bool paced) const;
-  double transfer_seconds_per_token() const { return crossing_seconds_; }
+  double transfer_seconds_per_token() const {
+    return transfer_seconds_per_token_;
+  }
   const MechanismSwitches& mechanisms() const { return options_.mechanisms; }
   // Streams or calls there, over all boxes.
   double LoadOf(const std::string& name) const;
@@ -359,7 +363,7 @@
   int peer_boxes_ = 0;
   int boxes_ = 1;
   double gap_share_ = 0;
-  double crossing_seconds_ = 0;
+  double transfer_seconds_per_token_ = 0;
   // Tokens of this box still waiting for a cross-hall link.
   double queued_transfer_tokens_ = 0;
   // Link seconds needed by the tokens that this box sent across halls.
--- a/pinford/forwarding/admitted_request.h
+++ b/pinford/forwarding/admitted_request.h
@@ -25,7 +25,7 @@
   RequestClass request_class;  // assigned by the policy
   std::string service;
   std::string id;
-  Time limit{};  // deadline: the earlier of the caller's and the route's
+  Time deadline{};  // the earlier of the caller's and the route's
 };
 
 // Returns what the policy sees of a request.
--- a/pinford/forwarding/forwarded_request.cc
+++ b/pinford/forwarding/forwarded_request.cc
@@ -40,7 +40,7 @@
   admitted_.exchange->set_on_disconnect([self] {
     if (auto r = self.lock()) r->OnCallerDisconnect();
   });
-  deadline_timer_ = context_->loop->After(admitted_.limit - now(), [self] {
+  deadline_timer_ = context_->loop->After(admitted_.deadline - now(), [self] {
     if (auto r = self.lock()) r->OnDeadline();
   });
   StartAttempt();
@@ -68,7 +68,7 @@
   AttemptHeaders notes;
   notes.customer = admitted_.customer;
   notes.instance = target_.endpoint();
-  notes.time_left = admitted_.limit - t;
+  notes.time_left = admitted_.deadline - t;
   notes.urgency = UrgencyOf(admitted_.request_class.tier);
   if (attempts_ > 0 && events_.last_id()) {
     notes.last_event = std::to_string(*events_.last_id());
--- a/pinford/forwarding/forwarder.cc
+++ b/pinford/forwarding/forwarder.cc
@@ -137,11 +137,11 @@
     Refuse(exchange, {503, "policy", "the policy refuses it now"});
     return;
   }
-  Duration limit = route->timeout;
+  Duration timeout = route->timeout;
   if (auto ms = ParseMillis(head.header(names.time_left))) {
-    limit = std::min(limit, Duration(milliseconds(*ms)));
+    timeout = std::min(timeout, Duration(milliseconds(*ms)));
   }
-  admitted.limit = exchange->started() + limit;
+  admitted.deadline = exchange->started() + timeout;
   context_->retries->OnRequest(context_->loop->now(), admitted.service);
   context_->metrics->Count("requests_total", "route=\"" + route->name + "\"");
   auto request =
--- a/pinford/forwarding/forwarding_peers.cc
+++ b/pinford/forwarding/forwarding_peers.cc
@@ -172,11 +172,11 @@
   const ListCursor now{membership_.self().incarnation, directory_.at()};
   std::optional<DirectoryChanges> changes;
   if (request.list.incarnation == now.incarnation) {
-    changes = directory_.ChangesSince(loop_->now(), request.list.at);
+    changes = directory_.ChangesSince(loop_->now(), request.list.position);
   }
   DocumentState state = DocumentStateOf(DocumentKind::kEndpoints);
   state.list = now;
-  if (changes && now.at != request.list.at) {
+  if (changes && now.position != request.list.position) {
     state.changes = true;
     state.body = Deflate(WriteChanges(*changes));
   }
@@ -191,7 +191,7 @@
     return state;
   }
   state.version = list.snapshot().version;
-  state.list.at = list.snapshot().at;
+  state.list.position = list.snapshot().at;
   state.freshness_age_ms = FreshnessAgeMs(list.snapshot().fresh_as_of);
   state.body = list.body();
   return state;
--- a/pinford/forwarding/request_retry.cc
+++ b/pinford/forwarding/request_retry.cc
@@ -59,7 +59,7 @@
   const bool started = admitted_.exchange->streaming();
   if (!started && picks_ >= route_.max_attempts + kMaxExtraRefusals)
     return false;
-  if (admitted_.limit - t < kMinTimeLeft) return false;
+  if (admitted_.deadline - t < kMinTimeLeft) return false;
   // An attempt that was never sent needs no retry.
   if (!was_sent_ || retry_acquired_) return true;
   retry_acquired_ =
--- a/pinford/mechanisms.h
+++ b/pinford/mechanisms.h
@@ -46,8 +46,7 @@
 // Which mechanisms are enabled: all except those that were disabled.
 class MechanismSwitches {
  public:
-  // Disables `m`.
-  void Add(Mechanism m) { off_.set(static_cast<size_t>(m)); }
+  void Disable(Mechanism m) { off_.set(static_cast<size_t>(m)); }
   bool enabled(Mechanism m) const { return !off_.test(static_cast<size_t>(m)); }
   // The names of the disabled ones separated by spaces, for the log; "" for
   // none.
--- a/pinford/peer_messages.cc
+++ b/pinford/peer_messages.cc
@@ -151,7 +151,7 @@
     SerializeFields(ar, m.list);
   } else if constexpr (std::is_same_v<M, ListCursor>) {
     Serialize(ar, m.incarnation);
-    Serialize(ar, m.at);
+    Serialize(ar, m.position);
   } else {
     static_assert(std::is_same_v<M, FetchReply>);
     Serialize(ar, m.kind);
--- a/pinford/peer_messages.h
+++ b/pinford/peer_messages.h
@@ -106,7 +106,7 @@
 // A position in one box's sequence of changes to the list of endpoints.
 struct ListCursor {
   uint64_t incarnation = 0;  // incarnation of the box; 0 if there is none
-  uint64_t at = 0;           // number of the change on that box
+  uint64_t position = 0;     // number of the change on that box
 
   bool operator==(const ListCursor&) const = default;
 };
--- a/pinford/settings.cc
+++ b/pinford/settings.cc
@@ -150,7 +150,7 @@
                                           Settings* s) {
   const std::optional<Mechanism> m = MechanismNamed(text);
   if (!m) return "is no mechanism's name (docs/OPERATIONS.md lists them)";
-  s->mechanisms.Add(*m);
+  s->mechanisms.Disable(*m);
   return "";
 }
 
--- a/pinford/testing/forwarder_test.cc
+++ b/pinford/testing/forwarder_test.cc
@@ -366,7 +366,7 @@
 TEST(Forwarder, ARestartedStageIsReplaced) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.context.mechanisms.Add(Mechanism::kMoveOnRestart);
+    if (!on) f.context.mechanisms.Disable(Mechanism::kMoveOnRestart);
     f.MakePool({"c", "d", "e"});
     f.Script({{StreamHead() + Chunk(Event(1))}}, {});
     f.SendRequest("POST", "/stream/1", milliseconds(30));
@@ -472,7 +472,7 @@
 TEST(Forwarder, StagesAreReplacedOnlyIfEnabled) {
   for (const bool on : {true, false}) {
     Fixture f;
-    if (!on) f.context.mechanisms.Add(Mechanism::kStageReplacement);
+    if (!on) f.context.mechanisms.Disable(Mechanism::kStageReplacement);
     f.MakePool({"c", "d", "e"});
     RetryShare::Options none;
     none.ratio = none.extra = 0;
@@ -515,7 +515,7 @@
 TEST(Forwarder, AStreamStaysWithASlowStage) {
   for (const bool timed : {true, false}) {
     Fixture f;
-    if (!timed) f.context.mechanisms.Add(Mechanism::kTimedRecovery);
+    if (!timed) f.context.mechanisms.Disable(Mechanism::kTimedRecovery);
     f.MakePool({"c", "d"});
     f.Script({{StreamHead() + Chunk(Event(1))}}, {});
     f.SendRequest("POST", "/stream/1", milliseconds(30));
--- a/pinford/testing/pool_choice_test.cc
+++ b/pinford/testing/pool_choice_test.cc
@@ -215,7 +215,7 @@
   EndpointTable::Options options;
   options.report_valid = hours(1);
   options.direct_handoff = true;
-  if (by_speed_alone) options.mechanisms.Add(Mechanism::kSpeedWeight);
+  if (by_speed_alone) options.mechanisms.Disable(Mechanism::kSpeedWeight);
   EndpointTable table("h", options, Random(1));
   table.set_gap_share(gap_share);
   const Time now = Time{} + seconds(100);
@@ -299,10 +299,10 @@
     EXPECT_EQ(MechanismNamed(MechanismName(m)), m);
     MechanismSwitches one;
     EXPECT_TRUE(one.enabled(m));
-    one.Add(m);
+    one.Disable(m);
     EXPECT_FALSE(one.enabled(m));
     EXPECT_EQ(one.ToString(), MechanismName(m));
-    all.Add(m);
+    all.Disable(m);
   }
   EXPECT_EQ(MechanismNamed("magic"), std::nullopt);
   for (int i = 0; i < kMechanisms; i++) {
@@ -340,7 +340,7 @@
       EndpointTable::Options options;
       options.report_valid = hours(1);
       options.direct_handoff = true;
-      if (disabled) options.mechanisms.Add(c.mechanism);
+      if (disabled) options.mechanisms.Disable(c.mechanism);
       EndpointTable table("h", options, Random(1));
       ListedEndpoint e;
       e.name = "a";
--- a/pinford/testing/pool_planner_test.cc
+++ b/pinford/testing/pool_planner_test.cc
@@ -205,7 +205,7 @@
       : random(seed), store(&clock, seed), pool(&clock) {
     options.max_moves = max_moves;
     if (!check_after_takeover)
-      options.mechanisms.Add(Mechanism::kTakeoverProbe);
+      options.mechanisms.Disable(Mechanism::kTakeoverProbe);
     auto c = std::make_shared<ServiceConfiguration>();
     c->version = 1;
     EnginePool engine;
