--- a/pinford/admission.h
+++ b/pinford/admission.h
@@ -11,7 +11,7 @@
 // together in the morning.
 //
 // A request whose predicted wait exceeds its deadline is refused at once, as is
-// one that finds the queue full. The caller is told when to retry, computed
+// one that finds the queue full. The refusal states when to retry, computed
 // from the measured drain rate.
 
 #ifndef PINFORD_ADMISSION_H_
--- a/pinford/endpoint_choice.cc
+++ b/pinford/endpoint_choice.cc
@@ -10,7 +10,7 @@
 
 namespace pinford {
 
-// Whether a runner's last report says that it holds a part of the model.
+// Whether a runner holds a part of the model, by its last report.
 static bool Holds(const EndpointTable::Row& row, const std::string& model,
                   const std::string& version) {
   return row.listed.role == EndpointRole::kRunner && row.report &&
@@ -189,8 +189,8 @@
 // The minimum, over the layers of `model`, of the sum of slots_of(row) over the
 // runners that hold the layer.
 template <typename SlotsOf>
-double EndpointTable::LeastOverLayers(Time now, const std::string& model,
-                                      SlotsOf slots_of) const {
+double EndpointTable::MinOverLayers(Time now, const std::string& model,
+                                    SlotsOf slots_of) const {
   std::vector<double> at_layer;
   for (const auto& [name, row] : rows_) {
     if (!row.report || row.report->holds.empty()) continue;
@@ -204,13 +204,13 @@
 }
 
 double EndpointTable::StreamSlots(Time now, const std::string& model) const {
-  return LeastOverLayers(now, model,
-                         [](const Row& row) { return row.report->slots; });
+  return MinOverLayers(now, model,
+                       [](const Row& row) { return row.report->slots; });
 }
 
 double EndpointTable::FreeStreamSlots(Time now,
                                       const std::string& model) const {
-  return LeastOverLayers(now, model, [](const Row& row) {
+  return MinOverLayers(now, model, [](const Row& row) {
     return std::max(0.0, row.report->slots - LoadOf(row));
   });
 }
--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -1,6 +1,6 @@
 // Rows are kept by name. A row that is no longer listed stays while this box
 // still has work there, because streams finish on endpoints that are leaving.
-// It takes no new work meanwhile.
+// Until it is removed, it gets no new work.
 
 #include "pinford/endpoint_table.h"
 
@@ -234,7 +234,8 @@
   Row* row = Find(name);
   if (row == nullptr || sent < row->restarted) return;
   row->failed = now;
-  // A step sent under the previous deadline says nothing about the present one.
+  // A step sent under the previous deadline is no evidence about the present
+  // one.
   if (sent >= row->deadline_doubled) {
     row->deadline.BackOff();
     row->deadline_doubled = now;
@@ -287,9 +288,9 @@
   if (!MaySend(now, row)) return false;
   if (!row.report || row.reported + options_.report_valid < now) return false;
   const bool last_resort = enabled(Mechanism::kLastResort);
-  const Time last_heard =
+  const Time last_contact =
       last_resort ? std::max(row.reported, row.observed) : row.reported;
-  return now >= row.backoff_until || last_heard > row.failed;
+  return now >= row.backoff_until || last_contact > row.failed;
 }
 
 bool EndpointTable::TakesNewWork(Time now, const Row& row) const {
--- a/pinford/endpoint_table.h
+++ b/pinford/endpoint_table.h
@@ -18,7 +18,7 @@
 //   assumed to have placed as much since then as this box did. Boxes that see
 //   the same state choose alike, so a box's own placement is the best estimate
 //   of the others'. Without this they all pick the endpoint that last looked
-//   idle (measured in docs/MEASUREMENTS.md).
+//   idle.
 // - An endpoint whose memory capacity is known is costed by the fraction in use
 //   (runner_cost.h) and is excluded when full.
 // - A request occupies one of the engine's slots on its first stage until it
@@ -354,8 +354,8 @@
   double TransferCost(Time now, int halls) const;
   static double LoadOf(const Row& row);
   template <typename SlotsOf>
-  double LeastOverLayers(Time now, const std::string& model,
-                         SlotsOf slots_of) const;
+  double MinOverLayers(Time now, const std::string& model,
+                       SlotsOf slots_of) const;
   bool IsRunnerOf(Time now, const Row& row, const std::string& model,
                   const std::string& version) const;
 
--- a/pinford/event_loop.h
+++ b/pinford/event_loop.h
@@ -3,11 +3,11 @@
 // One EventLoop on one thread serves all connections, timers and signals of a
 // process, so pinford needs no locks. It is also the Clock in production.
 //
-// A late timer means that this process was stalled and that data received
-// meanwhile is still unread. Most timers check whether another process has sent
-// something in time. So a late timer, and every timer that fires while one is
-// postponed, runs only after the sockets have been polled again; the order in
-// which the timers fired is kept.
+// A late timer means that this process was stalled and that data which
+// arrived during the stall is still unread. Most timers check whether another
+// process has sent something in time. So a late timer, and every timer that
+// fires while one is postponed, runs only after the sockets have been polled
+// again; the order in which the timers fired is kept.
 
 #ifndef PINFORD_EVENT_LOOP_H_
 #define PINFORD_EVENT_LOOP_H_
--- a/pinford/forwarding/attempt_result.cc
+++ b/pinford/forwarding/attempt_result.cc
@@ -37,7 +37,7 @@
   if (success)
     return {Executed::kYes, ResponseUse::kForward, EndpointFeedback::kNone};
   const bool server_error = f.status >= 500;
-  // An error response says nothing about the endpoint's health: some requests
+  // An error response is no evidence of the endpoint's health: some requests
   // fail wherever they run.
   return {Executed::kYes,
           server_error ? ResponseUse::kForwardError : ResponseUse::kForward,
--- a/pinford/forwarding/attempt_result.h
+++ b/pinford/forwarding/attempt_result.h
@@ -1,6 +1,6 @@
 // Classifies how one attempt to forward a request ended: whether the request
-// was executed, what may be done with the response, and what the outcome says
-// about the endpoints involved.
+// was executed, what may be done with the response, and what the outcome
+// implies for the endpoints involved.
 //
 // All such decisions are made here. "Not run" is a guarantee to the caller, so
 // it follows only if the request was never sent or if the endpoint reported
@@ -8,10 +8,10 @@
 //
 // A rejection is ambiguous: the endpoint that it names may be full, down,
 // leaving or unloading its layers. It therefore causes a short backoff and an
-// immediate probe of that endpoint, whose result tells these cases apart. When
-// boxes treated every rejection as "full", they sent 778 requests to four dead
-// runners in the 3.4 s until those were removed from the list (64 boxes, 190
-// requests a second), and used up their retries.
+// immediate probe of that endpoint, whose result distinguishes these cases.
+// When boxes treated every rejection as "full", they sent 778 requests to four
+// dead runners in the 3.4 s until those were removed from the list (64 boxes,
+// 190 requests a second), and used up their retries.
 
 #ifndef PINFORD_FORWARDING_ATTEMPT_RESULT_H_
 #define PINFORD_FORWARDING_ATTEMPT_RESULT_H_
@@ -26,9 +26,9 @@
 struct AttemptFacts {
   UpstreamEnd end = UpstreamEnd::kRefused;
   int status = 0;                 // of the response; 0 without a response
-  bool reported_not_run = false;  // the endpoint says that it did not run it
+  bool reported_not_run = false;  // the endpoint reported that it has not run
   bool sealed = false;            // the response carries an endpoint's seal
-  bool encoded = false;           // it has a content encoding (none is asked)
+  bool encoded = false;           // it has a content encoding (unrequested)
 };
 
 // Whether the request was executed at the endpoint.
--- a/pinford/forwarding/forwarder.h
+++ b/pinford/forwarding/forwarder.h
@@ -64,7 +64,7 @@
   std::function<void()> on_caller_waiting;
   // This box's own probe found a runner down or slow.
   std::function<void(const std::string& endpoint)> on_impaired;
-  // A response of that incarnation of the endpoint says that it is leaving.
+  // A response reports that this incarnation of the endpoint is leaving.
   std::function<void(const std::string& endpoint, uint64_t incarnation)>
       on_leaving;
   // See PoolClient::Reroute.
--- a/pinford/forwarding/forwarding_core.cc
+++ b/pinford/forwarding/forwarding_core.cc
@@ -396,10 +396,10 @@
                static_cast<double>(upstream_.connects()));
   metrics_.Set("refused_unread", "", static_cast<double>(callers_.refused()));
   metrics_.Set("retries_refused", "", static_cast<double>(retries_.refused()));
-  for (const RetryClass need : kRetryClasses) {
+  for (const RetryClass retry_class : kRetryClasses) {
     metrics_.Set("retries_refused_by_need",
-                 "need=\"" + std::string(RetryClassName(need)) + "\"",
-                 static_cast<double>(retries_.refused(need)));
+                 "need=\"" + std::string(RetryClassName(retry_class)) + "\"",
+                 static_cast<double>(retries_.refused(retry_class)));
   }
   metrics_.Set("retry_asks", "", static_cast<double>(loans_.asks()));
   metrics_.Set("retries_lent", "", static_cast<double>(loans_.lent()));
--- a/pinford/forwarding/peer_source.h
+++ b/pinford/forwarding/peer_source.h
@@ -63,12 +63,12 @@
   // milliseconds.
   Duration answer_timeout = milliseconds(600);
   // The same while this box has no documents: if all boxes start together, some
-  // of the seeds are not up yet, and callers are refused meanwhile. With 600
+  // of the seeds are not up yet, and callers are refused until then. With 600
   // ms, boxes that came back from a power loss were ready after 0.60 s, in all
   // 21 logs that were examined.
   Duration answer_timeout_at_start = milliseconds(150);
   // Delay until the next source is asked after one begins to fail: endpoints
-  // that leave meanwhile must be known within two seconds.
+  // that leave during this delay must be known within two seconds.
   Duration failover_delay = milliseconds(100);
   // Between requests to seeds while this box has no documents: the first delay,
   // doubled each time.
@@ -273,7 +273,7 @@
   void ApplyDocument(DocumentKind kind, const DocumentState& state,
                      const std::string& from, Time sent_at) {
     if (!ApplyBody(kind, state, from)) return;
-    // An older version says nothing about the freshness of the one held.
+    // An older version is no evidence of the freshness of the one held.
     if (state.version < events_.version(kind)) return;
     constexpr uint64_t kUnknownAgeMs = 3600 * 1000;
     if (state.freshness_age_ms >= kUnknownAgeMs) return;
--- a/pinford/forwarding/pool_placement.h
+++ b/pinford/forwarding/pool_placement.h
@@ -43,7 +43,7 @@
   // Share of a runner's memory for layers. With the accelerator kinds of
   // current deployments it gives four to five copies of 80 layers. More copies
   // leave too little free memory when some are lost, fewer leave too little
-  // choice (docs/DECISIONS.md has the figures for 0.50 to 0.84).
+  // choice.
   double weight_share = 0.68;
 };
 
--- a/pinford/forwarding/pool_planner.h
+++ b/pinford/forwarding/pool_planner.h
@@ -22,12 +22,12 @@
 // runners proceeds as they answer, and none of its calls times out.
 //
 // A planner that takes over does not know its predecessor's orders: runners are
-// listed as empty until their load is done. If some runner holds layers,
-// somebody planned before, and each runner that is listed as empty is queried
+// listed as empty until their load is done. If some runner holds layers, there
+// was an earlier planner, and each runner that is listed as empty is queried
 // once first. If none does, a single order is sent ahead of the others. If it
-// is accepted, nobody planned before; otherwise all are queried. A new fleet
-// thus fills its pools without queries, and of 99 runners of which 65 are
-// loading one gets an order that it refuses, where 64 did without the check
+// is accepted, there was none; otherwise all are queried. A new fleet thus
+// fills its pools without queries, and of 99 runners of which 65 are loading
+// one gets an order that it refuses, where 64 did without the check
 // (TakeoverRepeatsNoOrder).
 //
 // A runner that restarts under its id holds nothing and has accepted no order:
@@ -188,7 +188,7 @@
     });
   }
 
-  // Others may have planned in between: drops reports, and plans anew what was
+  // Others may have planned in between: drops reports, and replans what was
   // not ordered yet.
   void OnToken(uint64_t token) {
     if (token != 0) {
@@ -504,7 +504,7 @@
     const bool refused = status == LayerOrderStatus::kConflict ||
                          status == LayerOrderStatus::kFenced ||
                          status == LayerOrderStatus::kNotSent;
-    // Refused orders are planned anew, based on a new report.
+    // Refused orders are replanned, based on a new report.
     if (refused) record->ordered = record->planned = {};
     const bool conflict = status == LayerOrderStatus::kConflict;
     if (conflict && record->based_on_list) record->list_outdated = true;
--- a/pinford/forwarding/prefix_mirror.h
+++ b/pinford/forwarding/prefix_mirror.h
@@ -8,7 +8,7 @@
 //
 // The freshness time is the time *before* a call was sent whose answer showed
 // the state of the store: the copy was current at that time, however late the
-// answer arrived and whether or not the process was paused meanwhile. Each
+// answer arrived and whether or not the process was paused in between. Each
 // answered call renews it; while the store is unreachable, its age grows.
 
 #ifndef PINFORD_FORWARDING_PREFIX_MIRROR_H_
--- a/pinford/forwarding/request_log.h
+++ b/pinford/forwarding/request_log.h
@@ -33,18 +33,18 @@
     Executed executed = Executed::kNo;
     std::string_view at_fault;     // the stage that the response names
     std::string_view retry_after;  // as the response has it
-    // When the attempt was about to be sent: the rest of the backoff that the
-    // endpoint had asked for, and the time since the endpoint was picked.
+    // When the attempt was about to be sent: the remaining backoff that the
+    // endpoint had requested, and the time since the endpoint was picked.
     Duration backoff_left{};
     Duration since_pick{};
     Duration took{};
   };
   void AttemptFailed(const AttemptEnd& a) const;
 
-  // The endpoint asked this box to back off for that long.
+  // The endpoint requested a backoff of that length from this box.
   void BackoffRequested(const ForwardTarget& target, Duration backoff) const;
 
-  // An attempt was abandoned for another one; `event` says why.
+  // An attempt was abandoned for another one; `event` is the reason.
   struct AbandonedAttempt {
     int attempt = 0;
     const ForwardTarget* target = nullptr;
--- a/pinford/forwarding/retry_share.cc
+++ b/pinford/forwarding/retry_share.cc
@@ -134,10 +134,10 @@
   // The box may need again what it has used recently.
   const auto recent = std::lower_bound(w.retries.begin(), w.retries.end(),
                                        now - options_.loan_validity);
-  const double held_back = options_.reserved_share * bound +
-                           static_cast<double>(w.retries.end() - recent);
+  const double withheld = options_.reserved_share * bound +
+                          static_cast<double>(w.retries.end() - recent);
   const double spare =
-      std::min(EarnedForLoan(now, w) - used, bound - used - held_back);
+      std::min(EarnedForLoan(now, w) - used, bound - used - withheld);
   const int n = std::clamp(static_cast<int>(spare), 0, std::max(0, max_count));
   w.lent.insert(w.lent.end(), n, now);
   return n;
--- a/pinford/forwarding/send_budget.h
+++ b/pinford/forwarding/send_budget.h
@@ -3,9 +3,9 @@
 //
 // Boxes that start together all ask the few that have the endpoint list. An
 // answer that is queued for the link too long is requested again elsewhere, yet
-// is still sent. A peer beyond the budget is therefore told immediately, and
-// asks another box that has the list by then: every box that was served serves
-// others, so their number doubles.
+// is still sent. A peer beyond the budget is therefore answered without the
+// list immediately, and asks another box that has the list by then: every box
+// that was served serves others, so their number doubles.
 
 #ifndef PINFORD_FORWARDING_SEND_BUDGET_H_
 #define PINFORD_FORWARDING_SEND_BUDGET_H_
--- a/pinford/forwarding/source_selector.h
+++ b/pinford/forwarding/source_selector.h
@@ -12,8 +12,8 @@
 // answer. A failing source is asked every other time, so that its recovery is
 // noticed. A source that did not answer twice in a row is excluded for a while,
 // and the ranks move up: boxes that are down stay in the membership for tens of
-// seconds in a large fleet. A box to which nobody answers thus becomes the
-// primary of a hall of its own, and mirrors the store for itself.
+// seconds in a large fleet. A box that gets no answer from any source thus
+// becomes the primary of a hall of its own, and mirrors the store for itself.
 //
 // Ranks differ while boxes have different views of the membership. It does no
 // harm if two boxes have the same role.
@@ -73,7 +73,7 @@
   int rank(Time now);
   // Whether this box mirrors the store because the primary of its hall fails.
   bool is_active_standby(Time now);
-  // Live boxes of the hall including this one; 1 while nobody answers it.
+  // Live boxes of the hall including this one; 1 while no source answers it.
   int hall_boxes(Time now);
   // Whether the primary of the hall failed recently; false for the primary
   // itself.
--- a/pinford/forwarding/startup_peer_check.h
+++ b/pinford/forwarding/startup_peer_check.h
@@ -3,10 +3,10 @@
 //
 // A store that was restored from a backup holds an older configuration than the
 // one in force until the operator writes that again, and a box that has just
-// started cannot tell. Running boxes can, because they keep the higher version.
-// A starting box therefore accepts the store's configuration once any peer has
-// answered, reporting a higher version if it has one, or after a timeout: if
-// all boxes start together, nobody is there to ask.
+// started cannot detect that. Running boxes can, because they keep the higher
+// version. A starting box therefore accepts the store's configuration once any
+// peer has answered, reporting a higher version if it has one, or after a
+// timeout: if all boxes start together, there is no peer to ask.
 
 #ifndef PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
 #define PINFORD_FORWARDING_STARTUP_PEER_CHECK_H_
--- a/pinford/forwarding/upstream_client.h
+++ b/pinford/forwarding/upstream_client.h
@@ -3,14 +3,14 @@
 // HttpClient, built on evhttp, makes pinford's own calls. This client
 // additionally distinguishes how an exchange ended: whether any byte left this
 // process, and whether the response was complete, truncated or not HTTP. That
-// decides what the caller may be told and whether the request may be sent again
-// (attempt_result.h). The client sends each request once.
+// decides what may be reported to the caller and whether the request may be
+// sent again (attempt_result.h). The client sends each request once.
 //
 // A connection carries one request at a time. It is reused only if the response
 // was complete, delimited by its own framing, expected, and arrived after the
 // whole request had been written: a faulty endpoint may respond early, send
 // more than one response, or send an old response in place of the current one.
-// Responses repeat the request's id, which tells these cases apart.
+// Responses repeat the request's id, which distinguishes these cases.
 
 #ifndef PINFORD_FORWARDING_UPSTREAM_CLIENT_H_
 #define PINFORD_FORWARDING_UPSTREAM_CLIENT_H_
--- a/pinford/http_client.h
+++ b/pinford/http_client.h
@@ -43,8 +43,8 @@
   std::string target;  // path and query
   std::string body;
   HttpHeaders headers;
-  // Extended by this process's own scheduling delay, at most doubled: meanwhile
-  // the process could neither send the call nor read its response.
+  // Extended by this process's own scheduling delay, at most doubled: during
+  // that delay the process could neither send the call nor read its response.
   Duration timeout = seconds(5);
   bool fresh_connection = false;
 };
--- a/pinford/loop_delays.h
+++ b/pinford/loop_delays.h
@@ -1,8 +1,8 @@
 // Recent scheduling delays of an event loop: how late it has run its timers.
 //
 // A process that is stopped, gets no CPU time or is busy in one handler runs
-// its timers late and reads nothing meanwhile. Code that is about to report a
-// peer or endpoint as unresponsive checks here how much of the idle time was
+// its timers late and reads nothing in that time. Code that is about to report
+// a peer or endpoint as unresponsive checks here how much of the idle time was
 // this process's own delay.
 //
 // Memory is bounded: a delay is dropped once one at least as long has ended
--- a/pinford/membership.h
+++ b/pinford/membership.h
@@ -86,7 +86,7 @@
   void set_counts(std::vector<EndpointCount> counts);
   void set_load(uint32_t running, uint32_t waiting);
   void set_leaving_endpoints(std::vector<LeavingMark> marks);
-  // Age of the proof that this box's configuration is the newest.
+  // Time since this box's configuration was last known to be the newest.
   void set_freshness_age(Duration age) { freshness_age_ = age; }
 
   // Returns the digests to send now and the time until the next call. `size`
--- a/pinford/once_call.h
+++ b/pinford/once_call.h
@@ -92,7 +92,7 @@
   // not sent; a non-repeatable call in flight continues, so that its result can
   // be recorded. on_end is still called.
   void Abandon() {
-    caller_gone_ = true;
+    caller_disconnected_ = true;
     if (call_id_ == 0 || !repeatable_) return;
     client_->CancelCall(std::exchange(call_id_, 0));
     table_->OnDone(endpoint_);
@@ -231,7 +231,7 @@
   }
 
   void RetryClaim() {
-    if (clock_->now() >= claim_deadline_ || caller_gone_) {
+    if (clock_->now() >= claim_deadline_ || caller_disconnected_) {
       FailUnsent(CallError::kNoStore);
       return;
     }
@@ -248,8 +248,8 @@
     claimed_ = true;
     claim_revision_ = revision;
     // The box may have been paused while the claim was written. After the
-    // deadline nobody waits for the call any more, so it is not sent.
-    if (caller_gone_ || clock_->now() >= claim_deadline_) {
+    // deadline no caller waits for the call any more, so it is not sent.
+    if (caller_disconnected_ || clock_->now() >= claim_deadline_) {
       FailUnsent(CallError::kNoStore);
       return;
     }
@@ -259,7 +259,7 @@
   // --- sending -------------------------------------------------------------
 
   void Send() {
-    if (caller_gone_) {
+    if (caller_disconnected_) {
       FailUnsent(CallError::kNone);
       return;
     }
@@ -320,7 +320,7 @@
 
   void OnLost() {
     may_have_run_ = true;
-    if (repeatable_ && !caller_gone_) {
+    if (repeatable_ && !caller_disconnected_) {
       RetryElsewhere();
       return;
     }
@@ -449,7 +449,7 @@
   uint64_t call_id_ = 0;
   Time sent_at_{};
   bool may_have_run_ = false;
-  bool caller_gone_ = false;
+  bool caller_disconnected_ = false;
   Claim final_claim_;
   Time cleanup_deadline_{};
 };
--- a/pinford/order.h
+++ b/pinford/order.h
@@ -3,7 +3,7 @@
 // Orders state the desired holding, not a change, so a repeated order has no
 // effect. Each carries the fencing token of the lease under which it was
 // issued. Some runners check it and refuse any token lower than they have seen;
-// some do not. The platform's list says which do (checks_fence).
+// some do not. The platform lists which do (checks_fence).
 
 #ifndef PINFORD_ORDER_H_
 #define PINFORD_ORDER_H_
--- a/pinford/policy.h
+++ b/pinford/policy.h
@@ -12,8 +12,8 @@
 // os, load, require or debug, so they can only access their inputs. Each call
 // is limited in instructions, and the program in memory. If a call fails, the
 // default is used, the failure is counted, and its message is kept for the
-// operator. Lua was chosen over a custom language: it gives operators loops,
-// functions and a manual, and leaves the project no parser to maintain.
+// operator. Lua is used rather than a custom language: it gives operators
+// loops, functions and a manual, and leaves the project no parser to maintain.
 
 #ifndef PINFORD_POLICY_H_
 #define PINFORD_POLICY_H_
@@ -32,7 +32,7 @@
 
 namespace pinford {
 
-// Most urgent first. The number of tiers is based on docs/MEASUREMENTS.md.
+// Most urgent first.
 enum class Tier { kCritical, kHigh, kStandard, kBackground };
 inline constexpr int kTierCount = 4;
 
--- a/pinford/store_era.h
+++ b/pinford/store_era.h
@@ -5,7 +5,7 @@
 // store, directly or through peers. An era above the known one means that the
 // store was restored from a copy: its last acknowledged writes may be lost, and
 // everything ordered by its revisions has to start over. An answer from a lower
-// era is late and says nothing about what the store holds now.
+// era is late and is no evidence of what the store holds now.
 
 #ifndef PINFORD_STORE_ERA_H_
 #define PINFORD_STORE_ERA_H_
--- a/pinford/testing/endpoint_directory_test.cc
+++ b/pinford/testing/endpoint_directory_test.cc
@@ -75,7 +75,7 @@
   f.directory.OnList(now, {Entry("a")});
   EXPECT_EQ(f.TakeEvents(), (Strings{"-b"}));
 
-  // The store is back after an outage: its entries may have lapsed meanwhile.
+  // The store is back after an outage: its entries may have lapsed during it.
   f.directory.OnStoreReachable(now);
   f.directory.OnList(now, {});
   f.directory.Tick(now + seconds(1));
--- a/pinford/testing/event_loop_test.cc
+++ b/pinford/testing/event_loop_test.cc
@@ -60,7 +60,7 @@
 }
 
 // A box that had been stopped checked its streams before it had read what their
-// runners had sent meanwhile, and considered all of them idle.
+// runners had sent in that time, and considered all of them idle.
 TEST(EventLoop, LateTimerRunsAfterPendingReads) {
   EventLoop loop;
   Pipe pipe(&loop);
--- a/pinford/testing/fake_store.h
+++ b/pinford/testing/fake_store.h
@@ -167,7 +167,7 @@
       r.now = {lease.holder, lease.token};
       return r;
     }
-    // A lease of an earlier era is granted anew, as by the platform's adapter.
+    // A lease of an earlier era is granted again, as by the platform's adapter.
     if (expired || lease.token.era() < era_) lease.token = NextRevision();
     lease.holder = holder;
     lease.until =
--- a/pinford/testing/fleet.h
+++ b/pinford/testing/fleet.h
@@ -24,7 +24,7 @@
 namespace pinford {
 
 inline constexpr int kSeeds = 3;
-// Customers' keys are refused once the freshness proof is older than this.
+// Customers' keys are refused above this freshness age.
 inline constexpr Duration kMaxFreshnessAge = milliseconds(4700);
 
 // The store as its callers see it: the test decides for each box whether a call
@@ -260,8 +260,8 @@
     return store.calls - before;
   }
 
-  // Number of boxes selected by `counts` that had no fresh proof at some time
-  // since the last call.
+  // Number of boxes selected by `counts` whose configuration was stale at some
+  // time since the last call.
   int CountStale(const std::function<bool(int)>& counts) {
     int n = 0;
     for (const int i : stale_) n += counts(i);
--- a/pinford/testing/forward_decisions_test.cc
+++ b/pinford/testing/forward_decisions_test.cc
@@ -125,9 +125,9 @@
         const AttemptResult r = ClassifyAttempt(f);
         const bool never_sent =
             end == UpstreamEnd::kRefused || end == UpstreamEnd::kWithdrawn;
-        const bool word = end == UpstreamEnd::kComplete &&
-                          (f.reported_not_run || status == 421);
-        EXPECT_EQ(r.executed == Executed::kNo, never_sent || word);
+        const bool reported = end == UpstreamEnd::kComplete &&
+                              (f.reported_not_run || status == 421);
+        EXPECT_EQ(r.executed == Executed::kNo, never_sent || reported);
         if (r.use == ResponseUse::kNone) continue;
         EXPECT_EQ(end, UpstreamEnd::kComplete);
         EXPECT_TRUE(f.sealed && !f.encoded && !f.reported_not_run);
@@ -518,15 +518,15 @@
   std::vector<PoolRunner> runners = {{"a", "h", "big", {0, 27}},
                                      {"b", "h", "big", {0, 27}},
                                      {"c", "h", "big", {27, 54}}};
-  constexpr double kLeastGain = 2;
-  const auto move = BestMove(pool, runners, {0, 1, 2}, kLeastGain, options);
+  constexpr double kMinGain = 2;
+  const auto move = BestMove(pool, runners, {0, 1, 2}, kMinGain, options);
   ASSERT_TRUE(move);
   EXPECT_NE(move->runner, "c") << "then its layers would have no holder";
   EXPECT_EQ(move->range, (LayerRange{53, 80}));
   for (PoolRunner& r : runners) {
     if (r.name == move->runner) r.holds = move->range;
   }
-  EXPECT_FALSE(BestMove(pool, runners, {0, 1, 2}, kLeastGain, options));
+  EXPECT_FALSE(BestMove(pool, runners, {0, 1, 2}, kMinGain, options));
   EXPECT_FALSE(BestMove(pool, runners, {}, 0, options));
 }
 
--- a/pinford/testing/forwarder_test.cc
+++ b/pinford/testing/forwarder_test.cc
@@ -261,7 +261,7 @@
 }
 
 // A rejection names the stage at fault but not the fault. Only a probe of that
-// stage tells whether it is down or full.
+// stage shows whether it is down or full.
 TEST(Forwarder, AStageNamedInARejectionIsProbedAtOnce) {
   const struct {
     const char* name;
--- a/pinford/testing/hall_planner_test.cc
+++ b/pinford/testing/hall_planner_test.cc
@@ -160,7 +160,7 @@
     return view;
   }
 
-  // Whether the runners hold what the last written plan says.
+  // Whether the runners hold the layers of the last written plan.
   bool HoldsPlan() {
     const auto& value = store.values["pinford/plan/h"].value;
     std::optional<PlacementPlan> plan = ParsePlan(value);
--- a/pinford/testing/http_client_test.cc
+++ b/pinford/testing/http_client_test.cc
@@ -152,8 +152,8 @@
   }
 }
 
-// The server has closed the kept-alive connection meanwhile: the call may be
-// reported as lost or be sent on a new connection, but never be sent twice.
+// The server has closed the kept-alive connection: the call may be reported as
+// lost or be sent on a new connection, but never be sent twice.
 TEST(HttpClient, AKeptConnectionIsNeverUsedToSendTwice) {
   EventLoop loop;
   HttpClient http(&loop, HttpClient::Options());
--- a/pinford/testing/inputs_test.cc
+++ b/pinford/testing/inputs_test.cc
@@ -247,7 +247,7 @@
     EXPECT_EQ(StepStatusOf(refusal.http_status, WriteError(refusal.code, "m"),
                            &message),
               s);
-    // Without the error code, the same status does not tell whether it ran.
+    // Without the error code, the same status does not show whether it ran.
     EXPECT_EQ(StepStatusOf(refusal.http_status, "", &message),
               StepStatus::kLost);
   }
--- a/pinford/testing/peer_source_test.cc
+++ b/pinford/testing/peer_source_test.cc
@@ -149,7 +149,7 @@
 
 // The other boxes must learn immediately that the mirror cannot reach the
 // store, because the freshness age does not show which endpoints leave
-// meanwhile.
+// during the outage.
 TEST(PeerSource, AMirrorThatTheStoreDoesNotAnswerSaysSo) {
   Fixture f;
   f.RunFor(milliseconds(100));
--- a/pinford/testing/pool_planner_test.cc
+++ b/pinford/testing/pool_planner_test.cc
@@ -375,8 +375,8 @@
 
 // Two runners have accepted an order that the list does not show: they refuse,
 // are queried, and get no second order for what they load. With the check after
-// a takeover, the first refusal shows that somebody planned before, and the
-// second runner is queried at once.
+// a takeover, the first refusal shows that there was an earlier planner, and
+// the second runner is queried at once.
 TEST(PoolPlanner, RunnerRefusesAnOrderBasedOnAStaleList) {
   for (const bool check_first : {false, true}) {
     World w(4, 0, check_first);
--- a/pinford/testing/requested_backoff_test.cc
+++ b/pinford/testing/requested_backoff_test.cc
@@ -1,16 +1,11 @@
 // An endpoint that asks a box to back off (503, not run, with Retry-After) gets
 // no request from it until the backoff ends.
 //
-// The failure: an endpoint had asked for three seconds of backoff and got five
-// requests within them, because Retry-After was ignored. A rejection excluded
-// an endpoint for 0.3 s, the box's own estimate of how long an endpoint stays
-// full. After that the endpoint was picked and rejected again: since it
-// accepted nothing it looked idle, and in the 9 s of such a span it drew as
-// many requests as in the 6 s before, 10 to 17 a second from eight boxes. Each
-// of them needed a retry; callers without one were refused. In the test below,
-// before the fix, every request but the first was sent with most of the backoff
-// left (rest_left_ms 1,663 to 1,699 of 2,000) to an endpoint picked in the same
-// millisecond (since_pick_ms 0), while the other endpoint was idle.
+// The failure: Retry-After was ignored. A rejection excluded the endpoint for
+// only 0.3 s, the box's own estimate of how long an endpoint stays full. As it
+// accepted nothing, it then looked idle and was picked again: 10 to 17 times a
+// second by eight boxes. Each of these requests needed a retry, and callers
+// without one were refused.
 
 #include <gtest/gtest.h>
 
@@ -147,7 +142,7 @@
   EXPECT_TRUE(f.probed.empty());
 }
 
-// An endpoint that is leaving says so in all its responses, possibly seconds
+// An endpoint that is leaving reports it in all its responses, possibly seconds
 // before its entry in the list changes, or while no list is available. The
 // notice counts from the response head on, since a stream may last for another
 // twenty seconds.
@@ -161,7 +156,7 @@
     const char* name;
     const char* path;
     std::string answer;
-    bool says_so;
+    bool reports_leaving;
   } cases[] = {
       {"answers", "/get/", Sealed("1", "ab", leaves), true},
       {"answers 404", "/get/", Sealed("1", "", leaves, 404), true},
@@ -183,7 +178,7 @@
     f.Script({{c.answer}}, {{Sealed("1", "ab")}});
     f.SendRequest("GET", c.path, milliseconds(60));
     const std::vector<LeavingMark> expected = {{"a", 1}};
-    if (c.says_so) {
+    if (c.reports_leaving) {
       EXPECT_EQ(f.leaving_reports, expected) << c.name;
     } else {
       EXPECT_TRUE(f.leaving_reports.empty()) << c.name;
--- a/pinford/testing/retry_loans_test.cc
+++ b/pinford/testing/retry_loans_test.cc
@@ -320,14 +320,14 @@
   // Returns the largest excess of retries over the bound in any window that
   // starts at or after `from`; negative if there is none.
   double MaxExcess(Time from) const {
-    double most = -1e9;
+    double max_excess = -1e9;
     for (Time at = from; at + options_.window <= now();
          at += milliseconds(100)) {
       const double bound =
           options_.ratio * CountIn(requests_, at) + options_.extra;
-      most = std::max(most, CountIn(retries_, at) - bound);
+      max_excess = std::max(max_excess, CountIn(retries_, at) - bound);
     }
-    return most;
+    return max_excess;
   }
 
  private:
--- a/pinford/testing/stage_recovery_test.cc
+++ b/pinford/testing/stage_recovery_test.cc
@@ -138,8 +138,8 @@
 // is left if any other action is available.
 TEST(StageRecovery, NeverChoosesAnUnavailableAction) {
   Random random(2);
-  const auto some = [&random](int most) {
-    return milliseconds(std::uniform_int_distribution<int>(0, most)(random));
+  const auto some = [&random](int max_ms) {
+    return milliseconds(std::uniform_int_distribution<int>(0, max_ms)(random));
   };
   const auto either = [&random] { return (random() & 1) != 0; };
   for (int i = 0; i < 20000; i++) {
--- a/pinford/testing/store_calls_test.cc
+++ b/pinford/testing/store_calls_test.cc
@@ -47,7 +47,7 @@
 }
 
 // Boxes that mirror the store list again, once or twice; all others get the
-// result from them, and none becomes stale meanwhile.
+// result from them, and none becomes stale in that time.
 TEST_P(StoreCalls, WhenTheStoreComesBackFromACopy) {
   fleet_.Run(seconds(10));
   fleet_.CountStale(All);
@@ -213,8 +213,8 @@
 
 // Ten runners per box, so that the list has 100 KB at 300 boxes. All boxes are
 // killed and request it together: links of 20 Mbit/s used to be busy for
-// another 14 s with answers to requests that had been repeated elsewhere
-// meanwhile. Nine in ten boxes must serve again within two seconds; those that
+// another 14 s with answers to requests that had already been repeated
+// elsewhere. Nine in ten boxes must serve again within two seconds; those that
 // lack the list after three would count as connected without it.
 TEST_P(StoreCalls, AfterARestartOfAllBoxesTheListIsThereSoon) {
   fleet_.list_bytes = 340 * fleet_.size();
--- a/util/signal_blocker.h
+++ b/util/signal_blocker.h
@@ -2,7 +2,8 @@
 // signal has its default effect, which for most signals ends the process.
 //
 // Signals that arrive while blocked are delivered on Unblock(), once for each
-// signal number. Threads started meanwhile inherit the mask and never get them.
+// signal number. Threads started while blocked inherit the mask and never get
+// them.
 
 #ifndef UTIL_SIGNAL_BLOCKER_H_
 #define UTIL_SIGNAL_BLOCKER_H_
