--- a/pinford/endpoint_table.cc
+++ b/pinford/endpoint_table.cc
@@ -1,6 +1,6 @@
 // Rows are kept by name. A row that is no longer listed stays while this box
 // still has work there, because streams finish on endpoints that are leaving.
-// It takes no new work meanwhile.
+// Until it is removed, it gets no new work.
 
 #include "pinford/endpoint_table.h"
 
@@ -196,7 +196,8 @@
 
 void EndpointTable::OnTransferSent(Time now, double tokens) {
   if (!enabled(Mechanism::kTransferLoad)) return;
-  transfer_load_.Add(now, tokens * crossing_seconds_, options_.load_window);
+  transfer_load_.Add(now, tokens * transfer_seconds_per_token_,
+                     options_.load_window);
 }
 
 void EndpointTable::OnTransferDone(double tokens) {
@@ -212,10 +213,10 @@
   const int links = pairs ? std::max(1, halls * (halls - 1) / 2) : 1;
   const double utilization =
       boxes_ * transfer_load_.At(now, span) / ToSeconds(span) / links;
-  const double queue_seconds =
-      enabled(Mechanism::kPrefillBacklog)
-          ? boxes_ * queued_transfer_tokens_ * crossing_seconds_ / links
-          : 0;
+  const double queue_seconds = enabled(Mechanism::kPrefillBacklog)
+                                   ? boxes_ * queued_transfer_tokens_ *
+                                         transfer_seconds_per_token_ / links
+                                   : 0;
   return options_.cross_hall_seconds * QueueFactor(queue_seconds) /
          std::max(kMinIdle, 1 - utilization);
 }
@@ -233,7 +234,8 @@
   Row* row = Find(name);
   if (row == nullptr || sent < row->restarted) return;
   row->failed = now;
-  // A step sent under the previous deadline says nothing about the present one.
+  // A step sent under the previous deadline is no evidence about the present
+  // one.
   if (sent >= row->deadline_doubled) {
     row->deadline.BackOff();
     row->deadline_doubled = now;
@@ -286,9 +288,9 @@
   if (!MaySend(now, row)) return false;
   if (!row.report || row.reported + options_.report_valid < now) return false;
   const bool last_resort = enabled(Mechanism::kLastResort);
-  const Time last_heard =
+  const Time last_contact =
       last_resort ? std::max(row.reported, row.observed) : row.reported;
-  return now >= row.backoff_until || last_heard > row.failed;
+  return now >= row.backoff_until || last_contact > row.failed;
 }
 
 bool EndpointTable::TakesNewWork(Time now, const Row& row) const {
